--- a/src/plugins/agent-messages.ts
+++ b/src/plugins/agent-messages.ts
@@ -1,6 +1,6 @@
 /**
-Calls between an owner and its agents: JSON on a call stream. Both sides are small, and an agent's host has a third of a core;
-a richer protocol library costs more at each start than all calls of a minute.
+Calls between an owner and its agents: JSON on a call stream. An agent has only a third of a core, and loading a protocol
+library at start would cost more than all calls of a minute.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type Agent} from '../agents/agent.ts';
@@ -11,13 +11,13 @@
 import {type JsonServer} from '../utils/http-server.ts';
 import {type AgentClient} from '../workflows/agent-links.ts';
 
-/** A message that a process of the version before may send: it knows no crashes. */
-type BeforeCrashes<Message, Key extends keyof Message> = Omit<Message, Key> & Partial<Pick<Message, Key>>;
+/** A message in which the field is absent if a process of the previous version sent it. */
+type FromOlderVersion<Message, Key extends keyof Message> = Omit<Message, Key> & Partial<Pick<Message, Key>>;
 
 const watchPath = '/v1/agent/watch';
 const ordersPath = '/v1/agent/orders';
 
-/** Creates the owner's side. */
+/** Creates the owner's client. */
 export const createAgentClient = (streams: StreamClient): AgentClient => {
 	const post = async (address: string, path: string, json: unknown, {timeoutMs, signal}: {timeoutMs: number; signal?: AbortSignal}): Promise<unknown> => {
 		const answer = await streams.call({
@@ -32,17 +32,17 @@
 
 	return {
 		async watch(address, request, timeoutMs, signal) {
-			const reply = await post(address, watchPath, request, {timeoutMs, signal}) as BeforeCrashes<WatchReply, 'crashed'>;
+			const reply = await post(address, watchPath, request, {timeoutMs, signal}) as FromOlderVersion<WatchReply, 'crashed'>;
 			return {...reply, crashed: reply.crashed ?? []};
 		},
 		order: async (address, request, timeoutMs) => await post(address, ordersPath, request, {timeoutMs}) as OrdersReply,
 	};
 };
 
-/** Adds the agent's side to a server. */
+/** Adds the agent's routes to a server. */
 export const serveAgent = (server: JsonServer, agent: Pick<Agent, 'watch' | 'order'>): void => {
 	server.route('POST', watchPath, async ({body, signal}) => {
-		const request = body as BeforeCrashes<WatchRequest, 'crashesStored'>;
+		const request = body as FromOlderVersion<WatchRequest, 'crashesStored'>;
 		return {body: await agent.watch({...request, crashesStored: request.crashesStored ?? 0}, signal)};
 	});
 	server.route('POST', ordersPath, async ({body}) => ({body: await agent.order(body as OrdersRequest)}));
--- a/src/plugins/callers-claimed.ts
+++ b/src/plugins/callers-claimed.ts
@@ -1,5 +1,5 @@
 /**
-Serves non-idempotent requests: claimed first, dispatched once at most, and their ends recorded.
+Serves non-idempotent requests: claims the request id, dispatches the request at most once, and records how it ended.
 */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type WholeAnswer} from '../requests/answer.ts';
@@ -12,26 +12,26 @@
 } from '../types/services.ts';
 import {type CallerRefusal} from './callers-refusals.ts';
 
-/** What claimed requests need. */
+/** Dependencies of claimed requests. */
 export type ClaimedOptions = {
 	claims: ClaimsService;
 	clock: Clock;
 	maxBodyBytes: number;
-	/** Whether the service's non-idempotent requests may run on this side now. */
+	/** Whether non-idempotent requests of the service may run in this region now. */
 	isSettled(serviceName: string): boolean;
 };
 
-/** An answer, or a refusal. */
+/** How a claimed request ended: with an answer or a refusal. */
 export type ClaimedEnd = {
 	answer?: WholeAnswer & {isReplayed?: boolean};
 	refusal?: CallerRefusal;
 };
 
-/** Part of the time left that a claim may take: the rest is for the run. */
+/** Share of the time until the deadline that the claim may take; the rest is for the run. */
 const claimShare = 0.5;
 const inUseRetryAfterMs = 1000;
 const unavailableRetryAfterMs = 1000;
-const wrongSideRetryAfterMs = 1000;
+const wrongRegionRetryAfterMs = 1000;
 const maxContentTypeLength = 256;
 
 /** Serves one request with an id. */
@@ -41,16 +41,16 @@
 	const requestId = call.facts.requestId!;
 	const reason = claims.judge(requestId);
 	if (reason) {
-		// An expired id may have run when it was young.
+		// The request may have run before its id expired.
 		const outcome = reason === RefusalReason.RequestIdExpired ? Outcome.Unknown : Outcome.NotRun;
 		return {refusal: {reason, outcome, retryAfterMs: 0}};
 	}
 
 	if (!isSettled(serviceName)) {
-		return refuseNotRun(RefusalReason.WrongSide, wrongSideRetryAfterMs);
+		return refuseNotRun(RefusalReason.WrongSide, wrongRegionRetryAfterMs);
 	}
 
-	// Judged before the claim: refused only after it, each request of an overload would cost the log two items.
+	// Checked before the claim, because a refusal after it would cost two log records for each request under overload.
 	const early = lane.findRefusal(call);
 	if (early) {
 		return refuseNotRun(early.reason, early.retryAfterMs);
--- a/src/plugins/callers-lanes.ts
+++ b/src/plugins/callers-lanes.ts
@@ -1,5 +1,6 @@
 /**
-One lane for each service, with what the lanes share: connections, choice, and the timers of deadlines.
+One lane per service, which queues and dispatches its requests, and what all lanes share: connections to upstreams, the choice
+of an upstream, and deadline timers.
 */
 import {type Kernel} from '../core/kernel.ts';
 import {breakResponse, type StallWatch} from '../requests/answer.ts';
@@ -24,10 +25,10 @@
 	get(serviceName: string): Lane;
 	/** Why no request of the service can be dispatched now. */
 	findObstacle(serviceName: string): RefusalReason | undefined;
-	/** Whether non-idempotent requests of the service may run on this side. */
+	/** Whether non-idempotent requests of the service may run in this region now. */
 	isSettled(serviceName: string): boolean;
 	getStatus(): unknown;
-	/** Refuses all that wait. */
+	/** Refuses all waiting requests. */
 	close(): void;
 	/** Frees timers and connections. */
 	destroy(): Promise<void>;
@@ -41,7 +42,7 @@
 
 const candidatesRefreshMs = 10;
 
-/** Creates the lanes; `onRunDue` is told of claimed requests that run when their deadline comes. */
+/** Creates the lanes; `onRunDue` is called for a claimed request that is still running at its deadline. */
 export const createLanes = (kernel: Kernel, onRunDue: (call: Call) => void): Lanes => {
 	const {admission, retries, slots: slotSettings, answers} = kernel.get(ServiceName.Settings);
 	const clock = kernel.get(ServiceName.Clock);
@@ -50,7 +51,7 @@
 	const upstreams = kernel.get(ServiceName.Upstreams);
 	const slots = kernel.get(ServiceName.Slots);
 	const moves = kernel.has(ServiceName.Moves) ? kernel.get(ServiceName.Moves) : undefined;
-	const entries = new Map<string, LaneEntry>();
+	const laneEntries = new Map<string, LaneEntry>();
 
 	const config = kernel.get(ServiceName.Config);
 	const chooser = createChooser({
@@ -83,7 +84,7 @@
 		},
 	});
 	const getCandidates = (serviceName: string): readonly UpstreamAnnouncement[] => {
-		const entry = entries.get(serviceName);
+		const entry = laneEntries.get(serviceName);
 		const nowMs = clock.monotonicMs();
 		if (entry && nowMs - entry.candidatesAtMs < candidatesRefreshMs) {
 			return entry.candidates;
@@ -116,18 +117,18 @@
 			dueRuns,
 			getCandidates: () => getCandidates(serviceName),
 		});
-		entries.set(serviceName, {lane, candidates: [], candidatesAtMs: Number.NEGATIVE_INFINITY});
+		laneEntries.set(serviceName, {lane, candidates: [], candidatesAtMs: Number.NEGATIVE_INFINITY});
 		return lane;
 	};
 
 	slots.onFree(() => {
-		for (const {lane} of entries.values()) {
+		for (const {lane} of laneEntries.values()) {
 			lane.admission.wake();
 		}
 	});
 
 	return {
-		get: serviceName => entries.get(serviceName)?.lane ?? createLane(serviceName),
+		get: serviceName => laneEntries.get(serviceName)?.lane ?? createLane(serviceName),
 		findObstacle(serviceName) {
 			if (getCandidates(serviceName).length > 0) {
 				return undefined;
@@ -137,9 +138,9 @@
 		},
 		isSettled: serviceName => moves?.isSettled(serviceName) ?? true,
 		stalls,
-		getStatus: () => Object.fromEntries([...entries].map(([serviceName, {lane}]) => [serviceName, lane.admission.getStatus()])),
+		getStatus: () => Object.fromEntries([...laneEntries].map(([serviceName, {lane}]) => [serviceName, lane.admission.getStatus()])),
 		close() {
-			for (const {lane} of entries.values()) {
+			for (const {lane} of laneEntries.values()) {
 				lane.admission.close();
 			}
 		},
--- a/src/plugins/callers-refusals.ts
+++ b/src/plugins/callers-refusals.ts
@@ -1,19 +1,19 @@
 /**
-The entry's own answers to callers.
+Refusals that the entry itself sends to callers.
 */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {breakResponse} from '../requests/answer.ts';
 import {type Clock} from '../types/clock.ts';
 import {Header, type Outcome, RefusalReason} from '../types/requests.ts';
 
-/** A refusal as a caller gets it. */
+/** A refusal to send to a caller. */
 export type CallerRefusal = {
 	reason: RefusalReason;
 	outcome: Outcome;
 	retryAfterMs: number;
-	/** Further headers. */
+	/** Additional headers. */
 	headers?: Record<string, string>;
-	/** Request whose body was not read to its end: its connection cannot be used again. */
+	/** Request whose body was not read to its end, so its connection cannot be reused. */
 	unread?: IncomingMessage;
 };
 
@@ -52,7 +52,7 @@
 const msPerSecond = 1000;
 const discardMs = 500;
 
-/** Sends a refusal; a caller that has got a part of an answer sees that break instead. */
+/** Sends a refusal; if part of an answer was already sent, breaks the connection instead. */
 export const sendRefusal = (response: ServerResponse, refusal: CallerRefusal, {ownHeaders, clock}: RefusalOptions): void => {
 	if (response.destroyed || response.writableEnded) {
 		return;
@@ -89,8 +89,8 @@
 };
 
 /**
-Closes the connection of an answered request whose body still comes. What comes is thrown away for a moment first:
-with unread bytes the close would reset the connection, and the caller might never see the answer.
+Closes the connection of an answered request whose body is still arriving. Discards incoming bytes for up to `discardMs`
+first: closing with unread bytes would reset the connection, and the caller might never see the answer.
 */
 const closeUnread = (request: IncomingMessage, response: ServerResponse, clock: Clock): void => {
 	const end = () => {
--- a/src/plugins/callers-service.ts
+++ b/src/plugins/callers-service.ts
@@ -1,5 +1,5 @@
 /**
-Serves callers: admits each request, routes it to an upstream of its service and passes the whole answer back.
+Serves callers: admits each request, routes it to an upstream of its service and forwards the complete answer.
 */
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {ErrorCode, getErrorCode, getMessage} from '../core/errors.ts';
@@ -37,14 +37,14 @@
 	const control = kernel.get(ServiceName.Control);
 	const bounds = {maxBytes: settings.callers.maxBodyBytes, timeoutMs: settings.callers.bodyTimeoutMs};
 	const ownHeaders: Record<string, string> = {[Header.Entry]: kernel.get(ServiceName.Identity).processId};
-	let serving = 0;
+	let activeRequests = 0;
 	let heldBytes = 0;
 	let onIdle: (() => void) | undefined;
 	let isStopping = false;
 	let boundAddress = '';
 
 	const lanes = createLanes(kernel, call => {
-		// The deadline of a claimed request has come: its caller is told so at once, and the request runs on.
+		// A claimed request has reached its deadline: its caller gets a refusal at once, and the request keeps running.
 		if (!call.isClosed) {
 			refuse(call.target.response, {reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown, retryAfterMs: stoppingRetryAfterMs});
 			call.close();
@@ -58,11 +58,11 @@
 	const server = createServer({
 		keepAliveTimeout: settings.callers.keepAliveMs, maxHeaderSize: maxHeaderBytes, insecureHTTPParser: false, requireHostHeader: true,
 	}, async (request, response) => {
-		serving++;
+		activeRequests++;
 		await serveSafely(request, response);
-		serving--;
+		activeRequests--;
 		if (isStopping) {
-			noteIdle();
+			notifyIfIdle();
 		}
 	});
 	server.maxConnections = settings.callers.maxConnections;
@@ -76,8 +76,8 @@
 		}
 	};
 
-	const noteIdle = () => {
-		if (serving === 0) {
+	const notifyIfIdle = () => {
+		if (activeRequests === 0) {
 			onIdle?.();
 		}
 	};
@@ -108,7 +108,7 @@
 			return;
 		}
 
-		// Queues bound the number of requests; large bodies would still fill the memory.
+		// Queues limit only the number of requests, so large bodies could still exhaust the memory.
 		if (heldBytes + bytes > settings.callers.maxHeldBytes) {
 			refuseUnread(request, response, {reason: RefusalReason.QueueFull, outcome: Outcome.NotRun, retryAfterMs: noUpstreamRetryAfterMs});
 			return;
@@ -128,7 +128,7 @@
 	const serveCall = async (request: IncomingMessage, response: ServerResponse, parts: CallParts) => {
 		const {facts, arrivedAtMs} = parts;
 		const call = createCall(request, response, parts);
-		// The caller is gone, or has got all of its answer.
+		// The caller disconnected, or received its complete answer.
 		response.once('close', () => {
 			call.close();
 		});
@@ -235,14 +235,14 @@
 		async stop() {
 			isStopping = true;
 			lanes.close();
-			// A request may be on its way on a connection that looks idle here: closed now, it would be cut off. In this
-			// time each request gets an answer that closes its connection.
+			// A request may be in transit on a connection that looks idle here, and closing it now would lose the request. During
+			// this time each request gets an answer that closes its connection.
 			await clock.sleep(settings.callers.drainMs);
 			await close(server);
-			// Requests whose callers are gone run on; their ends are recorded before the claims stop.
+			// Requests whose callers disconnected keep running; their ends are recorded before the claims service stops.
 			await new Promise<void>(resolve => {
 				onIdle = resolve;
-				noteIdle();
+				notifyIfIdle();
 			});
 			await lanes.destroy();
 		},
--- a/src/plugins/claims-service.ts
+++ b/src/plugins/claims-service.ts
@@ -1,5 +1,5 @@
 /**
-Keeps claims of request ids in the log, so that no request with an id runs twice, and tells what became of each.
+Stores claims of request ids in the log, so that no request with an id runs twice, and reports the state of each request.
 */
 import {createAppendPace} from '../core/append-pace.ts';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
@@ -28,7 +28,7 @@
 	let following: Promise<void> | undefined;
 	let running: Promise<void> | undefined;
 
-	const book = new ClaimBook({
+	const registry = new ClaimBook({
 		log: platformLog,
 		clock,
 		random,
@@ -38,12 +38,12 @@
 		onAppend(isSuccess, error) {
 			metrics.count(isSuccess ? Metric.LogAppends : Metric.LogErrors, Stream.Claims);
 			if (!isSuccess) {
-				log('Claims not appended: %s', getMessage(error));
+				log('Append of claims failed: %s', getMessage(error));
 			}
 		},
 		onEndDropped(requestId) {
 			metrics.count(Metric.ClaimEndsDropped);
-			log('The end of %s was dropped: the log is down and the buffer is full.', requestId);
+			log('End of request %s dropped: the log is unavailable and the buffer is full.', requestId);
 		},
 	});
 
@@ -53,33 +53,33 @@
 		});
 		await followLog({
 			onRecord(record) {
-				book.onRecord(record);
+				registry.onRecord(record);
 			},
 			onGap() {
-				book.onGap();
+				registry.onGap();
 			},
 			onPage(page) {
-				book.onPage(page);
-				metrics.gauge(Metric.ClaimsOpen, book.openCount);
+				registry.onPage(page);
+				metrics.gauge(Metric.ClaimsOpen, registry.openCount);
 			},
 			onBadRecord(record, error) {
 				metrics.count(Metric.BadRecords, Stream.Claims);
 				log('Bad record at offset %d: %s', record.offset, getMessage(error));
 			},
 			onUnavailable(message) {
-				book.onUnavailable();
+				registry.onUnavailable();
 				metrics.count(Metric.LogErrors, Stream.Claims);
-				log('Claims not read: %s', message);
+				log('Read of claims failed: %s', message);
 			},
 		}, {
 			log: platformLog, stream: Stream.Claims, clock, random, fromOffset, signal: reading.signal,
 		});
 	};
 
-	control.addReadiness('claims', () => book.hasReadEnd);
-	control.addStatus('claims', () => book.getStatus());
+	control.addReadiness('claims', () => registry.hasReadEnd);
+	control.addStatus('claims', () => registry.getStatus());
 	control.route('GET', '/v1/requests/:id', ({params}) => {
-		const status = book.lookup(params.id ?? '');
+		const status = registry.lookup(params.id ?? '');
 		if (!status) {
 			throw createError(ErrorCode.NotFound, {step: 'look up request', detail: params.id});
 		}
@@ -88,36 +88,36 @@
 	});
 	control.route('GET', '/v1/requests', ({query}) => {
 		if (query.get('state') !== 'open') {
-			throw createError(ErrorCode.BadInput, {step: 'list requests', detail: 'only state=open is listed'});
+			throw createError(ErrorCode.BadInput, {step: 'list requests', detail: 'the only supported filter is state=open'});
 		}
 
-		const open = book.listOpen();
+		const open = registry.listOpen();
 		const limit = Math.max(1, Number(query.get('limit') ?? defaultListLimit) || defaultListLimit);
 		return {body: {count: open.length, requests: open.slice(0, limit)}};
 	});
 
 	return {
-		claim: async (requestId, serviceName, timeoutMs) => book.claim(requestId, serviceName, timeoutMs),
-		judge: requestId => book.judge(requestId),
-		isDispatchable: requestId => book.isDispatchable(requestId),
+		claim: async (requestId, serviceName, timeoutMs) => registry.claim(requestId, serviceName, timeoutMs),
+		judge: requestId => registry.judge(requestId),
+		isDispatchable: requestId => registry.isDispatchable(requestId),
 		finish(requestId, end) {
-			book.finish(requestId, end);
+			registry.finish(requestId, end);
 		},
-		lookup: requestId => book.lookup(requestId),
-		listOpen: () => book.listOpen(),
+		lookup: requestId => registry.lookup(requestId),
+		listOpen: () => registry.listOpen(),
 		async start() {
 			following = follow();
-			running = book.run(writing.signal);
+			running = registry.run(writing.signal);
 		},
 		async stop() {
 			writing.abort();
-			// The append in flight ends first: what it may have lost is written again below.
+			// Waits for the append in flight, because the registry appends again below what that one may have lost.
 			await running;
 			try {
-				await book.stop();
+				await registry.stop();
 			} catch (error) {
-				// What ran stays listed as open; nothing is reported as not run that ran.
-				log('Ends not written at the stop: %s', getMessage(error));
+				// The requests stay listed as open; none that ran is reported as not run.
+				log('Ends of requests not written at shutdown: %s', getMessage(error));
 			}
 
 			reading.abort();
--- a/src/plugins/config-service.ts
+++ b/src/plugins/config-service.ts
@@ -1,6 +1,6 @@
 /**
-Keeps the configuration in force: follows its stream, folds it, snapshots it before records lapse,
-and takes it from peers while the log is down.
+Maintains the active configuration: replays its stream, writes snapshots before records expire, and gets the configuration from
+peers while the log is unavailable.
 */
 import {ConfigFold} from '../core/config-fold.ts';
 import {parseConfigSnapshot} from '../core/config-records.ts';
@@ -15,8 +15,8 @@
 
 const log = createLogger(Part.Config);
 
-/** What one side tells the other when they compare configurations. */
-type ConfigHello = {
+/** Summary that two entries exchange to compare their configurations. */
+type ConfigSummary = {
 	offset: number;
 	digest: string;
 	isComplete: boolean;
@@ -34,11 +34,11 @@
 	const aborter = new AbortController();
 	const tasks: Array<Promise<void>> = [];
 	let isCurrent = false;
-	let endReadAtMs = Number.NEGATIVE_INFINITY;
+	let caughtUpAtMs = Number.NEGATIVE_INFINITY;
 	let snapshotSeenAtMs = clock.monotonicMs();
 	let recordsSinceSnapshot = 0;
 
-	const takeRecord = (record: LogRecord) => {
+	const applyRecord = (record: LogRecord) => {
 		recordsSinceSnapshot++;
 		if ((record.value as {type?: string} | undefined)?.type === ConfigRecordType.Snapshot) {
 			snapshotSeenAtMs = clock.monotonicMs();
@@ -46,30 +46,30 @@
 		}
 
 		fold.apply(record);
-		noteVerdict(record.offset);
+		reportRejection(record.offset);
 		metrics.gauge(Metric.ConfigOffset, fold.offset);
 	};
 
-	const noteVerdict = (offset: number) => {
+	const reportRejection = (offset: number) => {
 		const result = fold.getLastResult();
 		if (result?.offset === offset && result.verdict !== ConfigVerdict.Accepted) {
 			metrics.count(Metric.ConfigRejected, result.verdict);
-			log('Change %s by %s refused: %s', result.id, result.author, result.reason);
+			log('Configuration change %s by %s rejected: %s', result.id, result.author, result.reason);
 		}
 	};
 
-	const takePage = ({endOffset}: LogPage) => {
+	const handlePage = ({endOffset}: LogPage) => {
 		if (fold.nextOffset >= endOffset) {
-			endReadAtMs = clock.monotonicMs();
+			caughtUpAtMs = clock.monotonicMs();
 			isCurrent ||= fold.isComplete;
 		}
 	};
 
 	const follow = async () => followLog({
-		onRecord: takeRecord,
-		onPage: takePage,
+		onRecord: applyRecord,
+		onPage: handlePage,
 		onGap(_fromOffset, oldestOffset) {
-			log('Records before offset %d have lapsed.', oldestOffset);
+			log('Configuration records before offset %d have expired.', oldestOffset);
 			fold.noteGap(oldestOffset);
 		},
 		onBadRecord(record, error) {
@@ -78,7 +78,7 @@
 		},
 		onUnavailable(message) {
 			metrics.count(Metric.LogErrors, Stream.Config);
-			log('Cannot read the log: %s', message);
+			log('Read of the configuration failed: %s', message);
 		},
 	}, {
 		log: platformLog, stream: Stream.Config, clock, random, fromOffset: 0, signal: aborter.signal,
@@ -90,7 +90,7 @@
 
 	const keepSnapshots = async () => {
 		while (!aborter.signal.aborted) {
-			// Jitter: the first entry to wake writes the snapshot and the others see it.
+			// With jitter, the first entry to wake writes the snapshot, and the others read it and skip theirs.
 			await clock.sleep((settings.snapshotEveryMs / 20) * (0.5 + random.next()), aborter.signal);
 			if (aborter.signal.aborted || !isSnapshotDue()) {
 				continue;
@@ -100,31 +100,31 @@
 				await platformLog.append(Stream.Config, fold.createSnapshot(random.id()), aborter.signal);
 				metrics.count(Metric.ConfigSnapshots);
 			} catch (error) {
-				log('No snapshot was written: %s', getMessage(error));
+				log('Write of the configuration snapshot failed: %s', getMessage(error));
 			}
 		}
 	};
 
-	const getHello = (): ConfigHello => ({offset: fold.offset, digest: fold.getDigest(), isComplete: fold.isComplete});
+	const getSummary = (): ConfigSummary => ({offset: fold.offset, digest: fold.getDigest(), isComplete: fold.isComplete});
 
 	const comparePeer = async (peerId: string) => {
-		const reply = await kernel.get(ServiceName.Peers).call(peerId, PeerMethod.Config, getHello()) as {hello: ConfigHello; snapshot?: unknown};
+		const reply = await kernel.get(ServiceName.Peers).call(peerId, PeerMethod.Config, getSummary()) as {hello: ConfigSummary; snapshot?: unknown};
 		if (reply.snapshot !== undefined && fold.restore(parseConfigSnapshot(reply.snapshot))) {
 			isCurrent = true;
 			metrics.count(Metric.ConfigFromPeer);
-			log('Took the configuration up to offset %d from %s.', fold.offset, peerId);
+			log('Restored the configuration up to offset %d from peer %s.', fold.offset, peerId);
 		}
 
 		if (reply.hello.isComplete && fold.isComplete && reply.hello.offset === fold.offset && reply.hello.digest !== fold.getDigest()) {
 			metrics.count(Metric.ConfigDiverged);
-			log('The configuration of %s differs at offset %d.', peerId, fold.offset);
+			log('Configuration of peer %s differs from this one at offset %d.', peerId, fold.offset);
 		}
 	};
 
 	const answerPeer = (body: unknown) => {
-		const {offset} = body as ConfigHello;
+		const {offset} = body as ConfigSummary;
 		const isAhead = fold.isComplete && fold.offset > offset;
-		return {hello: getHello(), snapshot: isAhead ? fold.createSnapshot('peer') : undefined};
+		return {hello: getSummary(), snapshot: isAhead ? fold.createSnapshot('peer') : undefined};
 	};
 
 	const comparePeers = async () => {
@@ -140,21 +140,21 @@
 			try {
 				await comparePeer(peer.processId);
 			} catch (error) {
-				log('Not compared with %s: %s', peer.processId, getMessage(error));
+				log('Comparison of the configuration with peer %s failed: %s', peer.processId, getMessage(error));
 			}
 		}
 	};
 
 	control.addReadiness('config', () => isCurrent);
-	control.addStatus('config', () => ({...getHello(), owners: fold.owners.list()}));
+	control.addStatus('config', () => ({...getSummary(), owners: fold.owners.list()}));
 	control.route('GET', '/v1/config', () => ({
-		body: {...getHello(), sections: [...fold.sections.values()], owners: fold.owners.list()},
+		body: {...getSummary(), sections: [...fold.sections.values()], owners: fold.owners.list()},
 	}));
 	control.route('GET', '/v1/config/history', () => ({body: {results: fold.getResults()}}));
 
 	return {
 		isReady: () => isCurrent,
-		isFresh: withinMs => clock.monotonicMs() - endReadAtMs <= withinMs,
+		isFresh: withinMs => clock.monotonicMs() - caughtUpAtMs <= withinMs,
 		getOffset: () => fold.offset,
 		getSection: name => fold.sections.get(name),
 		getSections: () => new Map(fold.sections),
--- a/src/plugins/control-service.ts
+++ b/src/plugins/control-service.ts
@@ -1,5 +1,5 @@
 /**
-The server for operators, upstreams and workers, with the health routes.
+Control server for operators, upstreams and workers, with the health checks.
 */
 import {type Kernel} from '../core/kernel.ts';
 import {ServiceName, type ControlService} from '../types/services.ts';
@@ -10,12 +10,12 @@
 	const server = createJsonServer(kernel.get(ServiceName.Clock));
 	const {controlAddress} = kernel.get(ServiceName.Settings).entry;
 	const statuses = new Map<string, () => unknown>();
-	const conditions = new Map<string, () => boolean>();
+	const readinessChecks = new Map<string, () => boolean>();
 	let boundAddress = '';
 
 	server.route('GET', '/healthz', () => ({body: {isAlive: true}}));
 	server.route('GET', '/readyz', () => {
-		const unready = [...conditions].filter(([, isReady]) => !isReady()).map(([name]) => name);
+		const unready = [...readinessChecks].filter(([, isReady]) => !isReady()).map(([name]) => name);
 		return {status: unready.length === 0 ? 200 : 503, body: {isReady: unready.length === 0, unready}};
 	});
 	server.route('GET', '/statusz', () => {
@@ -36,7 +36,7 @@
 			statuses.set(name, getStatus);
 		},
 		addReadiness(name, isReady) {
-			conditions.set(name, isReady);
+			readinessChecks.set(name, isReady);
 		},
 		async start() {
 			boundAddress = await server.listen(controlAddress);
--- a/src/plugins/entry-messages.ts
+++ b/src/plugins/entry-messages.ts
@@ -1,5 +1,5 @@
 /**
-Calls between entries: JSON over HTTP, as between an owner and its agents.
+Calls between entries about jobs: JSON over HTTP.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {
@@ -14,13 +14,13 @@
 import {type JsonServer} from '../utils/http-server.ts';
 import {createRelayTarget} from '../workflows/relaying-api.ts';
 
-/** Entries are near, and their hosts take connections however busy the process is. */
+/** Entries are close to each other, and the kernel of a host accepts connections however busy the process is. */
 const connectTimeoutMs = 100;
 const submitPath = '/v1/entry/submit';
 const statePath = '/v1/entry/state';
 const cancelPath = '/v1/entry/cancel';
 
-/** Creates the side of the entry that asks. */
+/** Creates the client of the calling entry. */
 export const createEntryClient = (http: HttpClient): EntryClient => {
 	const post = async (address: string, path: string, json: Record<string, unknown>, timeoutMs: number): Promise<unknown> => {
 		const answer = await http.callJson({
@@ -43,14 +43,14 @@
 	};
 };
 
-/** Adds the side of the entry that is asked to a server: it answers by itself, and asks nobody else. */
+/** Adds the routes of the called entry to a server: it handles each call itself and does not relay it further. */
 export const serveEntry = (server: JsonServer, jobs: JobApi, isStoreFailing: () => boolean): void => {
 	const target = createRelayTarget(jobs, isStoreFailing);
-	// Queues without a name cannot be told apart here.
-	const find = (name: string): QueueConfig | undefined => name === '' ? undefined : jobs.getConfig()?.queues.find(queue => queue.name === name);
+	// Queues without a name cannot be distinguished here.
+	const findQueue = (name: string): QueueConfig | undefined => name === '' ? undefined : jobs.getConfig()?.queues.find(queue => queue.name === name);
 	server.route('POST', submitPath, async ({body}) => {
 		const {queue, id, spec, timeoutMs} = body as RelayedJob & {spec: WorkflowSpec; timeoutMs: number};
-		const config = find(queue);
+		const config = findQueue(queue);
 		const reply: SubmitReply = config
 			? await target.submit(config, id, spec, timeoutMs)
 			: {outcome: SubmitOutcome.NotAccepted, reason: 'no such queue'};
@@ -58,13 +58,13 @@
 	});
 	server.route('POST', statePath, async ({body}) => {
 		const {queue, id, timeoutMs} = body as RelayedJob & {timeoutMs: number};
-		const config = find(queue);
+		const config = findQueue(queue);
 		const reply: StateReply = config ? await target.getState(config, id, timeoutMs) : {outcome: LookupOutcome.Unknown};
 		return {body: reply};
 	});
 	server.route('POST', cancelPath, async ({body}) => {
 		const {queue, id, timeoutMs} = body as RelayedJob & {timeoutMs: number};
-		const config = find(queue);
+		const config = findQueue(queue);
 		return {body: {outcome: config ? await target.cancel(config, id, timeoutMs) : LookupOutcome.Unknown}};
 	});
 };
--- a/src/plugins/entry.ts
+++ b/src/plugins/entry.ts
@@ -1,5 +1,5 @@
 /**
-Puts an entry host together from its services.
+Creates an entry from its services.
 */
 import {createKernel, type RunningKernel} from '../core/kernel.ts';
 import {type Settings} from '../core/settings-schema.ts';
@@ -9,18 +9,18 @@
 import {ServiceName} from '../types/services.ts';
 import {type PeerTransport} from './peers-transport.ts';
 
-/** What an entry is created with. */
+/** Options of an entry. */
 export type EntryOptions = {
 	settings: Settings;
 	clock: Clock;
 	random: Random;
-	/** Another log in place of the one at the URL of the settings. */
+	/** Replaces the log at the URL of the settings. */
 	log?: PlatformLog;
-	/** Another way to call peers in place of gRPC. */
+	/** Replaces the gRPC transport for calls to peers. */
 	peerTransport?: PeerTransport;
 };
 
-/** Creates an entry host; the caller starts and stops its kernel. */
+/** Creates an entry; the calling code starts and stops its kernel. */
 export const createEntry = ({settings, clock, random, log, peerTransport}: EntryOptions): RunningKernel => {
 	const kernel = createKernel(clock, settings.process.stopBoundMs);
 	const {id, region, failureDomain} = settings.process;
--- a/src/plugins/guard-admission.ts
+++ b/src/plugins/guard-admission.ts
@@ -1,9 +1,9 @@
 /**
-Admits requests of one upstream: at most so many at once, with a short bounded queue.
+Admission control for one upstream: limits concurrent requests and queues a bounded number for a bounded time.
 */
 import {type Clock} from '../types/clock.ts';
 
-/** Bounds of an admission. */
+/** Limits of the admission. */
 export type AdmissionBounds = {
 	slots: number;
 	queueLimit: number;
@@ -12,11 +12,11 @@
 
 type Waiter = (isAdmitted: boolean) => void;
 
-/** Counts what is in progress; first come, first served. */
+/** Counts the requests in progress and admits waiting ones in order of arrival. */
 export class GuardAdmission {
 	inProgress = 0;
 	readonly #queue: Waiter[] = [];
-	readonly #idle: Array<() => void> = [];
+	readonly #idleWaiters: Array<() => void> = [];
 	readonly #clock: Clock;
 	readonly #bounds: AdmissionBounds;
 
@@ -25,7 +25,7 @@
 		this.#bounds = bounds;
 	}
 
-	/** Resolves to true once admitted; each admission is released once. */
+	/** Resolves to true once admitted, or to false if the queue is full or `queueMs` passes. Call `release` once for each admission. */
 	async admit(): Promise<boolean> {
 		if (this.inProgress < this.#bounds.slots) {
 			this.inProgress++;
@@ -50,7 +50,7 @@
 		});
 	}
 
-	/** Ends one admission; the slot goes to the one that waited longest. */
+	/** Ends one admission and passes its slot to the request that has waited longest. */
 	release(): void {
 		const next = this.#queue.shift();
 		if (next) {
@@ -60,20 +60,20 @@
 
 		this.inProgress--;
 		if (this.inProgress === 0) {
-			for (const resolve of this.#idle.splice(0)) {
+			for (const resolve of this.#idleWaiters.splice(0)) {
 				resolve();
 			}
 		}
 	}
 
-	/** Resolves when nothing is in progress. */
+	/** Resolves when no request is in progress. */
 	async becomeIdle(): Promise<void> {
 		if (this.inProgress === 0) {
 			return;
 		}
 
 		await new Promise<void>(resolve => {
-			this.#idle.push(resolve);
+			this.#idleWaiters.push(resolve);
 		});
 	}
 }
--- a/src/plugins/guard.ts
+++ b/src/plugins/guard.ts
@@ -1,7 +1,7 @@
 /**
-The guard beside an upstream: announces it, admits requests within its slots, and passes them through whole.
+The guard, a proxy on the host of an upstream: announces the upstream, admits requests within its slots, and forwards them.
 
-It stands on every host, so it loads as little as it can: node:http, the announcer, and no schema library.
+It runs on every host of an upstream, so it loads few modules: node:http, the announcer, and no schema library.
 */
 import {
 	Agent, createServer, request as sendRequest, type ClientRequest, type IncomingMessage, type ServerResponse,
@@ -19,7 +19,7 @@
 import {createLogger, Part} from '../utils/logger.ts';
 import {GuardAdmission} from './guard-admission.ts';
 
-/** What a guard is created with. */
+/** Options of a guard. */
 export type GuardOptions = {
 	settings: Pick<Settings, 'process' | 'guard'>;
 	clock: Clock;
@@ -28,9 +28,9 @@
 
 /** A running guard. */
 export type Guard = {
-	/** Resolves to the address bound. */
+	/** Resolves to the bound address. */
 	start(): Promise<string>;
-	/** Announces the end, finishes what is in progress, then closes. */
+	/** Announces that the upstream is draining, finishes requests in progress, then closes. */
 	stop(): Promise<void>;
 	/** Requests refused so far, by reason. */
 	getRefusals(): Record<string, number>;
@@ -49,7 +49,7 @@
 	const admission = new GuardAdmission(clock, guard);
 	const agent = new Agent({keepAlive: true, maxSockets: guard.connections});
 	const refusals = new Map<RefusalReason, number>();
-	const excess = new WeakSet<Socket>();
+	const excessSockets = new WeakSet<Socket>();
 	let connections = 0;
 	let isClosing = false;
 	let announcer: Announcer | undefined;
@@ -57,7 +57,7 @@
 	const refuse = (response: ServerResponse, reason: RefusalReason, outcome: Outcome) => {
 		refusals.set(reason, (refusals.get(reason) ?? 0) + 1);
 		if (response.headersSent) {
-			// An answer cut short must be visibly broken.
+			// The caller must be able to detect a truncated answer.
 			response.destroy();
 			return;
 		}
@@ -74,48 +74,48 @@
 			return;
 		}
 
-		if (excess.has(request.socket) || !await admission.admit()) {
+		if (excessSockets.has(request.socket) || !await admission.admit()) {
 			refuse(response, RefusalReason.GuardFull, Outcome.NotRun);
 			return;
 		}
 
 		try {
-			// While it waited, its sender may have given it up: then nobody waits for it, and it was not run.
+			// The sender may have disconnected while the request was queued; it is not run then.
 			if (!response.destroyed) {
-				await pass(request, response);
+				await forward(request, response);
 			}
 		} finally {
 			admission.release();
 		}
 	};
 
-	const pass = async (request: IncomingMessage, response: ServerResponse) => {
-		const passed = sendRequest({
+	const forward = async (request: IncomingMessage, response: ServerResponse) => {
+		const upstreamRequest = sendRequest({
 			...upstream, agent, method: request.method, path: request.url, headers: getHeaders(request.rawHeaders),
 		});
-		// Errors end the exchange below; those that come after its end must not end the process.
-		passed.on('error', ignore);
+		// The code below handles errors during the exchange; without these listeners, a later error would end the process.
+		upstreamRequest.on('error', ignore);
 		response.on('error', ignore);
 		let isConnected = false;
-		passed.on('socket', (socket: Socket) => {
+		upstreamRequest.on('socket', (socket: Socket) => {
 			isConnected ||= !socket.connecting;
-			// Only while it connects: on a socket used again the event never comes, and each request would leave a listener.
+			// A reused socket never emits the event, so each request would leave a listener on it.
 			if (socket.connecting) {
 				socket.once('connect', () => {
 					isConnected = true;
 				});
 			}
 		});
-		// A request that never ends would hold its slot for ever; by then nobody waits for the answer.
+		// A request that never ends would hold its slot for ever; after this time no caller still waits for the answer.
 		const timer = clock.setTimer(() => {
-			passed.destroy(createError(ErrorCode.TimedOut, {step: 'pass request', peer: guard.upstreamAddress}));
+			upstreamRequest.destroy(createError(ErrorCode.TimedOut, {step: 'pass request', peer: guard.upstreamAddress}));
 		}, maxHoldMs);
 		try {
-			const answer = await exchange(request, passed);
-			await answerWhole(answer, response);
+			const answer = await exchange(request, upstreamRequest);
+			await forwardResponse(answer, response);
 		} catch (error) {
-			log('Request failed: %s', getMessage(error));
-			// Before a connection, no byte can have reached the upstream.
+			log('Request to the upstream failed: %s', getMessage(error));
+			// Without a connection, no byte can have reached the upstream.
 			refuse(response, RefusalReason.UpstreamFailed, isConnected ? Outcome.Unknown : Outcome.NotRun);
 		} finally {
 			timer.cancel();
@@ -148,12 +148,12 @@
 			response.destroy();
 		}
 	});
-	// Above the bound of connections, requests are refused as not run; far above, sockets are not accepted at all.
+	// Above `connections`, requests are refused as not run; above twice that number, sockets are not accepted.
 	server.maxConnections = 2 * guard.connections;
 	server.on('connection', socket => {
 		connections++;
 		if (connections > guard.connections) {
-			excess.add(socket);
+			excessSockets.add(socket);
 		}
 
 		socket.once('close', () => {
@@ -169,7 +169,7 @@
 				random,
 				entryAddresses: guard.entryAddresses,
 				path: 'upstreams',
-				post: postPlain,
+				post: postJson,
 				isReady: isUpstreamUp,
 				body: {
 					upstreamId: identity.id,
@@ -187,7 +187,7 @@
 		},
 		async stop() {
 			await announcer?.drain();
-			// Entries that have not heard yet may still send for a moment; what they send is served.
+			// Entries that have not received the announcement yet may still send requests, which are served.
 			await clock.sleep(guard.drainMs);
 			isClosing = true;
 			await admission.becomeIdle();
@@ -210,18 +210,18 @@
 	return headers;
 };
 
-/** Sends the body and waits for the head of the answer. */
-const exchange = async (request: IncomingMessage, passed: ClientRequest): Promise<IncomingMessage> => {
+/** Sends the body and resolves to the answer once its headers have arrived. */
+const exchange = async (request: IncomingMessage, upstreamRequest: ClientRequest): Promise<IncomingMessage> => {
 	const answered = new Promise<IncomingMessage>((resolve, reject) => {
-		passed.once('response', resolve);
-		passed.once('error', reject);
+		upstreamRequest.once('response', resolve);
+		upstreamRequest.once('error', reject);
 	});
 	const send = async () => {
 		try {
-			await pipeline(request, passed);
+			await pipeline(request, upstreamRequest);
 		} catch (error) {
-			// A body cut short by the sender must not look whole to the upstream.
-			passed.destroy(error as Error);
+			// The upstream must not take a body that the sender truncated for a complete one.
+			upstreamRequest.destroy(error as Error);
 		}
 	};
 
@@ -229,20 +229,20 @@
 	return answered;
 };
 
-/** Passes the answer on, and reads it to its end whatever becomes of the receiver. */
-const answerWhole = async (answer: IncomingMessage, response: ServerResponse): Promise<void> => {
+/** Forwards the answer, and reads it to its end even if the receiver disconnects. */
+const forwardResponse = async (answer: IncomingMessage, response: ServerResponse): Promise<void> => {
 	const ended = new Promise<void>(resolve => {
 		answer.once('close', resolve);
 	});
 	response.writeHead(answer.statusCode!, answer.statusMessage, getHeaders(answer.rawHeaders));
 	for await (const chunk of answer) {
 		if (response.destroyed) {
-			// The upstream still works on the request: its slot is free only when it is done.
+			// The upstream is still working on the request, and its slot becomes free only when the answer is complete.
 			continue;
 		}
 
 		if (!response.write(chunk)) {
-			await drained(response);
+			await waitForDrain(response);
 		}
 	}
 
@@ -250,7 +250,7 @@
 	response.end();
 };
 
-const drained = async (response: ServerResponse): Promise<void> => {
+const waitForDrain = async (response: ServerResponse): Promise<void> => {
 	await new Promise<void>(resolve => {
 		const finish = () => {
 			response.off('drain', finish);
@@ -263,8 +263,8 @@
 	});
 };
 
-/** Posts JSON with node:http alone. */
-const postPlain: PostAnnouncement = async (url, body, timeoutMs) => {
+/** Posts JSON with node:http only. */
+const postJson: PostAnnouncement = async (url, body, timeoutMs) => {
 	const text = JSON.stringify(body);
 	const call = sendRequest(url, {
 		method: 'POST', headers: {'content-type': 'application/json', 'content-length': Buffer.byteLength(text)}, timeout: timeoutMs,
--- a/src/plugins/jobs-quotas.ts
+++ b/src/plugins/jobs-quotas.ts
@@ -1,59 +1,59 @@
 /**
-Passes the teams' quotas of the operators' text on to placement.
+Applies the quotas of teams from the operators' configuration to the placement engine.
 */
 import {parseSectionName, SectionKind} from '../core/config-text.ts';
 import {type Clock} from '../types/clock.ts';
 import {type PlacementEngine} from '../types/placement.ts';
 import {type ConfigService} from '../types/services.ts';
 
-const everyMs = 500;
+const checkIntervalMs = 500;
 
-/** What quotas are taken from and given to. */
+/** Options of the quota follower. */
 export type QuotaOptions = {
 	engine: Pick<PlacementEngine, 'setQuota'>;
 	clock: Clock;
 	config: Pick<ConfigService, 'getOffset' | 'getSections'>;
-	/** Share of all shards that this entry owns. */
+	/** Fraction of all shards that this entry owns. */
 	getOwnedShare(): number;
 };
 
 /**
-Follows the configuration until the signal aborts. Jobs are spread over the shards by their ids, so an entry that owns a
-part of the shards gives the same part of each quota: the entries together give the whole.
+Follows the configuration until the signal aborts. Jobs are distributed over the shards by their ids, so each entry applies the
+same fraction of a quota as it owns of the shards; the entries together apply the full quota.
 */
 export const followQuotas = async ({engine, clock, config, getOwnedShare}: QuotaOptions, signal: AbortSignal): Promise<void> => {
-	const known = new Set<string>();
+	const knownTeams = new Set<string>();
 	let applied = '';
 	while (!signal.aborted) {
 		const share = getOwnedShare();
 		const version = `${config.getOffset()}/${share}`;
 		if (version !== applied) {
 			applied = version;
-			applyQuotas(engine, config, known, share);
+			applyQuotas(engine, config, knownTeams, share);
 		}
 
-		await clock.sleep(everyMs, signal);
+		await clock.sleep(checkIntervalMs, signal);
 	}
 };
 
-const applyQuotas = (engine: Pick<PlacementEngine, 'setQuota'>, config: Pick<ConfigService, 'getSections'>, known: Set<string>, share: number): void => {
-	const gone = new Set(known);
+const applyQuotas = (engine: Pick<PlacementEngine, 'setQuota'>, config: Pick<ConfigService, 'getSections'>, knownTeams: Set<string>, share: number): void => {
+	const removedTeams = new Set(knownTeams);
 	for (const [section, {values}] of config.getSections()) {
 		const parsed = parseSectionName(section);
 		if (parsed?.kind !== SectionKind.Team || !values) {
 			continue;
 		}
 
-		gone.delete(parsed.name);
-		known.add(parsed.name);
+		removedTeams.delete(parsed.name);
+		knownTeams.add(parsed.name);
 		const amount = (key: string) => Number(values[key] ?? 0) * share;
 		engine.setQuota(parsed.name, {
 			processors: amount('processors'), memoryMb: amount('memoryMb'), accelerators: amount('accelerators'),
 		}, Number(values.weight ?? 1));
 	}
 
-	for (const team of gone) {
-		known.delete(team);
+	for (const team of removedTeams) {
+		knownTeams.delete(team);
 		engine.setQuota(team, {processors: 0, memoryMb: 0, accelerators: 0}, 1);
 	}
 };
--- a/src/plugins/jobs-service.ts
+++ b/src/plugins/jobs-service.ts
@@ -1,5 +1,5 @@
 /**
-Takes jobs and answers for them at any entry, and runs those whose shards this entry owns.
+Accepts jobs and reports their status at any entry, and runs the jobs whose shards this entry owns.
 */
 import {createAppendPace} from '../core/append-pace.ts';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
@@ -39,7 +39,7 @@
 	const aborter = new AbortController();
 	let running: Promise<unknown> | undefined;
 
-	const getKnown = (jobId: string): JobStatus => {
+	const getKnownStatus = (jobId: string): JobStatus => {
 		const status = scheduler.getStatus(jobId);
 		if (!status) {
 			throw createError(ErrorCode.NotFound, {step: 'find job', peer: jobId});
@@ -48,9 +48,9 @@
 		return status;
 	};
 
-	/** The owner of the shard knows the tasks; without it, the last known is told as such. */
-	const ask = async (jobId: string): Promise<JobStatus> => {
-		const known = getKnown(jobId);
+	/** Gets the status from the owner of the shard, which knows the tasks; if it is not reachable, the last known status, marked as such. */
+	const fetchStatus = async (jobId: string): Promise<JobStatus> => {
+		const known = getKnownStatus(jobId);
 		const ownerId = scheduler.getOwner(jobId);
 		if (scheduler.isOwnerOf(jobId)) {
 			return known;
@@ -60,7 +60,7 @@
 			try {
 				return await kernel.get(ServiceName.Peers).call(ownerId, PeerMethod.Jobs, {jobId}) as JobStatus;
 			} catch (error) {
-				log('Owner of %s not reached: %s', jobId, getMessage(error));
+				log('Owner of job %s not reached: %s', jobId, getMessage(error));
 			}
 		}
 
@@ -71,10 +71,10 @@
 		submit: async spec => scheduler.submit(spec),
 		getStatus: jobId => scheduler.getStatus(jobId),
 		cancel: async jobId => scheduler.cancel(jobId),
-		list: () => [...scheduler.fold.jobs.keys()].map(jobId => getKnown(jobId)),
+		list: () => [...scheduler.fold.jobs.keys()].map(jobId => getKnownStatus(jobId)),
 		async start() {
 			if (kernel.has(ServiceName.Peers)) {
-				kernel.get(ServiceName.Peers).handle(PeerMethod.Jobs, body => getKnown((body as {jobId: string}).jobId));
+				kernel.get(ServiceName.Peers).handle(PeerMethod.Jobs, body => getKnownStatus((body as {jobId: string}).jobId));
 			}
 
 			running = Promise.all([
@@ -105,7 +105,7 @@
 	}));
 	control.route('POST', '/v1/jobs', async ({body}) => ({status: 202, body: await service.submit(parseSpec(body))}));
 	control.route('GET', '/v1/jobs', () => ({body: {jobs: service.list()}}));
-	control.route('GET', '/v1/jobs/:id', async ({params}) => ({body: await ask(params.id!)}));
+	control.route('GET', '/v1/jobs/:id', async ({params}) => ({body: await fetchStatus(params.id!)}));
 	control.route('POST', '/v1/jobs/:id/cancel', async ({params}) => ({body: await service.cancel(params.id!)}));
 	return service;
 };
--- a/src/plugins/log-client.ts
+++ b/src/plugins/log-client.ts
@@ -1,5 +1,5 @@
 /**
-The platform's log over plain HTTP with JSON.
+Client of the platform's log: JSON over plain HTTP.
 */
 import {Agent} from 'undici';
 import {z} from 'zod';
@@ -23,7 +23,7 @@
 /** Creates a client of the log at the URL. All errors are `log-unavailable`. */
 export const createLogClient = (url: string, timeoutMs: number): LogClient => {
 	const agent = new Agent({connections: 16, pipelining: 1});
-	const guarded = async <T>(step: string, action: () => Promise<T>): Promise<T> => {
+	const wrapErrors = async <T>(step: string, action: () => Promise<T>): Promise<T> => {
 		try {
 			return await action();
 		} catch (error) {
@@ -34,13 +34,13 @@
 	};
 
 	return {
-		append: async (stream, value, signal) => guarded(`append to ${stream}`, async () => {
+		append: async (stream, value, signal) => wrapErrors(`append to ${stream}`, async () => {
 			const reply = await callJson({
 				method: 'POST', url: `${url}/streams/${stream}/records`, body: {value}, timeoutMs, signal, dispatcher: agent, step: 'append',
 			});
 			return appendSchema.parse(reply).offset;
 		}),
-		read: async (stream, fromOffset, options = {}) => guarded(`read ${stream}`, async () => {
+		read: async (stream, fromOffset, options = {}) => wrapErrors(`read ${stream}`, async () => {
 			const {limit = defaultLimit, waitMs = 0, signal} = options;
 			const reply = await callJson({
 				method: 'GET',
--- a/src/plugins/membership-service.ts
+++ b/src/plugins/membership-service.ts
@@ -1,5 +1,5 @@
 /**
-Shares what the entries know of hosts: one task for each peer that pulls the news of the hosts in its care.
+Shares the state of hosts among the entries: one task per peer pulls the changes of the hosts that the peer monitors.
 */
 import {z} from 'zod';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
@@ -28,19 +28,19 @@
 const parseRelay = createParser('read relay', z.object({kind: z.enum(RelayKind), content: z.unknown()}));
 const leaseFactor = 3;
 
-/** Takes an announcement that another entry passed on to its sponsor. */
+/** Handles an announcement that another entry forwarded to this one, the sponsor. */
 export type ForwardHandler = (announcement: UpstreamAnnouncement) => AnnouncementReply;
 
 /** Hosts known to the entries. */
 export type MembershipService = Service & {
-	/** Name of this incarnation of the entry, as sponsor and as owner of its set. */
+	/** Id of this incarnation of the entry, as a sponsor and as the owner of its set of monitored hosts. */
 	readonly ownId: string;
-	/** Takes an announcement of a host. `isOurs`: this entry cares for it, whoever else does. */
-	hear(kind: HostKind, id: string, announcement: HostAnnouncement, isOurs?: boolean): AnnouncementReply;
+	/** Applies an announcement of a host. `isMonitoredHere`: this entry monitors the host even if another one does too. */
+	hear(kind: HostKind, id: string, announcement: HostAnnouncement, isMonitoredHere?: boolean): AnnouncementReply;
 	getAlive(kind: HostKind): HostAnnouncement[];
 	get(kind: HostKind, id: string): HostAnnouncement | undefined;
 	list(kind: HostKind): HostAnnouncement[];
-	/** Passes an announcement on to its sponsor and gets the sponsor's reply. */
+	/** Forwards an announcement to its sponsor and resolves to the sponsor's reply. */
 	forward(peerId: string, announcement: UpstreamAnnouncement): Promise<AnnouncementReply>;
 	onForward(handler: ForwardHandler): void;
 };
@@ -56,15 +56,15 @@
 	const {processId, incarnation} = kernel.get(ServiceName.Identity);
 	const ownId = getSponsorId(processId, incarnation);
 	const damper = new FlapDamper(clock, {holdAt: settings.flapHoldAt, releaseAt: settings.flapReleaseAt, halfLifeMs: settings.flapHalfLifeMs});
-	const state = new MembershipState(clock, ownId, {...settings, getSpread: createSpread(random.below(65_536))}, damper);
+	const state = new MembershipState(clock, ownId, {...settings, getSpread: createIdHash(random.below(65_536))}, damper);
 	const budget = new AnnouncementBudget(clock, settings.announceEveryMs, settings.announcementsPerSecond);
 	const aborter = new AbortController();
 	const {signal} = aborter;
 	const tasks = new Map<string, Promise<void>>();
-	const heardFrom = new Set<string>();
+	const repliedPeers = new Set<string>();
 	const startedAtMs = clock.monotonicMs();
-	let watching: Promise<void> | undefined;
-	let takeForward: ForwardHandler | undefined;
+	let expiring: Promise<void> | undefined;
+	let forwardHandler: ForwardHandler | undefined;
 
 	const pull = async (peerId: string, ownerId: string) => {
 		const request = state.createPull(ownerId);
@@ -72,10 +72,10 @@
 		try {
 			const answer = await peers.call(peerId, PeerMethod.Announcements, {kind: RelayKind.Pull, content: request});
 			state.takeAnswer(parsePullAnswer(answer), sentAtMs);
-			heardFrom.add(peerId);
+			repliedPeers.add(peerId);
 		} catch (error) {
 			state.takeFailure(request);
-			log('No news from %s: %s', peerId, getMessage(error));
+			log('Changes of hosts not pulled from %s: %s', peerId, getMessage(error));
 		}
 	};
 
@@ -96,7 +96,7 @@
 		tasks.delete(peerId);
 	};
 
-	const watch = async () => {
+	const runExpiry = async () => {
 		let lastMs = clock.monotonicMs();
 		while (!signal.aborted) {
 			for (const {processId: peerId} of peers.list()) {
@@ -126,28 +126,28 @@
 			return state.servePull(parsePull(content));
 		}
 
-		if (!takeForward) {
-			throw createError(ErrorCode.Refused, {step: 'take forwarded announcement', detail: 'not ready'});
+		if (!forwardHandler) {
+			throw createError(ErrorCode.Refused, {step: 'take forwarded announcement', detail: 'no handler is registered yet'});
 		}
 
-		return takeForward(parseUpstreamAnnouncement(content));
+		return forwardHandler(parseUpstreamAnnouncement(content));
 	});
-	// An entry that has just started knows no hosts: callers would be refused for want of upstreams that all others know.
+	// An entry that has just started knows no hosts and would refuse callers for lack of upstreams that all others know.
 	control.addReadiness('membership', () => clock.monotonicMs() - startedAtMs >= settings.announceEveryMs
-		&& peers.list().every(({processId: peerId, isAlive}) => !isAlive || heardFrom.has(peerId)));
+		&& peers.list().every(({processId: peerId, isAlive}) => !isAlive || repliedPeers.has(peerId)));
 	control.addStatus('membership', () => ({ownId, hostsInCare: state.careCount, heldDown: damper.countHeld()}));
 
 	return {
 		ownId,
-		hear(kind, id, announcement, isOurs = false) {
+		hear(kind, id, announcement, isMonitoredHere = false) {
 			const nextAfterMs = budget.note(state.careCount);
 			if (nextAfterMs > settings.announceEveryMs) {
 				metrics.count(Metric.AnnouncementsSlowed);
 			}
 
-			// A host that is told to speak less often must not lapse by doing so.
+			// The lease must not expire because the host was told to announce itself less often.
 			const leaseMs = Math.max(settings.leaseMs, nextAfterMs * leaseFactor);
-			const taken = state.hear(getHostKey(kind, id), announcement, leaseMs, isOurs);
+			const taken = state.hear(getHostKey(kind, id), announcement, leaseMs, isMonitoredHere);
 			metrics.count(Metric.Announcements, taken);
 			return taken === Taken.Stale
 				? {isAccepted: false, reason: 'a newer announcement is known', nextAfterMs}
@@ -159,20 +159,20 @@
 		forward: async (peerId, announcement) =>
 			peers.call(peerId, PeerMethod.Announcements, {kind: RelayKind.Forward, content: announcement}) as Promise<AnnouncementReply>,
 		onForward(handler) {
-			takeForward = handler;
+			forwardHandler = handler;
 		},
 		async start() {
-			watching = watch();
+			expiring = runExpiry();
 		},
 		async stop() {
 			aborter.abort();
-			await Promise.all([watching, ...tasks.values()]);
+			await Promise.all([expiring, ...tasks.values()]);
 		},
 	};
 };
 
-/** Creates a fixed spread of ids over [0, 1), another in each process. */
-const createSpread = (salt: number) => (id: string): number => {
+/** Creates a hash that maps ids evenly to [0, 1); the salt makes it differ between processes. */
+const createIdHash = (salt: number) => (id: string): number => {
 	let hash = salt;
 	for (let index = 0; index < id.length; index++) {
 		hash = Math.imul(hash ^ id.codePointAt(index)!, 16_777_619);
--- a/src/plugins/metrics-service.ts
+++ b/src/plugins/metrics-service.ts
@@ -1,5 +1,5 @@
 /**
-Counts locally and sends to a statsd server when one is set.
+Counts metrics locally, and sends them to a statsd server if the settings name one.
 */
 import {StatsD} from 'hot-shots';
 import {type Kernel, type Service} from '../core/kernel.ts';
@@ -12,7 +12,7 @@
 	const {statsdAddress, prefix} = kernel.get(ServiceName.Settings).metrics;
 	const client = statsdAddress === '' ? undefined : createClient(statsdAddress, prefix);
 	const counts = new Map<string, number>();
-	const levels = new Map<string, number>();
+	const gauges = new Map<string, number>();
 	return {
 		count(metric: Metric, reason?: string, amount = 1) {
 			const key = reason === undefined ? metric : `${metric}.${reason}`;
@@ -20,13 +20,13 @@
 			client?.increment(metric, amount, reason === undefined ? [] : [`reason:${reason}`]);
 		},
 		gauge(metric, value) {
-			levels.set(metric, value);
+			gauges.set(metric, value);
 			client?.gauge(metric, value);
 		},
 		timing(metric, valueMs, tag) {
 			client?.timing(metric, valueMs, tag === undefined ? [] : [`class:${tag}`]);
 		},
-		getCounts: () => Object.fromEntries([...counts, ...levels]),
+		getCounts: () => Object.fromEntries([...counts, ...gauges]),
 		async stop() {
 			await new Promise<void>(resolve => {
 				if (client) {
@@ -45,7 +45,7 @@
 
 const createClient = (address: string, prefix: string): StatsD => {
 	const {host, port} = parseAddress(address);
-	// Metrics must never stop the program: errors of the socket are dropped, as the packets would be.
+	// Metrics must never stop the program: socket errors are ignored, as lost packets are.
 	return new StatsD({
 		host, port, prefix: `${prefix}.`, errorHandler: ignore,
 	});
--- a/src/plugins/moves-service.ts
+++ b/src/plugins/moves-service.ts
@@ -1,6 +1,6 @@
 /**
-Moves services between regions as the text declares: an entry of the new region takes a service over
-once its dependencies have moved and its upstreams there are warm.
+Moves services between regions as the configuration declares: an entry of the new region takes over a service once its
+dependencies have moved and the new region has had enough upstreams for long enough.
 */
 import {SectionKind, parseSectionName} from '../core/config-text.ts';
 import {getMessage} from '../core/errors.ts';
@@ -15,11 +15,11 @@
 import {createLogger, Part} from '../utils/logger.ts';
 
 const log = createLogger(Part.Moves);
-/** Configuration read longer ago is too old to act on. */
-const freshMs = 3000;
+/** Moves nothing if the configuration was last read to its end longer ago. */
+const maxConfigAgeMs = 3000;
 
-/** When this process first saw the owner of a service. */
-type Seen = {
+/** The record that set the owner of a service, and when this process first saw it. */
+type OwnerSeen = {
 	offset: number;
 	atMs: number;
 };
@@ -32,7 +32,7 @@
 	const metrics = kernel.get(ServiceName.Metrics);
 	const settings = kernel.get(ServiceName.Settings).moves;
 	const {region, processId} = kernel.get(ServiceName.Identity);
-	const seen = new Map<string, Seen>();
+	const ownersSeen = new Map<string, OwnerSeen>();
 	const warmSince = new Map<string, number>();
 	const blocked = new Map<string, string>();
 	const aborter = new AbortController();
@@ -52,19 +52,19 @@
 	};
 
 	const findObstacle = (move: ConfigMove): string | undefined => {
-		if (!config.isFresh(freshMs)) {
-			return 'the log has not been read';
+		if (!config.isFresh(maxConfigAgeMs)) {
+			return 'the configuration may be stale: the end of the log was not read recently';
 		}
 
 		const obstacle = findMoveObstacle(move, {get: service => config.getOwner(service)}, config.getSections());
-		return obstacle ?? (isWarm(move.service) ? undefined : 'its upstreams here are not warm');
+		return obstacle ?? (isWarm(move.service) ? undefined : 'too few upstreams in the new region, or not for long enough');
 	};
 
-	const consider = async ({name, values}: ConfigSection) => {
+	const moveIfReady = async ({name, values}: ConfigSection) => {
 		const parsed = parseSectionName(name);
 		const owner = parsed && config.getOwner(parsed.name);
 		if (owner) {
-			getSeenAtMs(owner);
+			getOwnerSeenAtMs(owner);
 		}
 
 		if (!owner || parsed.kind !== SectionKind.Service || values?.region !== region || owner.region === region) {
@@ -76,32 +76,32 @@
 		};
 		const obstacle = findObstacle(move);
 		if (obstacle !== undefined) {
-			note(parsed.name, obstacle);
+			reportBlocked(parsed.name, obstacle);
 			return;
 		}
 
 		blocked.delete(parsed.name);
 		await kernel.get(ServiceName.Log).append(Stream.Config, move, aborter.signal);
 		metrics.count(Metric.Moves);
-		log('Taking %s over from %s.', parsed.name, owner.region);
+		log('Taking over service %s from region %s.', parsed.name, owner.region);
 	};
 
-	const getSeenAtMs = ({service, offset}: ServiceOwner): number => {
-		const known = seen.get(service);
+	const getOwnerSeenAtMs = ({service, offset}: ServiceOwner): number => {
+		const known = ownersSeen.get(service);
 		if (known?.offset === offset) {
 			return known.atMs;
 		}
 
 		const atMs = clock.monotonicMs();
-		seen.set(service, {offset, atMs});
+		ownersSeen.set(service, {offset, atMs});
 		return atMs;
 	};
 
-	const note = (service: string, obstacle: string) => {
+	const reportBlocked = (service: string, obstacle: string) => {
 		if (blocked.get(service) !== obstacle) {
 			blocked.set(service, obstacle);
 			metrics.count(Metric.MovesBlocked);
-			log('%s does not move yet: %s.', service, obstacle);
+			log('Service %s does not move yet: %s.', service, obstacle);
 		}
 	};
 
@@ -110,9 +110,9 @@
 			await clock.sleep(settings.checkEveryMs * (0.5 + random.next()), aborter.signal);
 			for (const section of config.getSections().values()) {
 				try {
-					await consider(section);
+					await moveIfReady(section);
 				} catch (error) {
-					log('%s was not moved: %s', section.name, getMessage(error));
+					log('Move of [%s] failed: %s', section.name, getMessage(error));
 				}
 			}
 		}
@@ -122,11 +122,11 @@
 
 	return {
 		getRegion: service => config.getOwner(service)?.region,
-		// The old side may learn of the move a little later than this one; until then it could still start a
-		// non-idempotent request. Waiting out that time leaves one side at each moment.
+		// The old region may read of the move a little later than this one and could until then still start a non-idempotent
+		// request. Waiting for `settleMs` ensures that only one region starts them at any time.
 		isSettled(service) {
 			const owner = config.getOwner(service);
-			return owner?.previousRegion === undefined || clock.monotonicMs() - getSeenAtMs(owner) >= settings.settleMs;
+			return owner?.previousRegion === undefined || clock.monotonicMs() - getOwnerSeenAtMs(owner) >= settings.settleMs;
 		},
 		async start() {
 			running = run();
--- a/src/plugins/peers-directory.ts
+++ b/src/plugins/peers-directory.ts
@@ -1,11 +1,11 @@
 /**
-What an entry knows of the other entries: the newest presence of each, and until when it counts as alive.
+The other entries that an entry knows: the newest presence of each, and the time until which it counts as alive.
 */
 import {z} from 'zod';
 import {type Clock} from '../types/clock.ts';
 import {createParser} from '../utils/parser.ts';
 
-/** How an entry presents itself. */
+/** Identity and addresses that an entry publishes. */
 export type Presence = {
 	processId: string;
 	incarnation: number;
@@ -24,30 +24,30 @@
 	controlAddress: z.string().max(64),
 });
 
-/** Checks a record of the stream of entries. */
+/** Parses a record of the stream `entries`. */
 export const parsePresenceRecord = createParser('read presence', presenceSchema.extend({recordId: z.string(), isLeaving: z.boolean()}));
-/** Checks a hello of a peer or the answer to one. */
+/** Parses a hello of a peer or the answer to one. */
 export const parseHello = createParser('read hello', z.object({
 	presence: presenceSchema,
 	peers: z.array(presenceSchema).max(1000),
 	isLeaving: z.boolean(),
 }));
 
-/** What entries tell each other with each heartbeat. */
+/** Content of a heartbeat between entries and of its answer. */
 export type Hello = ReturnType<typeof parseHello>;
 
-type Known = {
+type PeerState = {
 	presence: Presence;
 	aliveUntilMs: number;
-	/** Last time that the log, a peer or the entry itself named it. */
-	namedAtMs: number;
-	/** The incarnation said that it leaves. */
+	/** Last time at which the log, a peer or the entry itself mentioned it. */
+	lastNamedAtMs: number;
+	/** This incarnation announced that it is leaving. */
 	hasLeft: boolean;
 };
 
-/** Entries known, own one excepted. */
+/** All known entries except this one. */
 export class PeersDirectory {
-	readonly #known = new Map<string, Known>();
+	readonly #peers = new Map<string, PeerState>();
 	readonly #clock: Clock;
 	readonly #ownId: string;
 
@@ -56,38 +56,38 @@
 		this.#ownId = ownId;
 	}
 
-	/** Learns of an entry; true when it, or this incarnation of it, was not known. Idempotent, in any order. */
+	/** Adds an entry; true if the entry or this incarnation of it was unknown. Idempotent and independent of order. */
 	learn(presence: Presence): boolean {
 		if (presence.processId === this.#ownId) {
 			return false;
 		}
 
-		const known = this.#known.get(presence.processId);
+		const known = this.#peers.get(presence.processId);
 		if (known && known.presence.incarnation >= presence.incarnation) {
 			if (known.presence.incarnation === presence.incarnation) {
-				known.namedAtMs = this.#clock.monotonicMs();
+				known.lastNamedAtMs = this.#clock.monotonicMs();
 			}
 
 			return false;
 		}
 
-		this.#known.set(presence.processId, {
-			presence, aliveUntilMs: Number.NEGATIVE_INFINITY, namedAtMs: this.#clock.monotonicMs(), hasLeft: false,
+		this.#peers.set(presence.processId, {
+			presence, aliveUntilMs: Number.NEGATIVE_INFINITY, lastNamedAtMs: this.#clock.monotonicMs(), hasLeft: false,
 		});
 		return true;
 	}
 
-	/** Extends the lease of an entry that answered. */
+	/** Extends the lease of an entry that answered, until `aliveUntilMs`. */
 	noteAnswer(presence: Presence, aliveUntilMs: number): void {
 		this.learn(presence);
-		const known = this.#known.get(presence.processId);
+		const known = this.#peers.get(presence.processId);
 		if (known?.presence.incarnation === presence.incarnation && !known.hasLeft) {
 			known.aliveUntilMs = Math.max(known.aliveUntilMs, aliveUntilMs);
 		}
 	}
 
 	noteLeaving(processId: string, incarnation: number): void {
-		const known = this.#known.get(processId);
+		const known = this.#peers.get(processId);
 		if (known?.presence.incarnation === incarnation) {
 			known.hasLeft = true;
 			known.aliveUntilMs = Number.NEGATIVE_INFINITY;
@@ -95,28 +95,28 @@
 	}
 
 	get(processId: string): Presence | undefined {
-		return this.#known.get(processId)?.presence;
+		return this.#peers.get(processId)?.presence;
 	}
 
 	isAlive(processId: string): boolean {
-		return (this.#known.get(processId)?.aliveUntilMs ?? Number.NEGATIVE_INFINITY) > this.#clock.monotonicMs();
+		return (this.#peers.get(processId)?.aliveUntilMs ?? Number.NEGATIVE_INFINITY) > this.#clock.monotonicMs();
 	}
 
 	hasLeft(processId: string): boolean {
-		return this.#known.get(processId)?.hasLeft ?? false;
+		return this.#peers.get(processId)?.hasLeft ?? false;
 	}
 
 	list(): Presence[] {
-		return [...this.#known.values()].map(({presence}) => presence);
+		return [...this.#peers.values()].map(({presence}) => presence);
 	}
 
-	/** Forgets entries that neither answered nor were named for long, so that replaced hosts do not pile up. */
+	/** Removes entries that neither answered nor were mentioned for `ageMs`, so that replaced hosts do not accumulate. */
 	forgetOlderThan(ageMs: number): string[] {
 		const oldestMs = this.#clock.monotonicMs() - ageMs;
 		const forgotten: string[] = [];
-		for (const [processId, {namedAtMs, aliveUntilMs}] of this.#known) {
+		for (const [processId, {lastNamedAtMs: namedAtMs, aliveUntilMs}] of this.#peers) {
 			if (namedAtMs < oldestMs && aliveUntilMs < oldestMs) {
-				this.#known.delete(processId);
+				this.#peers.delete(processId);
 				forgotten.push(processId);
 			}
 		}
--- a/src/plugins/peers-memory-transport.ts
+++ b/src/plugins/peers-memory-transport.ts
@@ -1,12 +1,12 @@
 /**
-Calls between entries of one process, on any clock, with cuts, delays, lost answers, duplicates and reordering.
+Calls between entries of one process, on any clock, with broken links, delays, lost answers, duplicates and reordering.
 */
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {type Random} from '../types/random.ts';
 import {type PeerRequest, type PeerTransport, type ServePeer} from './peers-transport.ts';
 
-/** What goes wrong between entries. */
+/** Faults injected into calls between entries. */
 export type NetworkFaults = {
 	minDelayMs: number;
 	maxDelayMs: number;
@@ -24,7 +24,7 @@
 	faults: NetworkFaults = {...noFaults};
 	calls = 0;
 	readonly #servers = new Map<string, ServePeer>();
-	readonly #cuts = new Set<string>();
+	readonly #downLinks = new Set<string>();
 	readonly #clock: Clock;
 	readonly #random: Random;
 	#lastPort = 0;
@@ -34,19 +34,19 @@
 		this.#random = random;
 	}
 
-	/** Cuts both directions between two addresses, or heals them. */
+	/** Breaks both directions between two addresses, or restores them. */
 	setCut(a: string, b: string, isCut: boolean): void {
 		for (const link of [`${a}>${b}`, `${b}>${a}`]) {
 			if (isCut) {
-				this.#cuts.add(link);
+				this.#downLinks.add(link);
 			} else {
-				this.#cuts.delete(link);
+				this.#downLinks.delete(link);
 			}
 		}
 	}
 
 	healAll(): void {
-		this.#cuts.clear();
+		this.#downLinks.clear();
 	}
 
 	/** Creates a transport for one entry. */
@@ -83,26 +83,26 @@
 				return;
 			}
 
-			this.#later(deliver);
+			this.#schedule(deliver);
 			if (this.#random.next() < this.faults.duplicateChance) {
-				this.#later(deliver);
+				this.#schedule(deliver);
 			}
 		});
 	}
 
 	async #deliver(from: string, to: string, request: PeerRequest, answer: (value: {isOk: true; body: unknown} | {isOk: false; detail: string}) => void): Promise<void> {
 		const serve = this.#servers.get(to);
-		if (!serve || this.#cuts.has(`${from}>${to}`)) {
+		if (!serve || this.#downLinks.has(`${from}>${to}`)) {
 			return;
 		}
 
 		try {
 			const body = structuredClone(await serve(structuredClone(request)));
-			if (this.#cuts.has(`${to}>${from}`) || this.#random.next() < this.faults.loseAnswerChance) {
+			if (this.#downLinks.has(`${to}>${from}`) || this.#random.next() < this.faults.loseAnswerChance) {
 				return;
 			}
 
-			this.#later(() => {
+			this.#schedule(() => {
 				answer({isOk: true, body});
 			});
 		} catch (error) {
@@ -110,7 +110,7 @@
 		}
 	}
 
-	#later(action: () => void): void {
+	#schedule(action: () => void): void {
 		const {minDelayMs, maxDelayMs} = this.faults;
 		this.#clock.setTimer(action, minDelayMs + (this.#random.next() * (maxDelayMs - minDelayMs)));
 	}
--- a/src/plugins/peers-service.ts
+++ b/src/plugins/peers-service.ts
@@ -1,5 +1,6 @@
 /**
-Entries learn of each other from the log, from seeds and from each other, and call each other: one task for each peer.
+Membership of entries and calls between them. An entry discovers others through the log, seeds and other entries, and sends
+heartbeats to each of them in a task of its own.
 */
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
@@ -16,7 +17,7 @@
 import {createGrpcTransport, type PeerRequest, type PeerTransport} from './peers-transport.ts';
 
 const log = createLogger(Part.Peers);
-const namedPeers = 3;
+const peersPerHello = 3;
 const maxPauseFactor = 8;
 
 /** Creates the peers service on a transport. */
@@ -37,30 +38,30 @@
 	const {signal} = aborter;
 	let ownPresence: Presence | undefined;
 
-	// Jitter: heartbeats of entries that started together must not stay in step.
+	// Jitter keeps entries that started together from sending their heartbeats at the same time.
 	const jitter = (ms: number) => ms * (0.75 + (random.next() / 2));
 
-	// A few peers, drawn anew each time, reach everybody within some heartbeats; all of them in every
-	// heartbeat would grow with the square of the entries.
+	// Naming a few random peers in each heartbeat spreads them to all entries within some heartbeats. Naming all peers every
+	// time would make the traffic grow with the square of the number of entries.
 	const getHello = (isLeaving = false): Hello => {
 		const alive = directory.list().filter(({processId}) => directory.isAlive(processId));
 		const offset = random.below(Math.max(1, alive.length));
-		const named = [...alive.slice(offset), ...alive.slice(0, offset)].slice(0, namedPeers);
+		const named = [...alive.slice(offset), ...alive.slice(0, offset)].slice(0, peersPerHello);
 		return {presence: ownPresence!, peers: named, isLeaving};
 	};
 
-	const learn = (presence: Presence) => {
+	const addPeer = (presence: Presence) => {
 		directory.learn(presence);
 		if (presence.processId !== identity.processId && !tasks.has(presence.processId) && !signal.aborted) {
 			tasks.add(presence.processId);
-			running.push(followPeer(presence.processId));
+			running.push(heartbeatPeer(presence.processId));
 		}
 	};
 
-	const takeHello = (hello: Hello) => {
-		learn(hello.presence);
+	const handleHello = (hello: Hello) => {
+		addPeer(hello.presence);
 		for (const presence of hello.peers) {
-			learn(presence);
+			addPeer(presence);
 		}
 
 		if (hello.isLeaving) {
@@ -68,17 +69,17 @@
 		}
 	};
 
-	const sayHello = async (address: string, toId: string) => {
+	const sendHello = async (address: string, toId: string) => {
 		const sentAtMs = clock.monotonicMs();
 		const answer = parseHello(await transport.call(address, {
 			fromId: identity.processId, toId, method: PeerMethod.Hello, body: getHello(),
 		}, callTimeoutMs));
-		takeHello(answer);
-		// Counted from before the call: the peer was alive then at the earliest, however late the answer is.
+		handleHello(answer);
+		// The lease counts from the send time, because a late answer proves only that the peer was alive at some time after that.
 		directory.noteAnswer(answer.presence, sentAtMs + leaseMs);
 	};
 
-	const followPeer = async (processId: string) => {
+	const heartbeatPeer = async (processId: string) => {
 		let pauseMs = heartbeatMs;
 		while (!signal.aborted) {
 			const presence = directory.get(processId);
@@ -87,12 +88,12 @@
 			}
 
 			try {
-				await sayHello(presence.peerAddress, processId);
+				await sendHello(presence.peerAddress, processId);
 				pauseMs = heartbeatMs;
 			} catch (error) {
 				metrics.count(Metric.PeerErrors, PeerMethod.Hello);
-				log('No heartbeat from %s: %s', processId, getMessage(error));
-				// An entry that is gone for good costs little, and a healed link is found within seconds.
+				log('Heartbeat to %s failed: %s', processId, getMessage(error));
+				// Backing off keeps the cost of a removed entry low; its limit lets a restored link be detected within seconds.
 				pauseMs = Math.min(pauseMs * 2, heartbeatMs * maxPauseFactor);
 			}
 
@@ -102,13 +103,13 @@
 		tasks.delete(processId);
 	};
 
-	const followSeed = async (address: string) => {
+	const contactSeed = async (address: string) => {
 		while (!signal.aborted) {
 			if (address !== ownPresence!.peerAddress && !directory.list().some(({peerAddress, processId}) => peerAddress === address && directory.isAlive(processId))) {
 				try {
-					await sayHello(address, '');
+					await sendHello(address, '');
 				} catch (error) {
-					log('Seed %s: %s', address, getMessage(error));
+					log('Hello to seed %s failed: %s', address, getMessage(error));
 				}
 			}
 
@@ -121,9 +122,9 @@
 			await platformLog.append(Stream.Entries, {...ownPresence!, recordId: random.id(), isLeaving});
 			metrics.count(Metric.LogAppends, Stream.Entries);
 		} catch (error) {
-			// Appended or not: the next one says the same, and the fold takes repeats.
+			// The record may have been appended nevertheless; the next one repeats it, and readers accept duplicates.
 			metrics.count(Metric.LogErrors, Stream.Entries);
-			log('Presence not confirmed: %s', getMessage(error));
+			log('Append of the presence record was not confirmed: %s', getMessage(error));
 		}
 	};
 
@@ -133,7 +134,7 @@
 			metrics.gauge(Metric.PeersAlive, directory.list().filter(({processId}) => directory.isAlive(processId)).length);
 			await clock.sleep(jitter(presenceEveryMs), signal);
 			for (const processId of directory.forgetOlderThan(forgetAfterMs)) {
-				log('Forgot %s.', processId);
+				log('Removed entry %s after a long time without contact.', processId);
 			}
 		}
 	};
@@ -147,7 +148,7 @@
 			}
 
 			const {recordId: _recordId, isLeaving: _isLeaving, ...presence} = record;
-			learn(presence);
+			addPeer(presence);
 		},
 		onBadRecord({offset}, error) {
 			metrics.count(Metric.BadRecords, Stream.Entries);
@@ -162,9 +163,9 @@
 	});
 
 	const serve = async (request: PeerRequest): Promise<unknown> => {
-		// An address can be taken over by another process: what was meant for the former must not be done by it.
+		// Another process may have taken over the address; it must not execute calls meant for the previous one.
 		if (request.toId !== '' && request.toId !== identity.processId) {
-			throw createError(ErrorCode.Refused, {step: 'serve peer', peer: request.fromId, detail: `this is ${identity.processId}`});
+			throw createError(ErrorCode.Refused, {step: 'serve peer', peer: request.fromId, detail: `the call is meant for another process; this one is ${identity.processId}`});
 		}
 
 		const handler = handlers.get(request.method);
@@ -175,18 +176,18 @@
 		return handler(request.body, request.fromId);
 	};
 
-	const sayGoodbye = async ({processId, peerAddress}: Presence) => {
+	const sendLeaving = async ({processId, peerAddress}: Presence) => {
 		try {
 			await transport.call(peerAddress, {
 				fromId: identity.processId, toId: processId, method: PeerMethod.Hello, body: getHello(true),
 			}, callTimeoutMs);
 		} catch (error) {
-			log('Goodbye to %s: %s', processId, getMessage(error));
+			log('Leave notice to %s failed: %s', processId, getMessage(error));
 		}
 	};
 
 	handlers.set(PeerMethod.Hello, body => {
-		takeHello(parseHello(body));
+		handleHello(parseHello(body));
 		return getHello();
 	});
 
@@ -198,7 +199,7 @@
 		async call(peerId, method, body, timeoutMs = callTimeoutMs) {
 			const presence = directory.get(peerId);
 			if (!presence) {
-				throw createError(ErrorCode.PeerUnavailable, {step: `call ${method}`, peer: peerId, detail: 'not known'});
+				throw createError(ErrorCode.PeerUnavailable, {step: `call ${method}`, peer: peerId, detail: 'no entry with this id is known'});
 			}
 
 			try {
@@ -213,11 +214,11 @@
 		async start() {
 			const peerAddress = await transport.listen(settings.entry.peerAddress, serve);
 			ownPresence = {...identity, peerAddress, controlAddress: control.getAddress()};
-			running.push(followEntries(), keepPresence(), ...settings.entry.seedPeers.map(async address => followSeed(address)));
+			running.push(followEntries(), keepPresence(), ...settings.entry.seedPeers.map(async address => contactSeed(address)));
 		},
 		async stop() {
 			aborter.abort();
-			await Promise.all(directory.list().filter(({processId}) => directory.isAlive(processId)).map(async presence => sayGoodbye(presence)));
+			await Promise.all(directory.list().filter(({processId}) => directory.isAlive(processId)).map(async presence => sendLeaving(presence)));
 			await transport.close();
 			await Promise.all(running);
 			await appendPresence(true);
--- a/src/plugins/peers-transport.ts
+++ b/src/plugins/peers-transport.ts
@@ -1,5 +1,5 @@
 /**
-How entries call each other: one unary method over gRPC that carries msgpack.
+Transport for calls between entries: one unary gRPC method with MessagePack bodies.
 */
 import {
 	Client, credentials, Server, ServerCredentials, status, type handleUnaryCall, type MethodDefinition,
@@ -12,7 +12,7 @@
 /** One call between entries. */
 export type PeerRequest = {
 	fromId: string;
-	/** The entry meant; empty while only its address is known. */
+	/** Id of the called entry; empty while only its address is known. */
 	toId: string;
 	method: PeerMethod;
 	body: unknown;
@@ -23,9 +23,9 @@
 
 /** Carries calls between entries. */
 export type PeerTransport = {
-	/** Serves calls; resolves to the address bound. */
+	/** Serves calls; resolves to the bound address. */
 	listen(address: string, serve: ServePeer): Promise<string>;
-	/** Calls the entry at the address. Throws `peer-unavailable` without an answer. */
+	/** Calls the entry at the address. Throws `peer-unavailable` if no answer arrives. */
 	call(address: string, request: PeerRequest, timeoutMs: number): Promise<unknown>;
 	close(): Promise<void>;
 };
@@ -38,7 +38,7 @@
 	'grpc.initial_reconnect_backoff_ms': 100,
 	'grpc.max_reconnect_backoff_ms': 1000,
 	'grpc.max_receive_message_length': maxMessageBytes,
-	// Two entries of one process, as in tests, must not share a connection that one of them closes.
+	// Several entries in one process, as in tests, must not share a connection, since one of them may close it.
 	'grpc.use_local_subchannel_pool': 1,
 };
 
@@ -123,7 +123,7 @@
 				server.tryShutdown(() => {
 					resolve();
 				});
-				// Peers keep their connections open; calls in progress are short and may be cut.
+				// Peers keep their connections open; calls in progress are short and may be aborted.
 				server.forceShutdown();
 			});
 		},
--- a/src/plugins/site-agent.ts
+++ b/src/plugins/site-agent.ts
@@ -1,5 +1,5 @@
 /**
-The role beside a worker: puts an agent together from the site's settings.
+The agent role, on the host of a worker: creates an agent from the site's settings.
 */
 import {Agent} from '../agents/agent.ts';
 import {leaseHorizonMs} from '../agents/lease-clock.ts';
@@ -13,10 +13,10 @@
 import {serveAgent} from './agent-messages.ts';
 import {runSiteProcess} from './site-process.ts';
 
-const maxWriters = 100;
+const maxReportedWriters = 100;
 
-/** Tells of each writer of something that cannot be read once: a worker announces itself every second. */
-class InvalidWriters {
+/** Reports each sender of invalid announcements only once, because a worker announces itself every second. */
+class InvalidWriterReporter {
 	readonly #writers = new Set<string>();
 	readonly #onFirst: (writer: string, reason: string) => void;
 
@@ -24,21 +24,21 @@
 		this.#onFirst = onFirst;
 	}
 
-	note(writer: string, reason: string): void {
-		if (!this.#writers.has(writer) && this.#writers.size < maxWriters) {
+	reportOnce(writer: string, reason: string): void {
+		if (!this.#writers.has(writer) && this.#writers.size < maxReportedWriters) {
 			this.#writers.add(writer);
 			this.#onFirst(writer, reason);
 		}
 	}
 }
 
-/** Runs the role until it is told to stop. */
+/** Runs the role until SIGTERM or SIGINT. */
 export const runSiteAgent = async (site: SiteSettings): Promise<void> => runSiteProcess('agent', site, async ({
 	clock, http, note, metrics, life, internalAddress, signal,
 }) => {
 	const {announceAddress, workerAddress, workerService} = site;
 	if (announceAddress === undefined || workerAddress === undefined || workerService === undefined) {
-		throw createError(ErrorCode.BadSettings, {step: 'start agent', detail: 'the settings name no worker'});
+		throw createError(ErrorCode.BadSettings, {step: 'start agent', detail: 'the settings lack announceAddress, workerAddress or workerService'});
 	}
 
 	const agent = new Agent({
@@ -54,7 +54,7 @@
 		maxLeaseMs: site.bounds.maxLeaseMs,
 		note,
 	});
-	const invalid = new InvalidWriters((writer, reason) => {
+	const invalid = new InvalidWriterReporter((writer, reason) => {
 		note('announcement not valid', {writer, reason});
 	});
 	const announcements = createAnnounceServer(clock, {
@@ -63,7 +63,7 @@
 				agent.announce(report);
 			} else {
 				metrics.count('announcement not valid', 'service');
-				invalid.note(report.workerId, `service ${report.service}`);
+				invalid.reportOnce(report.workerId, `service ${report.service}`);
 			}
 		},
 		onLeave(workerId) {
@@ -71,7 +71,7 @@
 		},
 		onInvalid(writer, reason) {
 			metrics.count('announcement not valid', 'unreadable');
-			invalid.note(writer, reason);
+			invalid.reportOnce(writer, reason);
 		},
 	});
 	const server = createJsonServer(clock);
--- a/src/plugins/site-entry.ts
+++ b/src/plugins/site-entry.ts
@@ -1,5 +1,6 @@
 /**
-The role on hosts that callers reach: takes jobs, answers for them, and schedules those of the partitions it owns.
+The entry role, on hosts that callers connect to: accepts jobs, answers requests about them, and schedules the jobs of the
+partitions that it owns.
 */
 import {createServer} from 'node:http';
 import {agentsTopic} from '../agents/control-records.ts';
@@ -31,31 +32,34 @@
 import {createEntryClient, serveEntry} from './entry-messages.ts';
 import {runSiteProcess, type SiteProcess} from './site-process.ts';
 
-/** After SIGTERM callers are served for so long: the balancer takes two misses, a second each, to send them elsewhere. */
-const leaveMs = 2300;
+/**
+How long callers are still served after SIGTERM: the load balancer stops sending them here after two failed health checks,
+one second apart.
+*/
+const drainDelayMs = 2300;
 
 /**
-An entry that has not reached the store for so long sends callers elsewhere: the store may turn away this host alone. If
-it is away for all, the balancer uses all entries again.
+After this time without an answer from the store, the entry reports itself as not ready, because the store may be unreachable
+from this host alone. If it is unreachable from all hosts, the load balancer uses all entries again.
 */
-const storeLostMs = 800;
+const storeUnreachableAfterMs = 800;
 
-/** Runs the role until it is told to stop. */
+/** Runs the role until SIGTERM or SIGINT. */
 export const runSiteEntry = async (site: SiteSettings): Promise<void> => runSiteProcess('entry', site, async parts => {
 	const {clock, note, signal, metrics, load, internalAddress} = parts;
 	const {callersAddress, readinessAddress} = site;
 	if (callersAddress === undefined || readinessAddress === undefined) {
-		throw createError(ErrorCode.BadSettings, {step: 'start entry', detail: 'the settings name no address for callers'});
+		throw createError(ErrorCode.BadSettings, {step: 'start entry', detail: 'the settings lack callersAddress or readinessAddress'});
 	}
 
-	const {config, jobs, ownership, directory, isStoreLost, isStoreFailing, isCaughtUp} = createParts(parts);
+	const {config, jobs, ownership, directory, isStoreLost, isStoreFailing, isCaughtUp} = createComponents(parts);
 	let isLeaving = false;
 	const isReady = () => !isLeaving && isCaughtUp() && !isStoreLost() && !load.isOverloaded;
 	const callers = createCallerServer({
 		jobs: createRelay(parts, {jobs, directory, isStoreLost}),
 		clock,
 		findQueue,
-		// A caller on an open connection stays here unless it is told to connect anew.
+		// A caller with an open connection keeps using this entry unless the answer closes the connection.
 		isClosing: () => !isReady(),
 		onAnswer({method, queue, id, status, reason, tookMs}) {
 			metrics.observe(`${method} ${status}`, tookMs);
@@ -78,26 +82,26 @@
 	void directory.run(signal);
 	return async () => {
 		isLeaving = true;
-		await Promise.all([ownership.leave(), directory.leave(), clock.sleep(leaveMs)]);
+		await Promise.all([ownership.leave(), directory.leave(), clock.sleep(drainDelayMs)]);
 		await Promise.all([close(callers), close(readiness), peers.close()]);
 	};
 });
 
-/** Set by a build for trials; what ships leaves nothing out. */
+/** Parts of the policy that a build for trials disables; undefined in release builds. */
 declare const LEFT_OUT: string | undefined;
 const policy = createPolicy(typeof LEFT_OUT === 'string' ? LEFT_OUT : '');
 
 const aliveTimeoutMs = 600;
 
-/** Any answer tells that the process lives. */
+/** Whether the process at the address is alive: any HTTP answer counts. */
 const isAnswering = async (http: HttpClient, address: string): Promise<boolean> => {
 	try {
 		await http.call({
-			address, method: 'GET', path: alivePath, timeoutMs: aliveTimeoutMs, step: 'ask whether an owner lives',
+			address, method: 'GET', path: alivePath, timeoutMs: aliveTimeoutMs, step: 'check that an owner is alive',
 		});
 		return true;
 	} catch {
-		// No answer is the answer that was asked for.
+		// A failed call means that the process is not alive.
 		return false;
 	}
 };
@@ -106,14 +110,14 @@
 	local: jobs, client: createEntryClient(http), clock, getOthers: () => directory.others, isStoreLost, note,
 });
 
-const createParts = ({site, clock, http, streams, note, life, signal, metrics, metricsAddress, internalAddress}: SiteProcess) => {
+const createComponents = ({site, clock, http, streams, note, life, signal, metrics, metricsAddress, internalAddress}: SiteProcess) => {
 	const store = createStoreClient(http, site.store.address);
 	const {partitions, maxCallBytes, minMemberTtlMs, keptMs} = site.store;
 	const client = createAgentClient(streams);
 	const adviceClient = site.adviceAddress === undefined ? undefined : createAdviceClient(http, site.adviceAddress);
 	const followers = new Map<number, WorkflowFollower>();
-	const lostSinceMs = new Map<number, number>();
-	const isStoreLost = () => [...lostSinceMs.values()].some(sinceMs => clock.monotonicMs() - sinceMs > storeLostMs);
+	const unreachableSinceMs = new Map<number, number>();
+	const isStoreLost = () => [...unreachableSinceMs.values()].some(sinceMs => clock.monotonicMs() - sinceMs > storeUnreachableAfterMs);
 	const getFollower = (partition: number): WorkflowFollower => {
 		let follower = followers.get(partition);
 		if (!follower) {
@@ -122,14 +126,14 @@
 				clock,
 				ref: {topic: workflowsTopic, partition},
 				onStoreState(isReached, detail) {
-					if (isReached === lostSinceMs.has(partition)) {
+					if (isReached === unreachableSinceMs.has(partition)) {
 						note(isReached ? 'store reached' : 'store lost', {partition, detail});
 					}
 
 					if (isReached) {
-						lostSinceMs.delete(partition);
-					} else if (!lostSinceMs.has(partition)) {
-						lostSinceMs.set(partition, clock.monotonicMs());
+						unreachableSinceMs.delete(partition);
+					} else if (!unreachableSinceMs.has(partition)) {
+						unreachableSinceMs.set(partition, clock.monotonicMs());
 					}
 				},
 				onInvalid(offset, detail) {
@@ -143,7 +147,7 @@
 		return follower;
 	};
 
-	const follow = ({services}: SiteConfig) => {
+	const followServices = ({services}: SiteConfig) => {
 		for (const {name} of services) {
 			getFollower(getPartition(name, partitions));
 		}
@@ -159,7 +163,7 @@
 		decode: decodeSiteConfig,
 		onConfig(siteConfig, offset) {
 			note('configuration in force', {version: siteConfig.version, offset, queues: siteConfig.queues.length});
-			follow(siteConfig);
+			followServices(siteConfig);
 		},
 	});
 	const jobs = new WorkflowApi({
@@ -218,6 +222,6 @@
 		store, clock, life, note, registration: {host: site.hostName, address: internalAddress},
 	});
 	return {
-		config, jobs, ownership, directory, isStoreLost, isCaughtUp, isStoreFailing: () => lostSinceMs.size > 0,
+		config, jobs, ownership, directory, isStoreLost, isCaughtUp, isStoreFailing: () => unreachableSinceMs.size > 0,
 	};
 };
--- a/src/plugins/site-process.ts
+++ b/src/plugins/site-process.ts
@@ -1,5 +1,5 @@
 /**
-What both roles on a site share: settings, log, metrics, and an end in good order.
+Process set-up that both roles of a site share: settings, log, metrics and graceful shutdown.
 */
 import process from 'node:process';
 import {type Clock} from '../types/clock.ts';
@@ -14,34 +14,34 @@
 import {createSystemClock} from '../utils/system-clock.ts';
 import {Turns} from '../utils/turns.ts';
 
-/** Parts of a process on a site. */
+/** What a role gets from its process. */
 export type SiteProcess = {
 	site: SiteSettings;
 	clock: Clock;
 	http: HttpClient;
-	/** Calls to the program's processes on other hosts. */
+	/** Calls to the processes of this program on other hosts. */
 	streams: StreamClient;
 	metrics: MetricsPage;
-	/** Writes a line of log and counts the event. */
+	/** Writes a log line and counts the event in the metrics. */
 	note: Note;
-	/** How far the process is behind. */
+	/** How late the process runs its timers. */
 	load: ProcessLoad;
-	/** Port for calls between the program's processes. */
+	/** Address for calls between the processes of this program. */
 	internalAddress: string;
-	/** Where metrics are served, and whether the process lives. */
+	/** Address of the metrics page and the liveness check. */
 	metricsAddress: string;
 	/** Aborts when the process ends. */
 	signal: AbortSignal;
-	/** New with each start of the process. */
+	/** Unique for each start of the process. */
 	life: string;
 };
 
-/** Connections to one peer: a few calls wait for news, the others answer at once. */
+/** Connections to one peer: a few calls are long polls, the others return at once. */
 const maxConnections = 16;
-const endSlackMs = 300;
+const shutdownSlackMs = 300;
 
 /**
-Runs a role until it is told to stop. `start` resolves to what is done first at the end; it may take until shortly
+Runs a role until SIGTERM or SIGINT. `start` resolves to the function that runs first at shutdown; it may take until shortly
 before the platform kills the process.
 */
 export const runSiteProcess = async (
@@ -65,7 +65,7 @@
 		process.exit(1);
 	});
 	process.on('SIGHUP', () => {
-		// Addresses and bounds of a site do not change within the life of a process; the line tells that it was heard.
+		// Addresses and bounds of a site do not change while a process runs; the line only confirms that SIGHUP was received.
 		note('settings changed', {reason: 'SIGHUP'});
 	});
 	const stopped = new Promise<void>(resolve => {
@@ -82,15 +82,15 @@
 	});
 	const load = new ProcessLoad(clock, note);
 	void load.watch(aborter.signal);
-	const finish = await start({
+	const shutDown = await start({
 		site, clock, http, streams: createStreamClient(http, turns), metrics, note, load, life, metricsAddress, internalAddress: `${site.ip}:${internalPort}`, signal: aborter.signal,
 	});
 	await stopped;
 	note('stopping');
-	await Promise.race([finish(), clock.sleep(site.bounds.graceMs - endSlackMs)]);
+	await Promise.race([shutDown(), clock.sleep(site.bounds.graceMs - shutdownSlackMs)]);
 	aborter.abort();
 	note('stopped');
-	await Promise.race([close(metrics.server), clock.sleep(endSlackMs / 3)]);
+	await Promise.race([close(metrics.server), clock.sleep(shutdownSlackMs / 3)]);
 	log.flush();
 	process.exit(0); // eslint-disable-line unicorn/no-process-exit
 };
--- a/src/plugins/slots-service.ts
+++ b/src/plugins/slots-service.ts
@@ -1,5 +1,6 @@
 /**
-Slots of upstreams at this entry: takes and gives back, asks sponsors for shares, grants shares of its own upstreams.
+Slots of upstreams at this entry: reserves and releases them, requests shares from sponsors, and grants shares of the upstreams
+that this entry sponsors.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
@@ -15,7 +16,7 @@
 import {createLogger, Part} from '../utils/logger.ts';
 
 const log = createLogger(Part.Slots);
-const forgetFactor = 10;
+const forgetAfterFactor = 10;
 
 enum SlotRefusal {
 	NoShare = 'no-share',
@@ -39,12 +40,12 @@
 	const demand = new Map<string, number>();
 	const callbacks: Array<() => void> = [];
 	const tasks = new Map<string, Promise<void>>();
-	/** Upstreams whose next sponsor has the accounts of this entry. */
+	/** Upstream incarnations whose next sponsor has received the grants that this entry made. */
 	const handedOver = new Set<string>();
 	const aborter = new AbortController();
 	const {signal} = aborter;
 	let isLeaving = false;
-	let ticking: Promise<void> | undefined;
+	let running: Promise<void> | undefined;
 	const sponsor = new SlotSponsor({
 		clock, ownId, leaseMs, maxHoldMs, divide, getSponsorship: upstreams.getSponsorship,
 	});
@@ -76,11 +77,11 @@
 	const findShare = (upstreamId: string): SlotShare | undefined => {
 		const upstream = upstreams.get(upstreamId);
 		const known = shares.get(upstreamId);
-		// A share of the incarnation before says nothing of the one to which the request would go.
+		// A share of the previous incarnation does not apply to the one that would get the request.
 		return upstream && known?.incarnation !== upstream.incarnation ? getShare(upstream) : known;
 	};
 
-	/** Brings the shares in line with the upstreams known, and grants this entry's own. */
+	/** Updates the shares from the known upstreams, and grants this entry its part of those that it sponsors. */
 	const reconcile = () => {
 		const known = upstreams.list().filter(({state}) => state !== HostState.Gone);
 		const perService = new Map<string, number>();
@@ -89,7 +90,7 @@
 		}
 
 		const indexes = new Map<string, number>();
-		const turn = random.below(65_536);
+		const rotation = random.below(65_536);
 		let hasGrown = false;
 		for (const upstream of known) {
 			const {upstreamId, service} = upstream;
@@ -98,7 +99,7 @@
 			const index = indexes.get(service) ?? 0;
 			indexes.set(service, index + 1);
 			const count = perService.get(service)!;
-			wanted.set(upstreamId, share.takeWanted(getWaitingPart(waiting, (index + turn) % count, count), waiting > 0, (index + 0.5) / count));
+			wanted.set(upstreamId, share.takeWanted(getWaitingPart(waiting, (index + rotation) % count, count), waiting > 0, (index + 0.5) / count));
 			hasGrown ||= grantOwn(upstreamId, share);
 		}
 
@@ -134,10 +135,10 @@
 			}
 		}
 
-		sponsor.forget(upstreamId => known.has(upstreamId), (leaseMs + maxHoldMs) * forgetFactor);
+		sponsor.forget(upstreamId => known.has(upstreamId), (leaseMs + maxHoldMs) * forgetAfterFactor);
 	};
 
-	const getAsked = (sponsorId: string): AskedShare[] => {
+	const getRequestedShares = (sponsorId: string): AskedShare[] => {
 		const asked: AskedShare[] = [];
 		for (const [upstreamId, share] of shares) {
 			if (share.mode === SlotMode.Sponsored && share.sponsorId === sponsorId) {
@@ -154,9 +155,9 @@
 		return asked;
 	};
 
-	/** Asks once; true when the sponsor waits for the report of what was given back. */
-	const ask = async (peerId: string, sponsorId: string, asker: SlotAsker): Promise<boolean> => {
-		const asked = asker.compose(getAsked(sponsorId), clock.monotonicMs(), isLeaving);
+	/** Sends one request; true if a share shrank and the released slots must be reported at once, because others wait for them. */
+	const requestShares = async (peerId: string, sponsorId: string, asker: SlotAsker): Promise<boolean> => {
+		const asked = asker.compose(getRequestedShares(sponsorId), clock.monotonicMs(), isLeaving);
 		if (!asked) {
 			return false;
 		}
@@ -178,7 +179,7 @@
 
 	const followPeer = async (peerId: string) => {
 		let asker: SlotAsker | undefined;
-		let askedId = '';
+		let askerSponsorId = '';
 		while (!signal.aborted) {
 			const peer = peers.list().find(({processId}) => processId === peerId);
 			if (!peer) {
@@ -186,17 +187,17 @@
 			}
 
 			const sponsorId = getSponsorId(peerId, peer.incarnation);
-			if (!asker || askedId !== sponsorId) {
+			if (!asker || askerSponsorId !== sponsorId) {
 				asker = new SlotAsker(ownId, sponsorId);
-				askedId = sponsorId;
+				askerSponsorId = sponsorId;
 			}
 
 			try {
-				if (peer.isAlive && await ask(peerId, sponsorId, asker)) {
-					await ask(peerId, sponsorId, asker);
+				if (peer.isAlive && await requestShares(peerId, sponsorId, asker)) {
+					await requestShares(peerId, sponsorId, asker);
 				}
 			} catch (error) {
-				log('No slots from %s: %s', peerId, getMessage(error));
+				log('Slot request to %s failed: %s', peerId, getMessage(error));
 			}
 
 			await clock.sleep(periodMs * (0.75 + (random.next() / 2)), signal);
@@ -205,7 +206,7 @@
 		tasks.delete(peerId);
 	};
 
-	const tick = async () => {
+	const run = async () => {
 		while (!signal.aborted) {
 			for (const {processId} of peers.list()) {
 				if (!tasks.has(processId)) {
@@ -229,7 +230,7 @@
 		return holdMs > maxHoldMs ? SlotRefusal.HoldTooLong : SlotRefusal.NoShare;
 	};
 
-	/** Tells whether an upstream still names this entry as its sponsor, or its next sponsor has not got the accounts. */
+	/** Whether an upstream still names this entry as its sponsor, or its next sponsor has not received this entry's grants. */
 	const isHandingOver = () => upstreams.list().some(({upstreamId, incarnation, sponsorId, formerSponsorId, state}) => state === HostState.Alive
 		&& (sponsorId === ownId || (formerSponsorId === ownId && !handedOver.has(getHandoverKey(upstreamId, incarnation)) && sponsor.getGrants(upstreamId, incarnation) !== undefined)));
 
@@ -244,7 +245,7 @@
 	return {
 		tryTake(upstreamId, holdMs) {
 			const share = findShare(upstreamId);
-			// The sponsor counts on this bound before it grants the slots of a silent entry to others.
+			// The sponsor relies on this bound when it grants the slots of an unresponsive entry to others.
 			const hold = holdMs > maxHoldMs ? undefined : share?.tryTake(holdMs, notifyFree);
 			if (!hold) {
 				metrics.count(Metric.SlotRefusals, getRefusal(share, holdMs));
@@ -264,7 +265,7 @@
 			callbacks.push(callback);
 		},
 		async start() {
-			ticking = tick();
+			running = run();
 		},
 		async stop() {
 			isLeaving = true;
@@ -273,15 +274,15 @@
 			}
 
 			upstreams.resignSponsorships();
-			// Long enough for the upstreams to name another sponsor and for it to get the accounts; without them it
-			// would hold back what this entry granted until every bound had passed.
+			// Long enough for the upstreams to name another sponsor and for it to receive the grants of this entry. Without them
+			// it would hold back the granted slots until their leases and holds had expired.
 			const endMs = clock.monotonicMs() + (2 * announceEveryMs) + (4 * periodMs);
 			while (isHandingOver() && peers.list().some(({isAlive}) => isAlive) && clock.monotonicMs() < endMs) {
 				await clock.sleep(periodMs);
 			}
 
 			aborter.abort();
-			await Promise.all([ticking, ...tasks.values()]);
+			await Promise.all([running, ...tasks.values()]);
 		},
 	};
 };
--- a/src/plugins/upstreams-service.ts
+++ b/src/plugins/upstreams-service.ts
@@ -1,5 +1,5 @@
 /**
-Takes the announcements of upstreams and tells which may get new requests.
+Receives the announcements of upstreams and lists those that may get new requests.
 */
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
@@ -11,7 +11,7 @@
 import {createLogger, Part} from '../utils/logger.ts';
 
 const log = createLogger(Part.Membership);
-/** Until it is settled which entry grants its slots, an upstream gets no requests: it announces again soon. */
+/** Time until an upstream without a confirmed sponsor announces itself again; short, since it gets no requests before. */
 const handshakeMs = 50;
 
 /** Creates the registry of upstreams. */
@@ -29,7 +29,7 @@
 	let isLeaving = false;
 	let grouped: {of: UpstreamAnnouncement[]; byService: Map<string, UpstreamAnnouncement[]>} = {of: [], byService: new Map()};
 
-	const takeOwn = (announcement: UpstreamAnnouncement, isOurs: boolean): AnnouncementReply => {
+	const acceptHere = (announcement: UpstreamAnnouncement, isOurs: boolean): AnnouncementReply => {
 		const reply = membership.hear(HostKind.Upstream, announcement.upstreamId, announcement, isOurs);
 		if (!reply.isAccepted || announcement.isGuarded || announcement.sponsorTerm === undefined) {
 			return reply;
@@ -38,7 +38,7 @@
 		const {sponsorId, sponsorTerm} = announcement;
 		const isSettled = sponsorId === membership.ownId;
 		if (sponsorId && !isSettled) {
-			// Meant for a former incarnation of this entry: only the upstream's own lock ends that sponsorship.
+			// The sponsor is a previous incarnation of this entry; that sponsorship ends only when the upstream's own lock expires.
 			return {...reply, sponsorId, sponsorTerm};
 		}
 
@@ -54,11 +54,11 @@
 		const {sponsorId, sponsorTerm} = announcement;
 		const hasOtherSponsor = sponsorTerm !== undefined && !announcement.isGuarded && sponsorId && sponsorId !== membership.ownId;
 		if (isLeaving && sponsorTerm !== undefined && !sponsorId) {
-			throw createError(ErrorCode.Refused, {step: 'take announcement', peer: announcement.upstreamId, detail: 'this entry is leaving'});
+			throw createError(ErrorCode.Refused, {step: 'take announcement', peer: announcement.upstreamId, detail: 'this entry is shutting down'});
 		}
 
 		if (!hasOtherSponsor) {
-			return takeOwn(announcement, Boolean(sponsorId));
+			return acceptHere(announcement, Boolean(sponsorId));
 		}
 
 		try {
@@ -66,10 +66,10 @@
 				return await membership.forward(getSponsorProcess(sponsorId), announcement);
 			}
 		} catch (error) {
-			log('Sponsor %s does not answer: %s', sponsorId, getMessage(error));
+			log('Sponsor %s did not answer: %s', sponsorId, getMessage(error));
 		}
 
-		// The upstream stays locked to its sponsor until its own clock says otherwise; nobody else may grant before.
+		// The upstream stays locked to its sponsor until the lock expires by its own clock; no other entry may grant slots before.
 		metrics.count(Metric.SponsorUnreachable);
 		const reply = membership.hear(HostKind.Upstream, announcement.upstreamId, announcement);
 		return {...reply, sponsorId, sponsorTerm};
@@ -93,10 +93,10 @@
 		}
 	};
 
-	membership.onForward(announcement => takeOwn(announcement, true));
+	membership.onForward(announcement => acceptHere(announcement, true));
 
 	const registry: UpstreamRegistry = {
-		announce: announcement => takeOwn(announcement, false),
+		announce: announcement => acceptHere(announcement, false),
 		receive,
 		getRoutable: getByService,
 		list: () => membership.list(HostKind.Upstream) as UpstreamAnnouncement[],
@@ -116,7 +116,7 @@
 	};
 
 	control.route('POST', '/v1/announcements/upstreams', async ({body}) => ({body: await receive(parseUpstreamAnnouncement(body))}));
-	/** Draining beats alive within an incarnation, so the upstream's own announcements do not undo it. */
+	/** Marks an upstream as draining. Draining overrides alive within an incarnation, so its own announcements do not undo it. */
 	const drain = (upstreamId: string): AnnouncementReply => {
 		const known = registry.get(upstreamId);
 		if (!known) {
--- a/src/plugins/worker-client.ts
+++ b/src/plugins/worker-client.ts
@@ -1,5 +1,5 @@
 /**
-A worker over HTTP with JSON.
+Client of a worker: JSON over HTTP.
 */
 import {Agent} from 'undici';
 import {type WorkerClient} from '../types/platform.ts';
@@ -12,7 +12,7 @@
 	close(): Promise<void>;
 };
 
-/** Creates a client of the worker at the address. Errors are `peer-unavailable` when no answer came. */
+/** Creates a client of the worker at the address. Throws `peer-unavailable` if no answer arrives. */
 export const createWorkerClient = (address: string): HttpWorkerClient => {
 	const agent = new Agent({connections: 4, pipelining: 1});
 	const post = async <Reply>(operation: string, body: unknown): Promise<Reply> => callJson<Reply>({
--- a/src/plugins/workers-service.ts
+++ b/src/plugins/workers-service.ts
@@ -1,5 +1,5 @@
 /**
-Takes the announcements of workers and gives a client for each.
+Receives the announcements of workers and creates a client for each.
 */
 import {type Kernel} from '../core/kernel.ts';
 import {HostKind, parseWorkerAnnouncement} from '../requests/membership-messages.ts';
@@ -22,12 +22,12 @@
 		void known?.client.close();
 		const client = createWorkerClient(address);
 		clients.set(workerId, {address, client});
-		dropClients();
+		closeUnusedClients();
 		return client;
 	};
 
-	/** Closes the clients of workers that are not known any more. */
-	const dropClients = () => {
+	/** Closes the clients of unknown workers once there are more than twice as many clients as known workers. */
+	const closeUnusedClients = () => {
 		if (clients.size <= 2 * membership.list(HostKind.Worker).length) {
 			return;
 		}
