--- a/src/plugins/guard-admission.ts
+++ b/src/plugins/guard-admission.ts
@@ -25,7 +25,7 @@
 		this.#bounds = bounds;
 	}
 
-	/** Resolves to true once admitted, or to false if the queue is full or `queueMs` passes. Call `release` once for each admission. */
+	/** Resolves to true once admitted, or to false if the queue is full or `queueMs` passes. Release each admission once. */
 	async admit(): Promise<boolean> {
 		if (this.inProgress < this.#bounds.slots) {
 			this.inProgress++;
--- a/src/plugins/guard.ts
+++ b/src/plugins/guard.ts
@@ -108,7 +108,7 @@
 		});
 		// A request that never ends would hold its slot for ever; after this time no caller still waits for the answer.
 		const timer = clock.setTimer(() => {
-			upstreamRequest.destroy(createError(ErrorCode.TimedOut, {step: 'pass request', peer: guard.upstreamAddress}));
+			upstreamRequest.destroy(createError(ErrorCode.TimedOut, {step: 'forward request', peer: guard.upstreamAddress}));
 		}, maxHoldMs);
 		try {
 			const answer = await exchange(request, upstreamRequest);
--- a/src/plugins/jobs-service.ts
+++ b/src/plugins/jobs-service.ts
@@ -48,7 +48,7 @@
 		return status;
 	};
 
-	/** Gets the status from the owner of the shard, which knows the tasks; if it is not reachable, the last known status, marked as such. */
+	/** Gets the status from the owner of the shard, which knows the tasks; if it is unreachable, the last known one, marked so. */
 	const fetchStatus = async (jobId: string): Promise<JobStatus> => {
 		const known = getKnownStatus(jobId);
 		const ownerId = scheduler.getOwner(jobId);
--- a/src/plugins/membership-service.ts
+++ b/src/plugins/membership-service.ts
@@ -63,7 +63,7 @@
 	const tasks = new Map<string, Promise<void>>();
 	const repliedPeers = new Set<string>();
 	const startedAtMs = clock.monotonicMs();
-	let expiring: Promise<void> | undefined;
+	let running: Promise<void> | undefined;
 	let forwardHandler: ForwardHandler | undefined;
 
 	const pull = async (peerId: string, ownerId: string) => {
@@ -79,7 +79,7 @@
 		}
 	};
 
-	const followPeer = async (peerId: string) => {
+	const pullFromPeer = async (peerId: string) => {
 		while (!signal.aborted) {
 			const peer = peers.list().find(({processId: id}) => id === peerId);
 			if (!peer) {
@@ -96,12 +96,12 @@
 		tasks.delete(peerId);
 	};
 
-	const runExpiry = async () => {
+	const run = async () => {
 		let lastMs = clock.monotonicMs();
 		while (!signal.aborted) {
 			for (const {processId: peerId} of peers.list()) {
 				if (!tasks.has(peerId)) {
-					tasks.set(peerId, followPeer(peerId));
+					tasks.set(peerId, pullFromPeer(peerId));
 				}
 			}
 
@@ -127,7 +127,7 @@
 		}
 
 		if (!forwardHandler) {
-			throw createError(ErrorCode.Refused, {step: 'take forwarded announcement', detail: 'no handler is registered yet'});
+			throw createError(ErrorCode.Refused, {step: 'accept forwarded announcement', detail: 'no handler is registered yet'});
 		}
 
 		return forwardHandler(parseUpstreamAnnouncement(content));
@@ -145,7 +145,7 @@
 				metrics.count(Metric.AnnouncementsSlowed);
 			}
 
-			// The lease must not expire because the host was told to announce itself less often.
+			// The lease must not expire because the host was asked to announce itself less often.
 			const leaseMs = Math.max(settings.leaseMs, nextAfterMs * leaseFactor);
 			const taken = state.hear(getHostKey(kind, id), announcement, leaseMs, isMonitoredHere);
 			metrics.count(Metric.Announcements, taken);
@@ -162,11 +162,11 @@
 			forwardHandler = handler;
 		},
 		async start() {
-			expiring = runExpiry();
+			running = run();
 		},
 		async stop() {
 			aborter.abort();
-			await Promise.all([expiring, ...tasks.values()]);
+			await Promise.all([running, ...tasks.values()]);
 		},
 	};
 };
--- a/src/plugins/moves-service.ts
+++ b/src/plugins/moves-service.ts
@@ -1,6 +1,6 @@
 /**
 Moves services between regions as the configuration declares: an entry of the new region takes over a service once its
-dependencies have moved and the new region has had enough upstreams for long enough.
+dependencies have moved and the new region has had `warmUpstreams` upstreams of it for `warmMs`.
 */
 import {SectionKind, parseSectionName} from '../core/config-text.ts';
 import {getMessage} from '../core/errors.ts';
--- a/src/plugins/peers-service.ts
+++ b/src/plugins/peers-service.ts
@@ -41,9 +41,9 @@
 	// Jitter keeps entries that started together from sending their heartbeats at the same time.
 	const jitter = (ms: number) => ms * (0.75 + (random.next() / 2));
 
-	// Naming a few random peers in each heartbeat spreads them to all entries within some heartbeats. Naming all peers every
-	// time would make the traffic grow with the square of the number of entries.
-	const getHello = (isLeaving = false): Hello => {
+	// Naming a few random peers in each heartbeat lets all entries discover each other within some heartbeats. Naming all peers
+	// every time would make the traffic grow with the square of the number of entries.
+	const createHello = (isLeaving = false): Hello => {
 		const alive = directory.list().filter(({processId}) => directory.isAlive(processId));
 		const offset = random.below(Math.max(1, alive.length));
 		const named = [...alive.slice(offset), ...alive.slice(0, offset)].slice(0, peersPerHello);
@@ -72,10 +72,10 @@
 	const sendHello = async (address: string, toId: string) => {
 		const sentAtMs = clock.monotonicMs();
 		const answer = parseHello(await transport.call(address, {
-			fromId: identity.processId, toId, method: PeerMethod.Hello, body: getHello(),
+			fromId: identity.processId, toId, method: PeerMethod.Hello, body: createHello(),
 		}, callTimeoutMs));
 		handleHello(answer);
-		// The lease counts from the send time, because a late answer proves only that the peer was alive at some time after that.
+		// Counted from the send time: a late answer proves only that the peer was alive at some time after that.
 		directory.noteAnswer(answer.presence, sentAtMs + leaseMs);
 	};
 
@@ -156,7 +156,7 @@
 		},
 		onUnavailable(message) {
 			metrics.count(Metric.LogErrors, Stream.Entries);
-			log('Cannot read the log: %s', message);
+			log('Read of the presence records failed: %s', message);
 		},
 	}, {
 		log: platformLog, stream: Stream.Entries, clock, random, fromOffset: 0, signal,
@@ -179,7 +179,7 @@
 	const sendLeaving = async ({processId, peerAddress}: Presence) => {
 		try {
 			await transport.call(peerAddress, {
-				fromId: identity.processId, toId: processId, method: PeerMethod.Hello, body: getHello(true),
+				fromId: identity.processId, toId: processId, method: PeerMethod.Hello, body: createHello(true),
 			}, callTimeoutMs);
 		} catch (error) {
 			log('Leave notice to %s failed: %s', processId, getMessage(error));
@@ -188,7 +188,7 @@
 
 	handlers.set(PeerMethod.Hello, body => {
 		handleHello(parseHello(body));
-		return getHello();
+		return createHello();
 	});
 
 	const service: PeersService = {
--- a/src/plugins/peers-transport.ts
+++ b/src/plugins/peers-transport.ts
@@ -18,7 +18,7 @@
 	body: unknown;
 };
 
-/** Answers one call of a peer. */
+/** Handles one call of a peer. */
 export type ServePeer = (request: PeerRequest) => Promise<unknown>;
 
 /** Carries calls between entries. */
--- a/src/plugins/site-entry.ts
+++ b/src/plugins/site-entry.ts
@@ -56,7 +56,7 @@
 	let isLeaving = false;
 	const isReady = () => !isLeaving && isCaughtUp() && !isStoreLost() && !load.isOverloaded;
 	const callers = createCallerServer({
-		jobs: createRelay(parts, {jobs, directory, isStoreLost}),
+		jobs: createRelayingApi(parts, {jobs, directory, isStoreLost}),
 		clock,
 		findQueue,
 		// A caller with an open connection keeps using this entry unless the answer closes the connection.
@@ -94,19 +94,19 @@
 const aliveTimeoutMs = 600;
 
 /** Whether the process at the address is alive: any HTTP answer counts. */
-const isAnswering = async (http: HttpClient, address: string): Promise<boolean> => {
+const isProcessAlive = async (http: HttpClient, address: string): Promise<boolean> => {
 	try {
 		await http.call({
 			address, method: 'GET', path: alivePath, timeoutMs: aliveTimeoutMs, step: 'check that an owner is alive',
 		});
 		return true;
 	} catch {
-		// A failed call means that the process is not alive.
+		// A process that does not answer counts as not alive.
 		return false;
 	}
 };
 
-const createRelay = ({clock, http, note}: SiteProcess, {jobs, directory, isStoreLost}: {jobs: JobApi; directory: EntryDirectory; isStoreLost: () => boolean}): JobApi => new RelayingApi({
+const createRelayingApi = ({clock, http, note}: SiteProcess, {jobs, directory, isStoreLost}: {jobs: JobApi; directory: EntryDirectory; isStoreLost: () => boolean}): JobApi => new RelayingApi({
 	local: jobs, client: createEntryClient(http), clock, getOthers: () => directory.others, isStoreLost, note,
 });
 
@@ -192,7 +192,7 @@
 			const {records} = await store.newest({topic: agentsTopic, partition: 0});
 			return records.length;
 		},
-		isAlive: async address => isAnswering(http, address),
+		isAlive: async address => isProcessAlive(http, address),
 		minTtlMs: minMemberTtlMs,
 		isUsed: partition => followers.has(partition),
 		getProvenAtMs: () => isCaughtUp() ? Math.min(...[...followers.values()].map(({provenAtMs}) => provenAtMs)) : Number.NEGATIVE_INFINITY,
--- a/src/plugins/slots-service.ts
+++ b/src/plugins/slots-service.ts
@@ -103,7 +103,7 @@
 			hasGrown ||= grantOwn(upstreamId, share);
 		}
 
-		forgetUnknown(new Set(known.map(({upstreamId}) => upstreamId)));
+		removeUnknown(new Set(known.map(({upstreamId}) => upstreamId)));
 		if (hasGrown) {
 			notifyFree();
 		}
@@ -127,7 +127,7 @@
 		return share.free > wasFree;
 	};
 
-	const forgetUnknown = (known: Set<string>) => {
+	const removeUnknown = (known: Set<string>) => {
 		for (const upstreamId of shares.keys()) {
 			if (!known.has(upstreamId)) {
 				shares.delete(upstreamId);
@@ -155,7 +155,7 @@
 		return asked;
 	};
 
-	/** Sends one request; true if a share shrank and the released slots must be reported at once, because others wait for them. */
+	/** Sends one request; true if a share shrank and the released slots must be reported at once, since others wait for them. */
 	const requestShares = async (peerId: string, sponsorId: string, asker: SlotAsker): Promise<boolean> => {
 		const asked = asker.compose(getRequestedShares(sponsorId), clock.monotonicMs(), isLeaving);
 		if (!asked) {
@@ -177,7 +177,7 @@
 		return hasShrunk;
 	};
 
-	const followPeer = async (peerId: string) => {
+	const requestFromPeer = async (peerId: string) => {
 		let asker: SlotAsker | undefined;
 		let askerSponsorId = '';
 		while (!signal.aborted) {
@@ -210,7 +210,7 @@
 		while (!signal.aborted) {
 			for (const {processId} of peers.list()) {
 				if (!tasks.has(processId)) {
-					tasks.set(processId, followPeer(processId));
+					tasks.set(processId, requestFromPeer(processId));
 				}
 			}
 
--- a/src/plugins/upstreams-service.ts
+++ b/src/plugins/upstreams-service.ts
@@ -25,36 +25,36 @@
 	const metrics = kernel.get(ServiceName.Metrics);
 	const sponsors = new SponsorBook(clock, membership.ownId);
 	const aborter = new AbortController();
-	let forgetting: Promise<void> | undefined;
+	let cleaning: Promise<void> | undefined;
 	let isLeaving = false;
 	let grouped: {of: UpstreamAnnouncement[]; byService: Map<string, UpstreamAnnouncement[]>} = {of: [], byService: new Map()};
 
-	const acceptHere = (announcement: UpstreamAnnouncement, isOurs: boolean): AnnouncementReply => {
-		const reply = membership.hear(HostKind.Upstream, announcement.upstreamId, announcement, isOurs);
+	const acceptHere = (announcement: UpstreamAnnouncement, isMonitoredHere: boolean): AnnouncementReply => {
+		const reply = membership.hear(HostKind.Upstream, announcement.upstreamId, announcement, isMonitoredHere);
 		if (!reply.isAccepted || announcement.isGuarded || announcement.sponsorTerm === undefined) {
 			return reply;
 		}
 
 		const {sponsorId, sponsorTerm} = announcement;
-		const isSettled = sponsorId === membership.ownId;
-		if (sponsorId && !isSettled) {
+		const isConfirmedSponsor = sponsorId === membership.ownId;
+		if (sponsorId && !isConfirmedSponsor) {
 			// The sponsor is a previous incarnation of this entry; that sponsorship ends only when the upstream's own lock expires.
 			return {...reply, sponsorId, sponsorTerm};
 		}
 
 		if (isLeaving) {
-			return {...reply, isSponsorLeaving: isSettled, nextAfterMs: handshakeMs};
+			return {...reply, isSponsorLeaving: isConfirmedSponsor, nextAfterMs: handshakeMs};
 		}
 
 		const lockMs = Math.max(sponsorLockMs, reply.nextAfterMs * 3);
-		return {...reply, ...sponsors.note(announcement, lockMs), nextAfterMs: isSettled ? reply.nextAfterMs : handshakeMs};
+		return {...reply, ...sponsors.note(announcement, lockMs), nextAfterMs: isConfirmedSponsor ? reply.nextAfterMs : handshakeMs};
 	};
 
 	const receive = async (announcement: UpstreamAnnouncement): Promise<AnnouncementReply> => {
 		const {sponsorId, sponsorTerm} = announcement;
 		const hasOtherSponsor = sponsorTerm !== undefined && !announcement.isGuarded && sponsorId && sponsorId !== membership.ownId;
 		if (isLeaving && sponsorTerm !== undefined && !sponsorId) {
-			throw createError(ErrorCode.Refused, {step: 'take announcement', peer: announcement.upstreamId, detail: 'this entry is shutting down'});
+			throw createError(ErrorCode.Refused, {step: 'accept announcement', peer: announcement.upstreamId, detail: 'this entry is shutting down'});
 		}
 
 		if (!hasOtherSponsor) {
@@ -86,7 +86,7 @@
 		return grouped.byService.get(serviceName) ?? [];
 	};
 
-	const forget = async () => {
+	const cleanUp = async () => {
 		while (!aborter.signal.aborted) {
 			await clock.sleep(forgetAfterMs, aborter.signal);
 			sponsors.forgetOlderThan(forgetAfterMs);
@@ -107,11 +107,11 @@
 			sponsors.resign();
 		},
 		async start() {
-			forgetting = forget();
+			cleaning = cleanUp();
 		},
 		async stop() {
 			aborter.abort();
-			await forgetting;
+			await cleaning;
 		},
 	};
 
--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -240,19 +240,19 @@
 
 test('only the configured region serves requests, and no request with an id runs before the move has settled', async () => {
 	const upstream = await simulation.startUpstream(answerOk);
-	const side = {region: 'elsewhere' as string | undefined, isSettled: true};
-	simulation.moves.current = {getRegion: () => side.region, isSettled: () => side.isSettled};
+	const owningRegion = {region: 'elsewhere' as string | undefined, isSettled: true};
+	simulation.moves.current = {getRegion: () => owningRegion.region, isSettled: () => owningRegion.isSettled};
 	const entry = await simulation.startEntry();
 	expect(describe(await send(entry.address))).toEqual({status: 503, reason: RefusalReason.WrongSide, outcome: Outcome.NotRun});
-	side.region = 'local';
-	side.isSettled = false;
+	owningRegion.region = 'local';
+	owningRegion.isSettled = false;
 	await simulation.clock.sleep(20);
 	expect(await send(entry.address)).toMatchObject({status: 200});
 	const requestId = simulation.createId();
 	const refused = await send(entry.address, post(requestId));
 	expect(describe(refused)).toEqual({status: 503, reason: RefusalReason.WrongSide, outcome: Outcome.NotRun});
 	expect(Number(refused.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
-	side.isSettled = true;
+	owningRegion.isSettled = true;
 	expect(await send(entry.address, post(requestId))).toMatchObject({status: 200});
 	expect(upstream.requests).toHaveLength(2);
 });
--- a/test/slots-property.test.ts
+++ b/test/slots-property.test.ts
@@ -148,8 +148,8 @@
 	// An upstream that runs nine requests at once may run out of memory. Entries start, stop, pause and lose contact, and the
 	// upstream changes its sponsor, in any order. Two sponsors that both consider themselves valid, or a share that counts as
 	// free while its holder still uses it, would grant a slot twice.
-	await fc.assert(fc.asyncProperty(fc.array(action, {minLength: 5, maxLength: 40}), faults, fc.nat(), async (steps, networkFaults, worldSeed) => {
-		await runSteps(steps, networkFaults, worldSeed);
+	await fc.assert(fc.asyncProperty(fc.array(action, {minLength: 5, maxLength: 40}), faults, fc.nat(), async (steps, networkFaults, simulationSeed) => {
+		await runSteps(steps, networkFaults, simulationSeed);
 	}), {numRuns: runs, seed});
 }, 600_000);
 
