--- a/src/agents/agent-state.ts
+++ b/src/agents/agent-state.ts
@@ -1,58 +1,62 @@
 /**
-State of an agent: its worker, the lease it holds for it, the runs there, and the version that owners wait on.
+State of an agent: its worker, the lease that it holds for the worker, the worker's runs, and the version that owners long-poll.
 */
 import {isWithin, type CrashedRun, type WorkerReport} from '../types/fleet.ts';
 import {LeaseClock} from './lease-clock.ts';
 import {WorkerRuns} from './worker-runs.ts';
 
-/** One incarnation of the worker as the agent knows it. */
+/** What the agent knows of one incarnation of the worker. */
 export type WorkerState = {
 	report: WorkerReport;
 	lease: LeaseClock;
 	runs: WorkerRuns;
-	/** Ends up to this number are in the log. */
+	/** Ends of runs up to this number are stored in the log; the worker may drop them. */
 	forgetUpTo: number;
-	/** Set while the agent was declared lost: nothing is prolonged until the worker's clock shows this. */
+	/** Set after the agent was declared lost: no lease is renewed until the worker's clock has passed this reading. */
 	lapseUntilMs?: number;
-	/** Whether the last renewal was answered. */
+	/** Whether the worker answered the last renewal. */
 	isAnswering: boolean;
-	/** When the first renewal without an answer failed; undefined while it answers. */
+	/** When a renewal first got no answer; undefined while the worker answers. */
 	silentSinceMs?: number;
 	/** When the worker last answered a listing or a start. */
 	answeredAtMs: number;
-	/** The worker gives no answer and its leases are over. */
+	/** The worker does not answer, and all leases granted to it have expired. */
 	isOver: boolean;
 };
 
-const maxGone = 20;
-/** An agent that stood still notices late that its worker crashed: not later than this after the last answer, as far as ages go. */
-const noticeMs = 250;
-/** Beyond this the oldest are dropped: no owner has been there for long. */
-const maxCrashed = 1000;
+const maxGoneWorkerIds = 20;
+/**
+A paused agent detects the crash of its worker late, which would make the crashed runs look older than they are. The crash is
+taken to have come at most this long after the worker's last answer.
+*/
+const maxCrashDelayMs = 250;
+/** Bound on the crashed runs kept while no owner stores them; the oldest are dropped. */
+const maxCrashedRuns = 1000;
 
-/** About when a worker that is gone crashed. */
+/** Estimates when a worker that is gone crashed. */
 export const getCrashedAtMs = ({silentSinceMs, answeredAtMs}: WorkerState, nowMs: number): number =>
-	Math.min(silentSinceMs ?? nowMs, answeredAtMs + noticeMs);
+	Math.min(silentSinceMs ?? nowMs, answeredAtMs + maxCrashDelayMs);
 
 /** State of an agent. */
 export class AgentState {
+	/** Identifies this start of the agent process; `agentLife` in messages. */
 	readonly life: string;
 	worker: WorkerState | undefined;
-	/** When an owner was last told the state. */
+	/** When the state was last sent to an owner. */
 	toldAtMs = Number.NEGATIVE_INFINITY;
 	/** Offset of the registration in force; 0 before the first. */
 	session = 0;
-	/** Declared lost: the leases have to run out before anything is prolonged or started again. */
+	/** Declared lost: all leases must expire before any is renewed or any task is started. */
 	mustLapse = false;
-	/** Incarnations of which nothing runs any more. */
+	/** Incarnations of the worker that have ended, with all their runs. */
 	readonly goneWorkerIds: string[] = [];
-	/** Runs that were there as workers crashed, and are not known to be in the log. */
+	/** Runs that were resident when a worker crashed, and that no owner has reported as stored in the log. */
 	#crashed: CrashedRun[] = [];
-	#lastCrashed = 0;
-	/** Announced while another incarnation was known and not yet known to be gone. */
+	#lastCrashedNumber = 0;
+	/** A second incarnation, announced while the first is not known to be gone. */
 	#successor: WorkerReport | undefined;
 	#version = 1;
-	readonly #waiters = new Set<() => void>();
+	readonly #watchers = new Set<() => void>();
 	readonly #horizonMs: number;
 
 	constructor(life: string, horizonMs: number) {
@@ -60,53 +64,53 @@
 		this.#horizonMs = horizonMs;
 	}
 
-	/** Rises with each change that owners want to know. */
+	/** Increases with each change that owners need to know. */
 	get version(): number {
 		return this.#version;
 	}
 
-	/** Runs that were there as workers crashed, and are not known to be in the log. */
+	/** Runs that were resident when a worker crashed, and that no owner has reported as stored in the log. */
 	get crashed(): readonly CrashedRun[] {
 		return this.#crashed;
 	}
 
-	/** Notes a change that the owner knows already. */
+	/** Increments the version for a change that the owner already knows of. */
 	advance(): void {
 		this.#version++;
 	}
 
-	/** Notes a change and wakes who waits for one. */
+	/** Increments the version and wakes the watchers. */
 	bump(): void {
 		this.advance();
 		this.wake();
 	}
 
-	/** Wakes who waits for news: figures of tasks are new, or more has changed. */
+	/** Wakes the watchers: measurements of tasks are new, or the version has changed. */
 	wake(): void {
-		for (const wake of this.#waiters) {
-			wake();
+		for (const onWake of this.#watchers) {
+			onWake();
 		}
 	}
 
-	/** Calls back at the next change; gives a function that withdraws it. */
-	onChange(wake: () => void): () => void {
-		this.#waiters.add(wake);
+	/** Registers a callback for changes; returns a function that removes it. */
+	onChange(onWake: () => void): () => void {
+		this.#watchers.add(onWake);
 		return () => {
-			this.#waiters.delete(wake);
+			this.#watchers.delete(onWake);
 		};
 	}
 
 	/**
-	Takes an announcement. True for a new incarnation of the worker.
+	Applies an announcement. Returns true if it makes a new incarnation of the worker the current one.
 
-	An announcement that was held up may come from an incarnation that has crashed since, also one that this life of the
-	agent never met. Taken for the newest, it would make the owner believe that nothing runs on the one that lives, and
-	start all of that elsewhere. So a second incarnation waits until the worker itself says that the first is gone.
+	A delayed announcement may come from an incarnation that has crashed since, possibly before this agent process started.
+	If it replaced the live incarnation, the owner would take the live one's runs for ended and start them elsewhere as well.
+	So a second incarnation becomes current only after the worker's own answer shows that the first is gone.
 	*/
 	announce(report: WorkerReport, nowMs: number): boolean {
 		const known = this.worker?.report;
 		if (known?.workerId === report.workerId) {
-			// Announcements may overtake each other; the sequence tells which is newer.
+			// Announcements may arrive out of order; the one with the higher sequence is newer.
 			if (report.sequence > known.sequence) {
 				this.worker!.report = report;
 				if (known.isDraining !== report.isDraining || !isWithin(known, report) || !isWithin(report, known)) {
@@ -118,7 +122,7 @@
 		}
 
 		if (this.goneWorkerIds.includes(report.workerId)) {
-			// Sent by an incarnation that has crashed since, and held up on its way.
+			// A delayed announcement of an incarnation that has ended.
 			return false;
 		}
 
@@ -127,22 +131,22 @@
 			return false;
 		}
 
-		this.#begin(report, nowMs);
+		this.#setWorker(report, nowMs);
 		return true;
 	}
 
-	/** Notes that nothing runs any more on an incarnation. */
+	/** Records that an incarnation has ended, with all its runs. */
 	noteGone(workerId: string): void {
 		if (!this.goneWorkerIds.includes(workerId)) {
 			this.goneWorkerIds.push(workerId);
-			this.goneWorkerIds.splice(0, Math.max(0, this.goneWorkerIds.length - maxGone));
+			this.goneWorkerIds.splice(0, Math.max(0, this.goneWorkerIds.length - maxGoneWorkerIds));
 			this.bump();
 		}
 	}
 
 	/**
-	The worker is gone without a word, and this process was there all the while: it crashed, where a host that loses power
-	takes its agent along. One that drains was about to end.
+	Records the runs of a worker that ended without a leave message while this process kept running. The worker itself crashed:
+	a loss of the host would have ended the agent too. A draining worker was about to end, so its end is not counted as a crash.
 	*/
 	noteCrash(worker: WorkerState, nowMs: number): void {
 		const {report, runs} = worker;
@@ -150,19 +154,19 @@
 			return;
 		}
 
-		for (const aboard of runs.getAboard(getCrashedAtMs(worker, nowMs))) {
-			this.#crashed.push({...aboard, number: ++this.#lastCrashed, workerId: report.workerId});
+		for (const resident of runs.getAboard(getCrashedAtMs(worker, nowMs))) {
+			this.#crashed.push({...resident, number: ++this.#lastCrashedNumber, workerId: report.workerId});
 		}
 
-		this.#crashed.splice(0, Math.max(0, this.#crashed.length - maxCrashed));
+		this.#crashed.splice(0, Math.max(0, this.#crashed.length - maxCrashedRuns));
 	}
 
-	/** Drops crashed runs that are in the log. */
+	/** Drops crashed runs that are stored in the log. */
 	forgetCrashed(upTo: number): void {
 		this.#crashed = this.#crashed.filter(({number}) => number > upTo);
 	}
 
-	/** Drops the worker: it ended, or another incarnation answers at its address. That one may have announced itself. */
+	/** Removes an incarnation that ended or whose address another one answers at. If a successor has announced itself, it becomes current. */
 	drop(workerId: string, nowMs: number): void {
 		if (this.worker?.report.workerId === workerId) {
 			this.worker = undefined;
@@ -171,11 +175,11 @@
 		this.noteGone(workerId);
 		const successor = this.#successor;
 		if (!this.worker && successor && successor.workerId !== workerId) {
-			this.#begin(successor, nowMs);
+			this.#setWorker(successor, nowMs);
 		}
 	}
 
-	#begin(report: WorkerReport, nowMs: number): void {
+	#setWorker(report: WorkerReport, nowMs: number): void {
 		this.#successor = undefined;
 		this.worker = {
 			report, lease: new LeaseClock(this.#horizonMs), runs: new WorkerRuns(), forgetUpTo: 0, isOver: false, isAnswering: true, answeredAtMs: nowMs,
--- a/src/agents/agent.ts
+++ b/src/agents/agent.ts
@@ -1,6 +1,6 @@
 /**
-An agent: the process beside one worker, and the only one that calls it. It registers itself, holds the worker's leases
-as far as they are proven, and carries out what the owner of the service orders.
+An agent: the process on a worker's host that makes all calls to that worker. It registers itself in the store, renews the
+worker's leases while it has proof that it was not declared lost, and carries out the orders of the service's owner.
 */
 import {Buffer} from 'node:buffer';
 import {getMessage} from '../core/errors.ts';
@@ -24,7 +24,7 @@
 	store: StoreClient;
 	client: WorkerClient;
 	clock: Clock;
-	/** New with each start of the process. */
+	/** Identifies this start of the agent process. */
 	life: string;
 	leaseHorizonMs: number;
 	maxLeaseMs: number;
@@ -33,8 +33,8 @@
 
 const registerTimeoutMs = 1000;
 const registerRetryMs = 200;
-/** Raised by this when the worker has seen a higher fence: the wall clock was set back since the last life. */
-const fenceStepMs = 3_600_000;
+/** The fencing token is raised by this when the worker has seen a higher one: the wall clock was set back between two starts of the agent. */
+const fenceIncrementMs = 3_600_000;
 
 /** The agent. */
 export class Agent {
@@ -45,15 +45,15 @@
 	readonly #wakeup = new Wakeup();
 	readonly #loopOptions: Parameters<typeof runWorkerLoop>[0];
 	/**
-	The worker refuses orders with a lower fence than it has seen. Wall time rises with each life of the agent, so orders
-	of an earlier life that are carried out late change nothing.
+	Fencing token: the worker refuses orders with a lower one than it has seen. It starts as the wall time, which increases with
+	each start of the agent, so that delayed orders of an earlier agent process are refused.
 	*/
 	#fence: number;
 	#isRegistered = false;
 	#registrations = 0;
 	#hasLeft = false;
-	/** Declarations about earlier registrations were waited out already. */
-	#lossFloor = 0;
+	/** Loss declarations about registrations before this offset are ignored: their leases have already expired. */
+	#minLostSession = 0;
 	#isStoreReached: boolean | undefined;
 
 	constructor(options: AgentOptions) {
@@ -66,12 +66,12 @@
 			clock,
 			ref: {topic: controlTopic, partition},
 			host: registration.host,
-			onReadSent: () => this.#dateProof(),
+			onReadSent: () => this.#prepareProof(),
 			onLost: session => {
-				this.#takeLoss(session);
+				this.#handleLoss(session);
 			},
 			onStoreState: (isReached, detail) => {
-				this.#noteStore(isReached, detail);
+				this.#logStoreState(isReached, detail);
 			},
 			onInvalid(detail) {
 				note('control record not valid', {detail});
@@ -79,7 +79,7 @@
 		});
 		const shared = {
 			state: this.state, client, clock, note, getFence: () => this.#fence, onFenceRefused: () => {
-				this.#fence += fenceStepMs;
+				this.#fence += fenceIncrementMs;
 				note('fence raised', {fence: this.#fence});
 			},
 		};
@@ -96,21 +96,21 @@
 		};
 	}
 
-	/** Takes an announcement of the worker. */
+	/** Handles an announcement of the worker. */
 	announce(report: WorkerReport): void {
-		const before = this.state.worker?.report;
+		const previous = this.state.worker?.report;
 		if (this.state.announce(report, this.#options.clock.monotonicMs())) {
 			this.#hasLeft = false;
 			this.#options.note('worker came', {
-				workerId: report.workerId, before: before?.workerId, milliCpu: report.milliCpu, memoryMb: report.memoryMb, labels: report.labels,
+				workerId: report.workerId, before: previous?.workerId, milliCpu: report.milliCpu, memoryMb: report.memoryMb, labels: report.labels,
 			});
 			this.#wakeup.wake();
-		} else if (before?.workerId === report.workerId && !before.isDraining && report.isDraining) {
+		} else if (previous?.workerId === report.workerId && !previous.isDraining && report.isDraining) {
 			this.#options.note('worker drains', {workerId: report.workerId, remainingMs: report.remainingMs});
 		}
 	}
 
-	/** The worker ends. */
+	/** Handles the worker's message that it ends. */
 	workerLeft(workerId: string): void {
 		this.#options.note('worker left', {workerId});
 		this.#hasLeft = true;
@@ -126,8 +126,8 @@
 	}
 
 	/**
-	Ends in good order. An agent whose worker has left is not coming back: without its registration, a later owner need
-	not wait for its leases. One that is only restarted keeps it.
+	Removes the registration at shutdown if the worker has left: such an agent does not come back, and without a registration
+	later owners need not wait for its leases. An agent that is only restarted keeps its registration.
 	*/
 	async leave(): Promise<void> {
 		if (this.state.worker === undefined && this.#hasLeft) {
@@ -139,12 +139,12 @@
 	async run(signal: AbortSignal): Promise<void> {
 		await Promise.all([
 			runWorkerLoop(this.#loopOptions, signal),
-			this.#follow(signal),
+			this.#runControl(signal),
 		]);
 	}
 
-	/** A proof is dated before its read is sent, by the worker's clock. */
-	#dateProof(): (() => void) | undefined {
+	/** Called before a read is sent: takes the worker's clock as the proof's time, and returns what applies the proof if the read succeeds. */
+	#prepareProof(): (() => void) | undefined {
 		const {worker} = this.state;
 		const clockMs = worker?.lease.estimate(this.#options.clock.monotonicMs());
 		if (!worker || clockMs === undefined) {
@@ -159,25 +159,25 @@
 	}
 
 	/**
-	Declared lost: the owner waits out the leases and then starts the tasks elsewhere. Nothing is prolonged until they are
-	over, also by a new life of the agent that finds the declaration made for its predecessor.
+	Handles a declaration that this agent is lost: the owner waits until the leases have expired, then starts the tasks
+	elsewhere. The agent renews no lease until then, also when it was restarted and the declaration is about the previous process.
 	*/
-	#takeLoss(session: number): void {
-		if (session >= this.#lossFloor) {
+	#handleLoss(session: number): void {
+		if (session >= this.#minLostSession) {
 			this.#options.note('declared lost', {session});
 			this.state.mustLapse = true;
 			this.#wakeup.wake();
 		}
 	}
 
-	async #follow(signal: AbortSignal): Promise<void> {
-		const before = await this.#findRegistration(signal);
+	async #runControl(signal: AbortSignal): Promise<void> {
+		const previousSession = await this.#findRegistration(signal);
 		await this.#register(signal);
-		this.#lossFloor = before ?? this.state.session;
+		this.#minLostSession = previousSession ?? this.state.session;
 		await Promise.all([this.#control.run(signal), this.#keepRegistered(signal)]);
 	}
 
-	/** Offset of the registration of the life before; none: its leases are over, or there was none. */
+	/** Gets the offset of the previous agent process's registration; undefined: its leases have expired, or there was none. */
 	async #findRegistration(signal: AbortSignal): Promise<number | undefined> {
 		const {store, clock, registration, note} = this.#options;
 		while (!signal.aborted) {
@@ -198,7 +198,7 @@
 		while (!signal.aborted) {
 			if (!this.#isRegistered) {
 				await this.#register(signal);
-				this.#lossFloor = this.state.session;
+				this.#minLostSession = this.state.session;
 			}
 
 			await clock.sleep(registerRetryMs, signal);
@@ -244,7 +244,7 @@
 		}
 	}
 
-	#noteStore(isReached: boolean, detail: string): void {
+	#logStoreState(isReached: boolean, detail: string): void {
 		if (isReached !== this.#isStoreReached) {
 			this.#isStoreReached = isReached;
 			this.#options.note(isReached ? 'store reached' : 'store lost', {detail});
--- a/src/agents/control-records.ts
+++ b/src/agents/control-records.ts
@@ -1,5 +1,5 @@
 /**
-Records of the control stream of a service: who owns it, which agents were declared lost, and which failure domains are evacuated.
+Records of a service's control stream: its owner, the agents declared lost, and the failure domains to evacuate.
 */
 import {Buffer} from 'node:buffer';
 import {createError, ErrorCode} from '../core/errors.ts';
@@ -7,7 +7,7 @@
 import {type Evacuations} from '../types/site.ts';
 import {parseFields} from '../utils/fields.ts';
 
-/** Topic of the control streams; the partition is that of the service. */
+/** Topic of the control streams; each service has its own partition. */
 export const controlTopic = 'control';
 /** Keyed topic of the agents' registrations. */
 export const agentsTopic = 'keyed.agents';
@@ -22,9 +22,9 @@
 /** One control record. */
 export type ControlRecord
 	= | {type: ControlType.Claim; epoch: number; owner: string}
-		/** The agent's registration at this offset no longer counts: its leases run out and are not renewed. */
+		/** The agent's registration at this offset (`session`) is void: its leases are not renewed and expire. */
 		| {type: ControlType.Lost; host: string; session: number; epoch: number}
-		/** Replaces what an earlier record says, unless that one holds up to a higher offset. */
+		/** Replaces an earlier record, unless that one has a higher `asOf` offset. */
 		| ({type: ControlType.Evacuations; epoch: number} & Evacuations);
 
 /** Encodes a record. */
@@ -56,7 +56,7 @@
 
 const decodeName = (value: unknown): string => {
 	if (typeof value !== 'string') {
-		throw createError(ErrorCode.BadInput, {step: 'read control record', detail: 'a name is no text'});
+		throw createError(ErrorCode.BadInput, {step: 'read control record', detail: `expected a failure domain's name as a string, got ${typeof value}`});
 	}
 
 	return value;
--- a/src/agents/control-watch.ts
+++ b/src/agents/control-watch.ts
@@ -1,6 +1,6 @@
 /**
-Follows the control stream of one service: the newest owner's epoch, whether this agent was declared lost, and which failure
-domains are evacuated. Each read that succeeds is a proof for the lease of the worker.
+Follows the control stream of one service for the newest owner's epoch, declarations that this agent is lost, and the failure
+domains to evacuate. Each read up to the end of the stream is a proof that extends the worker's lease.
 */
 import {getMessage, getOldestOffset} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -14,7 +14,7 @@
 	ref: PartitionRef;
 	clock: Clock;
 	host: string;
-	/** Called before each read; what it gives is handed to `onProof` when the read succeeds. */
+	/** Called before each read; the function that it returns is called if the read reaches the end of the stream. */
 	onReadSent: () => (() => void) | undefined;
 	onLost: (session: number) => void;
 	onStoreState: (isReached: boolean, detail: string) => void;
@@ -22,8 +22,8 @@
 };
 
 /**
-A read without news ends after this, so a proof is at most this old while the store answers: an outage of some seconds and the
-time to notice its end still fit into the lease.
+A read without new records ends after this, so a proof is at most this old while the store answers. The lease then covers an
+outage of some seconds and the time to detect its end.
 */
 const readWaitMs = 1000;
 const retryMs = 150;
@@ -40,12 +40,12 @@
 		this.#options = options;
 	}
 
-	/** Newest epoch known, from the stream or from an owner. */
+	/** Newest epoch known, from the stream or from an owner's request. */
 	get epoch(): number {
 		return this.#epoch;
 	}
 
-	/** Whether the stream was read to its end in this life. */
+	/** Whether this process has read the stream to its end. */
 	get isCaughtUp(): boolean {
 		return this.#isCaughtUp;
 	}
@@ -55,7 +55,7 @@
 		return this.#evacuations.failureDomains.includes(failureDomain);
 	}
 
-	/** Takes an owner's epoch; false when a newer one is known. */
+	/** Records an owner's epoch; returns false if a newer one is known. */
 	meet(epoch: number): boolean {
 		this.#epoch = Math.max(this.#epoch, epoch);
 		return epoch >= this.#epoch;
@@ -65,9 +65,9 @@
 	async run(signal: AbortSignal): Promise<void> {
 		const {store, ref, clock, onStoreState} = this.#options;
 		while (!signal.aborted) {
-			const prove = this.#options.onReadSent();
+			const applyProof = this.#options.onReadSent();
 			try {
-				// The first reads do not wait: the end has to be known before orders are taken.
+				// Reads do not wait until the stream was read to its end: the agent accepts no start before that.
 				const page = await store.read(ref, this.#offset, {waitMs: this.#isCaughtUp ? readWaitMs : 0, signal});
 				for (const {offset, value} of page.records) {
 					this.#apply(value);
@@ -78,7 +78,7 @@
 				onStoreState(true, '');
 				if (this.#offset >= page.endOffset) {
 					this.#isCaughtUp = true;
-					prove?.();
+					applyProof?.();
 				}
 			} catch (error) {
 				if (signal.aborted) {
--- a/src/agents/lease-clock.ts
+++ b/src/agents/lease-clock.ts
@@ -1,12 +1,11 @@
 /**
-Until when the tasks of a worker may run without further proof, on the worker's own clock.
+Lease of a worker: the time on the worker's own clock until which its tasks may run without further proof.
 
-A proof is a read of the store that still showed the agent as not lost. It is dated by a reading of the worker's clock
-taken before the read was sent, so a proof that was held up on its way, or a process that stood still in between, makes
-the lease shorter and never longer.
+A proof is a read of the store that showed the agent as not declared lost. Its time is a reading of the worker's clock taken
+before the read was sent, so a delayed answer or a paused process makes the lease shorter and never longer.
 */
 
-/** A worker's clock may be this much slow. */
+/** A worker's clock may run slow by at most this share. */
 export const workerClockSlowShare = 0.02;
 
 /** Lease of one incarnation of a worker. */
@@ -16,12 +15,12 @@
 	#leaseUntilMs = 0;
 	#sentUntilMs = 0;
 
-	/** A lease ends so long after its proof; whoever declares the agent lost waits at least as long. */
+	/** A lease ends `horizonMs` after its latest proof; an owner that declares the agent lost waits at least as long. */
 	constructor(horizonMs: number) {
 		this.#horizonMs = horizonMs;
 	}
 
-	/** End of the lease on the worker's clock, as far as it is proven. */
+	/** End of the lease on the worker's clock, as of the latest proof. */
 	get leaseUntilMs(): number {
 		return this.#leaseUntilMs;
 	}
@@ -31,42 +30,42 @@
 		return this.#sample?.clockMs ?? 0;
 	}
 
-	/** Latest time that any call may have prolonged leases to. */
+	/** Latest end of a lease that was sent to the worker, also in calls without an answer. */
 	get sentUntilMs(): number {
 		return this.#sentUntilMs;
 	}
 
-	/** Takes a reading; an older one than known changes nothing. */
+	/** Records a reading of the worker's clock; a reading older than the latest is ignored. */
 	note(clockMs: number, nowMs: number): void {
 		if (!this.#sample || clockMs >= this.#sample.clockMs) {
 			this.#sample = {clockMs, atMs: nowMs};
 		}
 	}
 
-	/** What the worker's clock shows now, at the least as far as this process did not stand still. */
+	/** Estimates the present reading of the worker's clock. Too low if this process was paused before it recorded the latest reading. */
 	estimate(nowMs: number): number | undefined {
 		return this.#sample && this.#sample.clockMs + (nowMs - this.#sample.atMs);
 	}
 
-	/** Takes a proof dated by the worker's clock. */
+	/** Extends the lease by a proof, whose time is a reading of the worker's clock. */
 	prove(clockMs: number): void {
 		this.#leaseUntilMs = Math.max(this.#leaseUntilMs, clockMs + this.#horizonMs);
 	}
 
 	/**
-	End of the lease for the next renewal. While the worker gives no answer it stays as it was: a call without an answer
-	may be carried out seconds later, and a lease that kept growing would never be over.
+	Gets the end of the lease for the next renewal. While the worker does not answer, the end is not moved: a call without an
+	answer may be carried out seconds later, and a lease extended by each such call would never be known to have expired.
 	*/
 	getNextUntilMs(isAnswering: boolean): number {
 		return isAnswering ? this.#leaseUntilMs : Math.min(this.#leaseUntilMs, this.#sentUntilMs);
 	}
 
-	/** Notes that a call with this end of the lease is sent. */
+	/** Records that a call with this end of the lease is being sent. */
 	noteSent(untilMs: number): void {
 		this.#sentUntilMs = Math.max(this.#sentUntilMs, untilMs);
 	}
 
-	/** Whether every lease that was ever sent is over for certain, though the worker gives no answer. */
+	/** Whether every lease sent to the worker has certainly expired, also on a slow clock, if the worker does not answer. */
 	isOver(nowMs: number, slackMs: number): boolean {
 		if (!this.#sample) {
 			return false;
@@ -78,7 +77,7 @@
 }
 
 /**
-Leases go on so long after the last proof. Long: an outage of the store or the loss of all entries leaves running work
-alone. Short: tasks of a lost worker start elsewhere sooner, and so do those of a successor that does not reach one.
+A lease ends this long after its latest proof. A longer lease lets running tasks survive an outage of the store or the loss
+of all entries. A shorter one lets tasks start elsewhere sooner, both when a worker is lost and when a new owner cannot reach one.
 */
 export const leaseHorizonMs = 7000;
--- a/src/agents/order-handler.ts
+++ b/src/agents/order-handler.ts
@@ -1,8 +1,8 @@
 /**
-Carries out orders of the owner of a service on the worker of this host, and answers its questions.
+Carries out the orders of a service's owner on the worker of this host, and answers the owner's watch requests.
 
-Orders of an owner that is not the newest known, late orders, and orders for another incarnation of the worker change
-nothing: an owner that stood still, or bytes that a cut held up, can start nothing.
+Orders from an owner with an old epoch, orders past their time limit, and orders for another incarnation of the worker are
+refused, so that a paused owner, or messages delayed by a network partition, cannot start anything.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -12,7 +12,7 @@
 import {type AgentState, type WorkerState} from './agent-state.ts';
 import {type ControlWatch} from './control-watch.ts';
 
-/** Events worth a line of log. */
+/** Logs an event. */
 export type AgentNote = (event: string, fields: Record<string, unknown>) => void;
 
 /** Options of the handler. */
@@ -23,18 +23,18 @@
 	clock: Clock;
 	getFence: () => number;
 	onFenceRefused: () => void;
-	/** Wakes the loop that lists the worker. */
+	/** Wakes the loop that renews leases and lists the worker's runs. */
 	wake: () => void;
 	note: AgentNote;
 };
 
 /**
-A start is refused by the worker as late after this: an order without an answer may be carried out seconds later, and
-must then start nothing. Answers come within ms; on slow hosts within some 100.
+The worker refuses a start as too late after this: an order without an answer may reach it seconds later, and must then
+start nothing. Workers answer within a few ms; on slow hosts within some 100 ms.
 */
-const startGoodMs = 1500;
-/** Less lease than this left: the task would be killed before the next renewal. */
-const minLeaseMs = 400;
+const startValidityMs = 1500;
+/** With less than this left of the lease, the worker would kill the task before the next renewal. */
+const minRemainingLeaseMs = 400;
 
 /** The handler. */
 export class OrderHandler {
@@ -44,10 +44,10 @@
 		this.#options = options;
 	}
 
-	/** Carries orders out, all at the same time. */
+	/** Carries out all orders of a request concurrently. */
 	async order(request: OrdersRequest): Promise<OrdersReply> {
 		const {state, clock} = this.#options;
-		const refusal = this.#judge(request);
+		const refusal = this.#getRefusal(request);
 		const answers = refusal === undefined
 			? await Promise.all(request.orders.map(async order => this.#carryOut(order, state.worker!, request.capacity)))
 			: request.orders.map((): WorkerAnswer => ({isDone: false, refusal}));
@@ -60,28 +60,28 @@
 		return {answers, version: state.version};
 	}
 
-	/** Answers once the state differs from the version known or there are new figures, at the latest after the wait. */
+	/** Answers when the version differs from the one the owner knows, when there are new measurements, or after the wait. */
 	async watch(request: WatchRequest, signal: AbortSignal): Promise<WatchReply> {
 		const {state, control, clock} = this.#options;
 		if (!control.meet(request.epoch)) {
 			return {...this.#describe(), newerEpoch: control.epoch};
 		}
 
-		this.#takeProof(request);
-		this.#forget(request);
+		this.#applyProof(request);
+		this.#dropStored(request);
 		if (request.agentLife === state.life && request.knownVersion === state.version && request.waitMs > 0) {
 			const aborter = new AbortController();
-			const withdraw = state.onChange(() => {
+			const unsubscribe = state.onChange(() => {
 				aborter.abort();
 			});
 			await clock.sleep(request.waitMs, AbortSignal.any([aborter.signal, signal]));
-			withdraw();
+			unsubscribe();
 		}
 
 		return this.#describe();
 	}
 
-	#judge({epoch, agentLife, notAfterMs, workerId}: OrdersRequest): OrderRefusal | undefined {
+	#getRefusal({epoch, agentLife, notAfterMs, workerId}: OrdersRequest): OrderRefusal | undefined {
 		const {state, control, clock} = this.#options;
 		if (!control.meet(epoch)) {
 			return OrderRefusal.StaleEpoch;
@@ -114,11 +114,11 @@
 				case OrderType.Stop: {
 					const answer = await client.stop(workerId, order, getFence());
 					this.#options.wake();
-					return this.#check(answer);
+					return this.#checkFence(answer);
 				}
 
 				case OrderType.Pace: {
-					return this.#check(await client.pace(workerId, order, getFence()));
+					return this.#checkFence(await client.pace(workerId, order, getFence()));
 				}
 			}
 		} catch (error) {
@@ -135,31 +135,31 @@
 			return {isDone: false, refusal: OrderRefusal.Draining};
 		}
 
-		// An owner that was cut off from the store may not know it.
+		// An owner without access to the store may not know of the evacuation.
 		if (control.isEvacuated(report.failureDomain)) {
 			return {isDone: false, refusal: OrderRefusal.Evacuated};
 		}
 
-		// A start without an answer would keep the leases of a silent worker from ever being over.
+		// Each start sent to a worker that does not answer would move the time at which its leases are known to have expired.
 		if (!worker.isAnswering) {
 			return {isDone: false, refusal: OrderRefusal.Unhealthy};
 		}
 
-		// An agent that has not read the newest claim may be talking to an owner that was replaced.
-		if (!control.isCaughtUp || clockMs === undefined || !runs.isListed || state.mustLapse || lapseUntilMs !== undefined || lease.leaseUntilMs < clockMs + minLeaseMs) {
+		// Without the newest claim, the agent may be taking orders from an owner that was replaced.
+		if (!control.isCaughtUp || clockMs === undefined || !runs.isListed || state.mustLapse || lapseUntilMs !== undefined || lease.leaseUntilMs < clockMs + minRemainingLeaseMs) {
 			return {isDone: false, refusal: OrderRefusal.NoLease};
 		}
 
-		const leaseUntilMs = Math.floor(Math.min(lease.leaseUntilMs, clockMs + startGoodMs));
+		const leaseUntilMs = Math.floor(Math.min(lease.leaseUntilMs, clockMs + startValidityMs));
 		lease.noteSent(leaseUntilMs);
-		runs.noteSent(start.taskId, start.run, {goodUntilMs: leaseUntilMs, nowMs: clock.monotonicMs()});
+		runs.noteSent(start.taskId, start.run, {validUntilMs: leaseUntilMs, nowMs: clock.monotonicMs()});
 		try {
 			const answer = await client.start(report.workerId, start, {fence: getFence(), leaseUntilMs});
 			worker.answeredAtMs = clock.monotonicMs();
 			runs.noteAnswered(start.taskId, start.run, answer.isDone, clock.monotonicMs());
-			// The owner learns it from this answer: to tell it once more doubles the messages of a large service.
+			// The owner learns of the start from this answer: waking its watch too would double the messages of a large service.
 			state.advance();
-			return this.#check(answer);
+			return this.#checkFence(answer);
 		} catch (error) {
 			runs.noteUnanswered(start.taskId, start.run);
 			state.bump();
@@ -167,7 +167,7 @@
 		}
 	}
 
-	#check(answer: WorkerAnswer): WorkerAnswer {
+	#checkFence(answer: WorkerAnswer): WorkerAnswer {
 		if (answer.refusal === OrderRefusal.Fence) {
 			this.#options.onFenceRefused();
 		}
@@ -175,7 +175,7 @@
 		return answer;
 	}
 
-	#takeProof({proof}: WatchRequest): void {
+	#applyProof({proof}: WatchRequest): void {
 		const {worker, session, mustLapse} = this.#options.state;
 		if (!proof || !worker || mustLapse || worker.lapseUntilMs !== undefined) {
 			return;
@@ -186,7 +186,7 @@
 		}
 	}
 
-	#forget({forget, agentLife, crashesStored}: WatchRequest): void {
+	#dropStored({forget, agentLife, crashesStored}: WatchRequest): void {
 		const {state} = this.#options;
 		const {worker} = state;
 		if (agentLife === state.life) {
--- a/src/agents/worker-loop.ts
+++ b/src/agents/worker-loop.ts
@@ -1,6 +1,6 @@
 /**
-The one task that keeps in touch with the worker of this host: it prolongs leases as far as they are proven, drops ends
-that are in the log, and lists what runs.
+The loop that renews the leases of this host's worker as far as they are proven, lets the worker drop the ends that are
+stored in the log, and lists its runs.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -18,23 +18,23 @@
 	getFence: () => number;
 	onFenceRefused: () => void;
 	maxLeaseMs: number;
-	/** The leases of a lost agent are over: it may register anew. */
+	/** The leases of an agent that was declared lost have expired: it may register again. */
 	onLapsed: () => void;
 	note: AgentNote;
 };
 
-/** A listing without a new end comes after this; figures of serving tasks are that old at most. */
+/** The worker answers a listing after this if no run ends before; measurements of serving tasks are at most this old. */
 const listWaitMs = 500;
-/** Figures are of the last half second: told sooner than this they tell little that is new. */
-const figuresEveryMs = 400;
-/** Ends that are not in the log yet would be listed again and again. */
-const unforgottenPauseMs = 100;
+/** Interval at which measurements are sent to an owner: they cover the last half second, so sending them more often adds little. */
+const measurementIntervalMs = 400;
+/** Pause between listings while there are ends that are not stored in the log: the worker lists these at once, each time. */
+const unstoredPauseMs = 100;
 const retryMs = 100;
 const idleMs = 250;
-/** Added to the computed end of a lease before its tasks count as killed: a kill takes the worker some ms. */
-const overSlackMs = 300;
-/** Runs that a line of log names. */
-const maxNamedRuns = 3;
+/** Added to the computed end of a lease before its tasks count as killed: the worker needs some ms for the kill. */
+const expirySlackMs = 300;
+/** Runs that a log line lists. */
+const maxLoggedRuns = 3;
 
 /** Runs until the signal aborts. */
 export const runWorkerLoop = async (options: WorkerLoopOptions, signal: AbortSignal): Promise<void> => {
@@ -50,7 +50,7 @@
 		if (!isReached) {
 			await clock.sleep(retryMs, signal);
 		} else if (worker.runs.ended.some(row => row.number > worker.forgetUpTo)) {
-			await wakeup.wait(clock, unforgottenPauseMs, signal);
+			await wakeup.wait(clock, unstoredPauseMs, signal);
 		}
 	}
 };
@@ -58,7 +58,7 @@
 const renew = async (options: WorkerLoopOptions, worker: WorkerState): Promise<boolean> => {
 	const {state, client, clock, getFence, onFenceRefused, note} = options;
 	const {lease, report: {workerId}} = worker;
-	const askedAtMs = clock.monotonicMs();
+	const sentAtMs = clock.monotonicMs();
 	const leaseUntilMs = !state.mustLapse && worker.lapseUntilMs === undefined && lease.leaseUntilMs > 0 ? lease.getNextUntilMs(worker.isAnswering) : undefined;
 	if (leaseUntilMs !== undefined) {
 		lease.noteSent(leaseUntilMs);
@@ -69,7 +69,7 @@
 			fence: getFence(), forgetUpTo: worker.forgetUpTo, leaseUntilMs, waitMs: worker.runs.isListed && lease.leaseUntilMs > 0 ? listWaitMs : 0,
 		});
 		if ('running' in reply) {
-			takeListing(options, worker, reply, askedAtMs);
+			applyListing(options, worker, reply, sentAtMs);
 			return true;
 		}
 
@@ -92,40 +92,40 @@
 		note('worker unanswered', {workerId, error: getMessage(error), leaseUntilMs});
 	}
 
-	checkOver(options, worker);
+	checkLeaseExpiry(options, worker);
 	return false;
 };
 
-/** What ran as the worker fell silent: the newest runs first, as a run that takes its worker down has not been there for long. */
+/** Describes the runs at the time of the crash, newest first: a run that crashes its worker has usually not run for long. */
 const describeReplaced = (worker: WorkerState, nowMs: number): Record<string, unknown> => {
 	const {report, runs, silentSinceMs} = worker;
-	const aboard = runs.getAboard(getCrashedAtMs(worker, nowMs)).toSorted((a, b) => a.ageMs - b.ageMs);
+	const residentRuns = runs.getAboard(getCrashedAtMs(worker, nowMs)).toSorted((a, b) => a.ageMs - b.ageMs);
 	return {
 		workerId: report.workerId,
 		wasDraining: report.isDraining,
 		silentMs: silentSinceMs === undefined ? undefined : Math.round(nowMs - silentSinceMs),
-		runs: aboard.length,
-		newest: aboard.slice(0, maxNamedRuns).map(({taskId, run, ageMs}) => ({taskId, run, ageMs: Math.round(ageMs)})),
+		runs: residentRuns.length,
+		newest: residentRuns.slice(0, maxLoggedRuns).map(({taskId, run, ageMs}) => ({taskId, run, ageMs: Math.round(ageMs)})),
 	};
 };
 
-const takeListing = (options: WorkerLoopOptions, worker: WorkerState, listing: WorkerListing, askedAtMs: number): void => {
+const applyListing = (options: WorkerLoopOptions, worker: WorkerState, listing: WorkerListing, sentAtMs: number): void => {
 	const {state, clock, onLapsed} = options;
-	const wasSilent = !worker.isAnswering;
+	const wasUnresponsive = !worker.isAnswering;
 	worker.isAnswering = true;
 	worker.silentSinceMs = undefined;
 	worker.answeredAtMs = clock.monotonicMs();
 	worker.lease.note(listing.clockMs, clock.monotonicMs());
-	const isChanged = worker.runs.take(listing, askedAtMs);
-	if (worker.isOver || isChanged || wasSilent) {
+	const isChanged = worker.runs.take(listing, sentAtMs);
+	if (worker.isOver || isChanged || wasUnresponsive) {
 		worker.isOver = false;
 		state.bump();
-	} else if (listing.running.length > 0 && clock.monotonicMs() - state.toldAtMs >= figuresEveryMs) {
+	} else if (listing.running.length > 0 && clock.monotonicMs() - state.toldAtMs >= measurementIntervalMs) {
 		state.wake();
 	}
 
 	if (state.mustLapse) {
-		// An earlier life may have prolonged by the longest lease just before it ended.
+		// The previous agent process may have granted the longest lease just before it ended.
 		worker.lapseUntilMs = Math.max(worker.lease.sentUntilMs, listing.clockMs + options.maxLeaseMs);
 		state.mustLapse = false;
 	} else if (worker.lapseUntilMs !== undefined && listing.clockMs > worker.lapseUntilMs) {
@@ -134,9 +134,9 @@
 	}
 };
 
-/** A worker that gives no answer keeps nothing alive beyond its leases: then its tasks may start elsewhere. */
-const checkOver = ({state, clock, note}: WorkerLoopOptions, worker: WorkerState): void => {
-	if (!worker.isOver && worker.lease.isOver(clock.monotonicMs(), overSlackMs)) {
+/** A worker that does not answer still stops its tasks when their leases expire; after that they may start elsewhere. */
+const checkLeaseExpiry = ({state, clock, note}: WorkerLoopOptions, worker: WorkerState): void => {
+	if (!worker.isOver && worker.lease.isOver(clock.monotonicMs(), expirySlackMs)) {
 		worker.isOver = true;
 		note('leases over without an answer', {workerId: worker.report.workerId});
 		state.bump();
--- a/src/agents/worker-runs.ts
+++ b/src/agents/worker-runs.ts
@@ -1,21 +1,21 @@
 /**
-What an agent knows of the runs on its worker: the last listing, starts answered since, and starts not yet resolved.
+The runs on a worker as its agent knows them: the latest listing, starts answered since, and starts with unknown outcome.
 */
 import {type EndedRow, type RunningRow, type WorkerListing} from '../types/fleet.ts';
 
-/** A run that may have been on the worker at a time. */
+/** A run that was, or may have been, on the worker at a given time. */
 export type AboardRun = {
 	taskId: string;
 	run: number;
-	/** Time since its start was sent; of a run that this life of the agent did not start, since it was first listed. */
+	/** Time since its start was sent or, if an earlier agent process started it, since it was first listed. */
 	ageMs: number;
 };
 
-type Starting = {
+type PendingStart = {
 	taskId: string;
 	run: number;
-	/** On the worker's clock: after this the worker refuses the start as late. */
-	goodUntilMs: number;
+	/** On the worker's clock: after this the worker refuses the start as too late. */
+	validUntilMs: number;
 	isInFlight: boolean;
 };
 
@@ -25,14 +25,14 @@
 export class WorkerRuns {
 	#running = new Map<string, RunningRow>();
 	#ended: EndedRow[] = [];
-	readonly #starting = new Map<string, Starting>();
-	/** Starts that were answered, with the time; a listing that was asked for earlier may lack them. */
-	readonly #answered = new Map<string, {row: RunningRow; atMs: number}>();
-	/** When starts were sent, or runs of an earlier life of the agent first listed. */
+	readonly #starting = new Map<string, PendingStart>();
+	/** Accepted starts, with the time of the answer; a listing requested before that may lack them. */
+	readonly #accepted = new Map<string, {row: RunningRow; atMs: number}>();
+	/** When each start was sent or, for runs that an earlier agent process started, when the run was first listed. */
 	readonly #sinceMs = new Map<string, number>();
 	#isListed = false;
 
-	/** Whether the worker was listed once. */
+	/** Whether there was a listing of the worker. */
 	get isListed(): boolean {
 		return this.#isListed;
 	}
@@ -47,44 +47,44 @@
 		return this.#ended;
 	}
 
-	/** Starts that may still begin. */
+	/** Starts with unknown outcome: they may still take effect. */
 	get starting(): Array<{taskId: string; run: number}> {
 		return [...this.#starting.values()].map(({taskId, run}) => ({taskId, run}));
 	}
 
-	/** Highest number of an end that is listed. */
+	/** Highest number of the listed ends; 0: none is listed. */
 	get lastEnd(): number {
 		return this.#ended.at(-1)?.number ?? 0;
 	}
 
-	/** Runs that are there, or may be, with their ages at the time. */
+	/** Gets the runs that are, or may be, on the worker, with their ages at the given time. */
 	getAboard(atMs: number): AboardRun[] {
-		const aboard = new Map<string, {taskId: string; run: number}>([...this.#running, ...this.#starting]);
-		return [...aboard].map(([key, {taskId, run}]) => ({taskId, run, ageMs: Math.max(0, atMs - (this.#sinceMs.get(key) ?? atMs))}));
+		const resident = new Map<string, {taskId: string; run: number}>([...this.#running, ...this.#starting]);
+		return [...resident].map(([key, {taskId, run}]) => ({taskId, run, ageMs: Math.max(0, atMs - (this.#sinceMs.get(key) ?? atMs))}));
 	}
 
-	noteSent(taskId: string, run: number, {goodUntilMs, nowMs}: {goodUntilMs: number; nowMs: number}): void {
+	noteSent(taskId: string, run: number, {validUntilMs, nowMs}: {validUntilMs: number; nowMs: number}): void {
 		const key = getKey(taskId, run);
 		this.#sinceMs.set(key, nowMs);
 		this.#starting.set(key, {
-			taskId, run, goodUntilMs, isInFlight: true,
+			taskId, run, validUntilMs, isInFlight: true,
 		});
 	}
 
-	/** The worker answered: the run is there, or will not be. */
-	noteAnswered(taskId: string, run: number, isThere: boolean, nowMs: number): void {
+	/** Records the worker's answer: the run has started, or never will. */
+	noteAnswered(taskId: string, run: number, isStarted: boolean, nowMs: number): void {
 		const key = getKey(taskId, run);
 		this.#starting.delete(key);
-		if (isThere && !this.#running.has(key) && !this.#ended.some(row => row.taskId === taskId && row.run === run)) {
+		if (isStarted && !this.#running.has(key) && !this.#ended.some(row => row.taskId === taskId && row.run === run)) {
 			const row = {
 				taskId, run, checkpoint: '', percent: 0, recent: 0,
 			};
-			this.#answered.set(key, {row, atMs: nowMs});
+			this.#accepted.set(key, {row, atMs: nowMs});
 			this.#running.set(key, row);
 		}
 	}
 
-	/** No answer: the start stays open until a listing settles it. */
+	/** Records that a start got no answer: its outcome stays unknown until a listing shows it. */
 	noteUnanswered(taskId: string, run: number): void {
 		const starting = this.#starting.get(getKey(taskId, run));
 		if (starting) {
@@ -92,27 +92,27 @@
 		}
 	}
 
-	/** Takes a listing that was asked for at the time. True when runs or ends differ from what was known. */
-	take(listing: WorkerListing, askedAtMs: number): boolean {
+	/** Applies a listing that was requested at `sentAtMs`. Returns true if runs or ends differ from those known before. */
+	take(listing: WorkerListing, sentAtMs: number): boolean {
 		const running = new Map(listing.running.map(row => [getKey(row.taskId, row.run), row]));
 		const endedKeys = new Set(listing.ended.map(row => getKey(row.taskId, row.run)));
-		for (const [key, {row, atMs}] of this.#answered) {
-			if (atMs < askedAtMs || endedKeys.has(key) || running.has(key)) {
-				this.#answered.delete(key);
+		for (const [key, {row, atMs}] of this.#accepted) {
+			if (atMs < sentAtMs || endedKeys.has(key) || running.has(key)) {
+				this.#accepted.delete(key);
 			} else {
 				running.set(key, row);
 			}
 		}
 
-		const hadStarting = this.#starting.size;
-		for (const [key, {goodUntilMs, isInFlight}] of this.#starting) {
-			if (running.has(key) || endedKeys.has(key) || (!isInFlight && listing.clockMs > goodUntilMs)) {
+		const startingBefore = this.#starting.size;
+		for (const [key, {validUntilMs, isInFlight}] of this.#starting) {
+			if (running.has(key) || endedKeys.has(key) || (!isInFlight && listing.clockMs > validUntilMs)) {
 				this.#starting.delete(key);
 			}
 		}
 
-		this.#dateRuns(running, askedAtMs);
-		const isChanged = !this.#isListed || hadStarting !== this.#starting.size || running.size !== this.#running.size
+		this.#updateSince(running, sentAtMs);
+		const isChanged = !this.#isListed || startingBefore !== this.#starting.size || running.size !== this.#running.size
 			|| (listing.ended.at(-1)?.number ?? 0) !== this.lastEnd || listing.ended.length !== this.#ended.length
 			|| [...running.keys()].some(key => !this.#running.has(key));
 		this.#running = running;
@@ -121,7 +121,7 @@
 		return isChanged;
 	}
 
-	#dateRuns(running: Map<string, RunningRow>, atMs: number): void {
+	#updateSince(running: Map<string, RunningRow>, atMs: number): void {
 		for (const key of this.#sinceMs.keys()) {
 			if (!running.has(key) && !this.#starting.has(key)) {
 				this.#sinceMs.delete(key);
