--- a/src/agents/worker-loop.ts
+++ b/src/agents/worker-loop.ts
@@ -23,7 +23,7 @@
 	note: AgentNote;
 };
 
-/** The worker answers a listing after this if no run ends before; measurements of serving tasks are at most this old. */
+/** The worker answers a listing after this if no run ends before; measurements of latency-critical tasks are at most this old. */
 const listWaitMs = 500;
 /** Interval at which measurements are sent to an owner: they cover the last half second, so sending them more often adds little. */
 const measurementIntervalMs = 400;
--- a/src/platform/advice-calls.ts
+++ b/src/platform/advice-calls.ts
@@ -1,12 +1,12 @@
 /**
-The advice service on the wire.
+Client of the advice service over HTTP.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type AdviceClient} from '../types/advice.ts';
 import {Fields} from '../utils/fields.ts';
 import {type HttpClient} from '../utils/http-calls.ts';
 
-/** The service answers in turn: with all calls of this process waiting, some seconds pass. */
+/** The service answers one call after the other: when all calls of this process wait, an answer takes some seconds. */
 const timeoutMs = 10_000;
 
 /** Creates the client of the service at the address. */
--- a/src/platform/announce-server.ts
+++ b/src/platform/announce-server.ts
@@ -1,5 +1,5 @@
 /**
-The worker's announcements on the wire: this process is the only one that its worker calls.
+HTTP server for the announcements of the worker on this host, which calls no other process.
 */
 import {createServer, type Server} from 'node:http';
 import {getMessage} from '../core/errors.ts';
@@ -8,17 +8,17 @@
 import {readBody} from '../utils/http-server.ts';
 import {decodeAnnouncement} from './worker-calls.ts';
 
-/** What is done with announcements. */
+/** Handlers for announcements. */
 export type AnnounceHandlers = {
 	onReport: (report: WorkerReport) => void;
-	/** The worker says that it ends now. */
+	/** The worker announces that it ends now. */
 	onLeave: (workerId: string) => void;
-	/** Something that cannot be read, with the name under which it was sent. */
+	/** An announcement cannot be decoded; `writer` is the worker id in its path. */
 	onInvalid: (writer: string, reason: string) => void;
 };
 
 const pathPattern = /^\/instances\/([^/?]+)$/;
-// An announcement is acknowledged within a second or the worker looks elsewhere.
+// A worker whose announcement is not acknowledged within 1 s announces itself elsewhere.
 const bounds = {maxBytes: 65_536, timeoutMs: 1000};
 
 /** Creates the server; the caller of this function binds and closes it. */
--- a/src/platform/caller-server.ts
+++ b/src/platform/caller-server.ts
@@ -1,5 +1,5 @@
 /**
-Callers' requests on the wire: hand a job in, ask for its state, cancel it, count what waits.
+HTTP server for callers: submit a job, get its state, cancel it, and count the pending jobs of a queue.
 */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -14,9 +14,9 @@
 import {Fields, parseFields} from '../utils/fields.ts';
 import {readBody} from '../utils/http-server.ts';
 
-/** Callers that name no deadline wait this long. */
+/** Deadline of a request without the `deadline-ms` header. */
 const defaultDeadlineMs = 3000;
-/** Kept back from a caller's deadline for the way to it. */
+/** Subtracted from a caller's deadline, as time for the answer to reach the caller. */
 const answerReserveMs = 150;
 const maxSteps = 1000;
 const maxTasksPerStep = 100_000;
@@ -24,7 +24,7 @@
 
 type Answer = {status: number; body?: unknown; retryAfterMs?: number};
 
-/** Called after each answer, for logs and counters. */
+/** Called after each answer, for logging and metrics. */
 export type AnswerNote = (note: {method: string; queue?: string; id?: string; status: number; reason?: string; tookMs: number}) => void;
 
 /** Options of the server. */
@@ -33,7 +33,7 @@
 	clock: Clock;
 	findQueue: (queues: QueueConfig[], host: string, path: string) => QueueConfig | undefined;
 	onAnswer: AnswerNote;
-	/** Whether callers should connect elsewhere next time. */
+	/** Whether to close connections after the answer, so that callers connect elsewhere. */
 	isClosing: () => boolean;
 };
 
@@ -103,7 +103,7 @@
 		return {status: 200};
 	}
 
-	// 504 leaves open whether the job runs; 503 says that it never does.
+	// 504: the job may run. 503: it never will.
 	return outcome === SubmitOutcome.Unknown ? {status: 504, reason} : {status: 503, retryAfterMs: retryAfterMs ?? 1000, reason};
 };
 
@@ -131,14 +131,14 @@
 		return;
 	}
 
-	const isRead = response.req.complete;
+	const isFullyRead = response.req.complete;
 	const text = JSON.stringify(body ?? {});
 	response.writeHead(status, {
 		'content-type': 'application/json',
 		'content-length': Buffer.byteLength(text),
 		...(retryAfterMs !== undefined && {'retry-after': String(Math.ceil(retryAfterMs / 1000))}),
-		// The rest of a body that was not read would be taken for the next request.
-		...((!isRead || isClosing) && {connection: 'close'}),
+		// The unread rest of a body would be parsed as the next request.
+		...((!isFullyRead || isClosing) && {connection: 'close'}),
 	});
 	response.end(text);
 };
@@ -148,7 +148,7 @@
 	const fields = parseFields(body, 'read job');
 	const steps = fields.list('steps', value => new Fields(value, 'read step')).map((step, index) => decodeStep(step, index));
 	if (steps.length === 0 || steps.length > maxSteps) {
-		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `${steps.length} steps`});
+		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `expected 1 to ${maxSteps} steps, got ${steps.length}`});
 	}
 
 	return {
@@ -182,7 +182,7 @@
 		maxAway: fields.has('mayMiss') ? fields.count('mayMiss') : undefined,
 	};
 	if (step.count > maxTasksPerStep || step.after.some(earlier => earlier >= index)) {
-		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `step ${index}: too many tasks, or it waits for a later step`});
+		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `step ${index}: expected at most ${maxTasksPerStep} tasks, and only earlier steps in "after"; got ${step.count} tasks`});
 	}
 
 	return step;
--- a/src/platform/site-config.ts
+++ b/src/platform/site-config.ts
@@ -1,17 +1,17 @@
 /**
-Decodes what operators declare for the site.
+Decodes the configuration that operators declare for the site.
 */
 import {type QueueConfig, type SiteConfig} from '../types/site.ts';
 import {Fields, parseFields} from '../utils/fields.ts';
 
-/** Topic and key under which operators keep the configuration. */
+/** Topic of the operators' declarations. */
 export const operatorTopic = 'keyed.op';
 /** Key of the configuration in the operators' topic. */
 export const configKey = 'config';
 
 const evacuationPrefix = 'evacuate/';
 
-/** Gets the failure domain that a key in the operators' topic asks to evacuate; undefined: it says something else. */
+/** Gets the failure domain that a key in the operators' topic requests to evacuate; undefined for any other key. */
 export const getEvacuatedDomain = (key: string): string | undefined =>
 	key.startsWith(evacuationPrefix) ? key.slice(evacuationPrefix.length) : undefined;
 
@@ -23,7 +23,7 @@
 		version: fields.number('version'),
 		queues: fields.list('routes', decodeQueue),
 		services: fields.list('services', decodeService),
-		// Fields that are 0 are left out on the wire; a bound of 0 would refuse all.
+		// Fields with the value 0 are omitted from the encoded form; a limit of 0 would refuse every request, so the defaults apply.
 		limits: {
 			maxBodyBytes: limits.amount('maxBodyBytes', 262_144),
 			maxHeaderBytes: limits.amount('maxHeaderBytes', 16_384),
--- a/src/platform/site-file.ts
+++ b/src/platform/site-file.ts
@@ -1,5 +1,5 @@
 /**
-Reads the settings file that the platform lays for each process.
+Reads the settings file that the platform provides for each process.
 */
 import {readFileSync} from 'node:fs';
 import {parse, type TomlTable} from 'smol-toml';
@@ -72,7 +72,7 @@
 	};
 };
 
-// Each site names its own; the fallbacks are for a site that leaves one out.
+// Each site defines its own bounds; the defaults apply to those that it omits.
 const decodeBounds = (bounds: TomlTable): SiteBounds => ({
 	configApplyMs: getNumber(bounds, 'configApplyMs', 2000),
 	drainMs: getNumber(bounds, 'drainMs', 2000),
--- a/src/platform/store-calls.ts
+++ b/src/platform/store-calls.ts
@@ -1,5 +1,5 @@
 /**
-The platform's store on the wire: raw records with their lengths, keyed records, conditional appends and groups.
+Client of the platform's store over HTTP: length-prefixed records, keyed records, conditional appends and groups.
 */
 import {Buffer} from 'node:buffer';
 import {
@@ -11,9 +11,9 @@
 import {Fields, parseFields} from '../utils/fields.ts';
 import {type HttpAnswer, type HttpCall, type HttpClient} from '../utils/http-calls.ts';
 
-/** A read that finds nothing is answered after its wait; so much later it counts as lost. Half a second covers a slow store. */
+/** Added to the wait of a read for its timeout: the store answers a read without records after the wait, a slow store up to half a second later. */
 const readSlackMs = 700;
-/** Bound on calls that answer at once. The store answers in a few ms; a silent connection shows after this. */
+/** Timeout of calls that do not wait. The store answers them in a few ms, so an unresponsive connection is detected after this. */
 const callTimeoutMs = 1500;
 const bytesPerKb = 1024;
 const defaultReadBytes = 1024 * bytesPerKb;
@@ -39,7 +39,7 @@
 		return answer;
 	};
 
-	const sendPlain = async (call: Omit<HttpCall, 'address'>): Promise<HttpAnswer> => {
+	const sendExpectingOk = async (call: Omit<HttpCall, 'address'>): Promise<HttpAnswer> => {
 		const answer = await send(call);
 		if (answer.status !== 200) {
 			throw createError(ErrorCode.StoreRefused, {step: call.step, peer: address, detail: `status ${answer.status}`});
@@ -59,14 +59,14 @@
 		const query = new URLSearchParams({
 			topic: ref.topic, part: String(ref.partition), from: String(fromOffset), maxKb: String(Math.max(1, Math.floor(maxBytes / bytesPerKb))), ...(waitMs > 0 && {waitMs: String(Math.round(waitMs))}),
 		});
-		const answer = await sendPlain({
+		const answer = await sendExpectingOk({
 			method: 'GET', path: `/log-read?${query.toString()}`, timeoutMs: waitMs + readSlackMs, step: `read ${ref.topic}`, signal,
 		});
 		return decodePage(answer.body, fromOffset);
 	};
 
 	const postJson = async (path: string, json: unknown, step: string): Promise<Fields> => {
-		const answer = await sendPlain({
+		const answer = await sendExpectingOk({
 			method: 'POST', path, body: JSON.stringify(json), headers: {'content-type': 'application/json'}, timeoutMs: callTimeoutMs, step,
 		});
 		return parseReply(answer.body);
@@ -85,13 +85,14 @@
 			let endOffset: number | undefined;
 			for (let after: string | undefined; ;) {
 				const query = new URLSearchParams({topic: ref.topic, part: String(ref.partition), ...(after !== undefined && {after})});
-				const answer = await sendPlain({
+				const answer = await sendExpectingOk({
 					method: 'GET', path: `/log-newest?${query.toString()}`, timeoutMs: callTimeoutMs, step: `read newest of ${ref.topic}`, signal,
 				});
 				const page = parseReply(answer.body);
 				const items = page.list('items', decodeNewest);
 				records.push(...items);
-				// Pages are no snapshot: a later page may end behind a record whose key an earlier one had passed.
+				// The pages are not one snapshot. A record written meanwhile under a key of an earlier page lies before the end offset
+				// of a later page, so reading goes on from the end offset of the first page.
 				endOffset ??= page.count('end', 0);
 				after = items.at(-1)?.key;
 				if (!page.flag('hasMore', false) || after === undefined) {
@@ -107,7 +108,7 @@
 		},
 		async getOwners(group) {
 			const query = new URLSearchParams({group});
-			const answer = await sendPlain({
+			const answer = await sendExpectingOk({
 				method: 'GET', path: `/log-owners?${query.toString()}`, timeoutMs: callTimeoutMs, step: 'read owners of group',
 			});
 			return decodeOwners(answer.body);
@@ -125,13 +126,13 @@
 	return {key: item.text('key'), value: Buffer.from(item.text('value', ''), 'base64'), offset: item.count('offset')};
 };
 
-/** Rows of topic, partition and committed offset. */
+/** Decodes a row of topic, partition and committed offset. */
 const decodePartition = (value: unknown): PartitionRef => {
 	const row = new Fields(value, 'read group share');
 	return {topic: row.text(0), partition: row.count(1)};
 };
 
-/** Rows of topic, partition, member and offset; the page names no field for the rows. */
+/** Decodes rows of topic, partition, member and offset. The platform's documentation does not name the field that holds the rows. */
 const decodeOwners = (body: Buffer): string[] => {
 	const reply = JSON.parse(body.toString('utf8')) as unknown;
 	const rows: unknown[] = Array.isArray(reply) ? reply : Object.values((reply ?? {}) as Record<string, unknown>).find(value => Array.isArray(value)) ?? [];
@@ -179,7 +180,7 @@
 	}
 };
 
-/** The page names the expected number without a name for its field; what is spoken is `seq`. */
+/** The platform's documentation mentions the expected number without naming its field; the store sends it as `seq`. */
 const getExpected = (reply: Fields): number => reply.number('seq', Number.NaN);
 
 const decodePage = (body: Buffer, fromOffset: number): StorePage => {
--- a/src/platform/worker-calls.ts
+++ b/src/platform/worker-calls.ts
@@ -1,5 +1,5 @@
 /**
-Calls to the worker on this host, and its announcements, on the wire.
+Client of the worker on this host over HTTP, and the decoder of its announcements.
 */
 import {
 	OrderRefusal, type EndedRow, type RunningRow, type WorkerAnswer, type WorkerClient, type WorkerListing, type WorkerReport,
@@ -8,7 +8,7 @@
 import {Fields, parseFields} from '../utils/fields.ts';
 import {type HttpClient} from '../utils/http-calls.ts';
 
-/** The worker is on this host and answers in a few ms; no answer after this long is taken as none. */
+/** Timeout of an order. The worker is on this host and answers in a few ms. */
 const orderTimeoutMs = 700;
 
 const refusalByReason: Record<string, OrderRefusal> = {
@@ -21,7 +21,7 @@
 
 const refusalByStatus: Record<number, OrderRefusal> = {
 	400: OrderRefusal.Invalid,
-	// The worker that is there is another incarnation than the one named.
+	// The worker is another incarnation than the one named in the request.
 	421: OrderRefusal.OtherWorker,
 	429: OrderRefusal.Unhealthy,
 	503: OrderRefusal.Unhealthy,
@@ -54,7 +54,7 @@
 		pace: async (workerId, {taskId, run, percent}, fence) => decodeAnswer(await post('/pace', {
 			task: taskId, run, percent: Math.round(percent), fence,
 		}, workerId, orderTimeoutMs)),
-		// One wire name serves three uses: prolonging leases, forgetting ends, and listing.
+		// The worker has one path for three operations: renewing leases, dropping ends, and listing.
 		async renew(workerId, {fence, forgetUpTo, leaseUntilMs, waitMs}) {
 			const reply = await post('/hold', {
 				fence,
@@ -88,7 +88,7 @@
 	};
 };
 
-/** Rows of task, run, checkpoint, percent and what was used or measured lately. */
+/** Decodes a row of task, run, checkpoint, percent and the recent measurement. */
 const decodeRunning = (value: unknown): RunningRow => {
 	const row = new Fields(value, 'read running run');
 	return {
@@ -96,7 +96,7 @@
 	};
 };
 
-/** Rows of number, task, run, how it ended and checkpoint. */
+/** Decodes a row of number, task, run, how it ended, and checkpoint. */
 const decodeEnded = (value: unknown): EndedRow => {
 	const row = new Fields(value, 'read ended run');
 	return {
@@ -104,15 +104,15 @@
 	};
 };
 
-/** States of a worker on the wire. */
-enum WireState {
+/** States of a worker in its announcements. */
+enum AnnouncedState {
 	Ready = 'ready',
 	Draining = 'draining',
 }
 
 /**
-Decodes a worker's announcement. Another writer may send one: with fields missing or of another type, or with a state that
-is not known, it names no worker. Throws `bad-input`.
+Decodes a worker's announcement. Announcements may come from other writers, so one with a missing field, a field of another
+type or an unknown state is rejected. Throws `bad-input`.
 */
 export const decodeAnnouncement = (workerId: string, body: Buffer | string): WorkerReport => {
 	const fields = parseFields(body, 'read announcement');
@@ -121,7 +121,7 @@
 		workerId,
 		service: fields.text('service'),
 		failureDomain: fields.text('zone'),
-		isDraining: fields.oneOf('state', Object.values(WireState)) === WireState.Draining,
+		isDraining: fields.oneOf('state', Object.values(AnnouncedState)) === AnnouncedState.Draining,
 		remainingMs: fields.has('remainingMs') ? fields.amount('remainingMs') : undefined,
 		milliCpu: capacity.amount('cpu'),
 		memoryMb: capacity.amount('memMb'),
--- a/src/types/advice.ts
+++ b/src/types/advice.ts
@@ -1,21 +1,21 @@
 /**
-Advice on which workers may run a step, where a queue's policy asks for it.
+Advice on which workers may run a step, for queues whose policy requires it.
 */
 
-/** Permission to run tasks of a step on a worker. */
+/** Permission to run tasks of a step on a worker, passed to the worker with each start. */
 export type Ticket = {
 	workerId: string;
 	ticket: string;
 };
 
-/** What the advice service says of the workers that were named. */
+/** Answer of the advice service: a ticket for each of the workers asked about that may run the step. */
 export type Advice = {
 	tickets: Ticket[];
-	/** Tickets are valid for so long from the answer. */
+	/** Validity of the tickets from the time of the answer. */
 	validMs: number;
 };
 
-/** Client of the advice service. Throws `refused` when too many calls wait, `peer-unavailable` without an answer. */
+/** Client of the advice service. Throws `refused` when too many calls wait, and `peer-unavailable` if there is no answer. */
 export type AdviceClient = {
 	ask(stepId: string, workerIds: string[]): Promise<Advice>;
 };
--- a/src/types/announcements.ts
+++ b/src/types/announcements.ts
@@ -1,9 +1,9 @@
 /**
-What upstreams and workers say of themselves.
+Announcements of upstreams and workers.
 */
 import {type Resources} from './platform.ts';
 
-/** States that an upstream or worker announces. Within one incarnation, draining beats alive and gone beats both. */
+/** States that an upstream or worker announces. Within one incarnation, draining overrides alive, and gone overrides both. */
 export enum HostState {
 	Alive = 'alive',
 	Draining = 'draining',
@@ -14,22 +14,22 @@
 export type UpstreamAnnouncement = {
 	upstreamId: string;
 	service: string;
-	/** Grows with each start of the instance. */
+	/** Increases with each start of the instance. */
 	incarnation: number;
-	/** Grows with each announcement of one incarnation. */
+	/** Increases with each announcement of one incarnation. */
 	sequence: number;
 	state: HostState;
-	/** `host:port` where requests are taken. */
+	/** `host:port` for requests. */
 	address: string;
 	region: string;
 	failureDomain: string;
 	slots: number;
 	connections: number;
-	/** A guard beside the upstream admits requests; entries then need no slot leases. */
+	/** A guard on the upstream's host admits requests; entries then need no slot leases. */
 	isGuarded: boolean;
-	/** Echo of the sponsor from the last reply; empty for an upstream that does not echo. */
+	/** `sponsorId` of the last reply, sent back; undefined for an upstream that does not send it back. */
 	sponsorId?: string;
-	/** Echo of the sponsor's term from the last reply. */
+	/** `sponsorTerm` of the last reply, sent back. */
 	sponsorTerm?: number;
 	/** Sponsor before the present one, in this incarnation. */
 	formerSponsorId?: string;
@@ -39,14 +39,14 @@
 export type AnnouncementReply = {
 	isAccepted: boolean;
 	reason?: string;
-	/** Entry that grants this upstream's slots; to be echoed. */
+	/** The sponsor: the entry that grants this upstream's slots. To be sent back in the next announcement. */
 	sponsorId?: string;
 	sponsorTerm?: number;
-	/** How long the upstream takes no other sponsor after it got a reply with a new term. */
+	/** How long the upstream accepts no other sponsor after it received a reply with a new term. */
 	sponsorLockMs?: number;
-	/** The sponsor itself gives the sponsorship up; another may be taken at once. */
+	/** The sponsor resigns; the upstream may accept another one at once. */
 	isSponsorLeaving?: boolean;
-	/** When to announce next. */
+	/** Time until the next announcement. */
 	nextAfterMs: number;
 };
 
--- a/src/types/choice.ts
+++ b/src/types/choice.ts
@@ -4,7 +4,7 @@
 import {type UpstreamAnnouncement} from './announcements.ts';
 import {type RequestClass} from './requests.ts';
 
-/** What a choice is made from. */
+/** Conditions for the choice of an upstream. */
 export type ChoiceContext = {
 	requestClass: RequestClass;
 	/** Upstreams already tried for this request. */
@@ -17,13 +17,13 @@
 export type RequestEnd = {
 	requestClass: RequestClass;
 	latencyMs: number;
-	/** A whole answer that is no server error. */
+	/** The answer was complete and not a server error. */
 	isSuccess: boolean;
-	/** Given up by this process for its own reasons, as when the caller left or its deadline came: no failure of the upstream. */
+	/** Abandoned by this process, for example because the caller left or its deadline passed: not a failure of the upstream. */
 	isAbandoned?: boolean;
 };
 
-/** Chooses upstreams and learns from how requests end. */
+/** Chooses upstreams, based on how earlier requests ended. */
 export type Chooser = {
 	choose(serviceName: string, candidates: readonly UpstreamAnnouncement[], context: ChoiceContext): UpstreamAnnouncement | undefined;
 	noteStart(upstreamId: string, requestClass: RequestClass): void;
--- a/src/types/config.ts
+++ b/src/types/config.ts
@@ -1,11 +1,11 @@
 /**
-Configuration as operators declare it: sections of the text, published as records of the log.
+Configuration that operators declare: sections of a text, published as records of the log.
 */
 
 /** Keys and values of one section. */
 export type SectionValues = Record<string, string>;
 
-/** One section in force. Without values it was deleted; its offset still orders later edits. */
+/** One section in force. A section without values was deleted; later changes are still checked against its offset. */
 export type ConfigSection = {
 	name: string;
 	/** Offset of the accepted record that last changed it. */
@@ -20,13 +20,14 @@
 	Move = 'move',
 }
 
-/** Change of one section: values, or none to delete it, based on the offset the author saw (-1: no such section). */
+/** Change of one section; without values, the section is deleted. */
 export type SectionChange = {
+	/** Offset of the section that the author based the change on; -1: no such section. */
 	baseOffset: number;
 	values?: SectionValues;
 };
 
-/** A change published by an operator; it is accepted whole or not at all. */
+/** A change published by an operator; all its sections are accepted, or none. */
 export type ConfigPublish = {
 	type: ConfigRecordType.Publish;
 	id: string;
@@ -35,7 +36,7 @@
 	sections: Record<string, SectionChange>;
 };
 
-/** The fold of all records up to an offset, re-published before those records lapse. */
+/** The fold of all records up to an offset, published again before the log drops those records. */
 export type ConfigSnapshot = {
 	type: ConfigRecordType.Snapshot;
 	id: string;
@@ -49,22 +50,23 @@
 export type ServiceOwner = {
 	service: string;
 	region: string;
-	/** Region it was moved from, if it ever was. */
+	/** Region that the service was last moved from; undefined if it was never moved. */
 	previousRegion?: string;
 	/** Offset of the record that made it the owner. */
 	offset: number;
 };
 
 /**
-Takes a service over into the region that its section declares.
-Valid when the section still says so, its dependencies are where they are declared, and the owner is still the one it is based on.
+Moves a service to the region that its section declares.
+Valid while the section still declares that region, the service's dependencies are in their declared regions, and the owner is
+still the one that the move is based on.
 */
 export type ConfigMove = {
 	type: ConfigRecordType.Move;
 	id: string;
 	service: string;
 	region: string;
-	/** Offset of the owner that is replaced. */
+	/** Offset of the record of the owner that is replaced. */
 	baseOffset: number;
 	entryId: string;
 };
@@ -72,7 +74,7 @@
 /** Any record of the configuration stream. */
 export type ConfigRecord = ConfigPublish | ConfigSnapshot | ConfigMove;
 
-/** What became of a published change. */
+/** Whether a published change was accepted. */
 export enum ConfigVerdict {
 	Accepted = 'accepted',
 	Conflict = 'conflict',
@@ -86,7 +88,7 @@
 	offset: number;
 	verdict: ConfigVerdict;
 	sections: string[];
-	/** For a refusal: what is wrong, or who won. */
+	/** For a refusal: what is invalid, or which change won the conflict. */
 	reason?: string;
 	winnerId?: string;
 	winnerAuthor?: string;
--- a/src/types/entries.ts
+++ b/src/types/entries.ts
@@ -1,5 +1,5 @@
 /**
-Entries as they know each other, and what one may ask of another that reaches the store.
+Registrations of entries, and the calls that an entry without access to the store relays to another one.
 */
 import {type LookupOutcome, type SubmitReply} from './job-api.ts';
 import {type WorkflowSpec, type WorkflowState} from './workflows.ts';
@@ -10,19 +10,22 @@
 	address: string;
 };
 
-/** A job at another entry; queues have one name everywhere. */
+/** Names a job to another entry; queue names are the same at all entries. */
 export type RelayedJob = {
 	queue: string;
 	id: string;
 };
 
-/** State of a job, as far as an entry knows it. */
+/** An entry's answer about the state of a job. */
 export type StateReply = {
 	outcome: LookupOutcome;
 	state?: WorkflowState;
 };
 
-/** Calls to another entry. Throw `peer-unavailable` without an answer: the call may have been done, or may be done later; `peer-unreached` if nothing was sent. */
+/**
+Calls to another entry. They throw `peer-unreached` if nothing was sent, and `peer-unavailable` if there is no answer: the call
+may have been carried out, or may be later.
+*/
 export type EntryClient = {
 	submit(address: string, job: RelayedJob & {spec: WorkflowSpec}, timeoutMs: number): Promise<SubmitReply>;
 	getState(address: string, job: RelayedJob, timeoutMs: number): Promise<StateReply>;
--- a/src/types/fleet.ts
+++ b/src/types/fleet.ts
@@ -1,9 +1,9 @@
 /**
-Workers as an agent sees them, and the messages between an owner of a service and its agents.
+Workers as their agents see them, and the messages between a service's owner and its agents.
 */
 import {type EndedRun} from './workflows.ts';
 
-/** What a worker has for tasks, or what is left of it. */
+/** Resources that a worker has for tasks, or has left. */
 export type Capacity = {
 	/** Processors in thousandths of a core. */
 	milliCpu: number;
@@ -11,38 +11,39 @@
 	accelerators: number;
 };
 
-/** What a worker says of itself. */
+/** A worker's announcement. */
 export type WorkerReport = Capacity & {
-	/** New with each incarnation of the worker. */
+	/** Identifies one incarnation of the worker. */
 	workerId: string;
 	service: string;
 	failureDomain: string;
 	isDraining: boolean;
-	/** Least time left while it drains; undefined otherwise. */
+	/** While the worker drains: minimum time until it ends. Undefined otherwise. */
 	remainingMs?: number;
 	labels: string[];
+	/** Increases with each announcement of the incarnation. */
 	sequence: number;
 };
 
-/** A run as its worker lists it. */
+/** A running run in its worker's listing. */
 export type RunningRow = {
 	taskId: string;
 	run: number;
-	/** Newest checkpoint; empty: none. */
+	/** Latest checkpoint; empty: none. */
 	checkpoint: string;
 	/** Work done, 0 to 100. */
 	percent: number;
-	/** Tail latency in ms of a task that serves, processors in use otherwise; over the last half second. */
+	/** Measurement of the last half second: tail latency in ms for a latency-critical task, processors in use for any other. */
 	recent: number;
 };
 
-/** An end that a worker keeps until it is told to forget it. */
+/** An ended run that a worker lists until its agent confirms that the end is stored. */
 export type EndedRow = EndedRun & {
-	/** Rises by one with each end of the incarnation. */
+	/** Increases by one with each end in an incarnation of the worker. */
 	number: number;
 };
 
-/** What runs on a worker and what ended there, as of `clockMs` of its own steady clock. */
+/** Running and ended runs of a worker, as of `clockMs` on its own monotonic clock. */
 export type WorkerListing = {
 	workerId?: string;
 	clockMs: number;
@@ -50,46 +51,47 @@
 	ended: EndedRow[];
 };
 
-/** A run that was there as its worker crashed. The agent keeps it until an owner has stored it. */
+/** A run that was resident when its worker crashed. The agent reports it until an owner has stored it. */
 export type CrashedRun = {
-	/** Rises by one with each such run in a life of the agent. */
+	/** Increases by one with each crashed run in an incarnation of the agent. */
 	number: number;
 	workerId: string;
 	taskId: string;
 	run: number;
-	/** Time from its start until the worker fell silent. */
+	/** Time from its start until the worker stopped answering. */
 	ageMs: number;
 };
 
-/** Whether there is as much of everything. */
+/** Whether each amount asked for is available. */
 export const isWithin = (asked: Capacity, available: Capacity): boolean =>
 	asked.milliCpu <= available.milliCpu && asked.memoryMb <= available.memoryMb && asked.accelerators <= available.accelerators;
 
-/** Why an order changed nothing. */
+/** Why an order was refused; a refused order changed nothing, except where noted. */
 export enum OrderRefusal {
 	/** A newer owner is known. */
 	StaleEpoch = 'stale-epoch',
-	/** It came later than it was good for. */
+	/** It arrived after `notAfterMs`. */
 	Expired = 'expired',
-	/** It was meant for an earlier life of the agent. */
+	/** It was meant for another incarnation of the agent. */
 	OtherLife = 'other-life',
 	Draining = 'draining',
-	/** Operators have asked to empty the worker's failure domain. */
+	/** Operators have requested the evacuation of the worker's failure domain. */
 	Evacuated = 'evacuated',
-	/** The agent cannot prove that it still has its worker. */
+	/** The agent has no proven lease with enough time left. */
 	NoLease = 'no-lease',
-	/** Another incarnation of the worker is there, or none. */
+	/** The worker is another incarnation than the one named, or there is none. */
 	OtherWorker = 'other-worker',
+	/** The worker has seen a higher fencing token. */
 	Fence = 'fence',
 	OldRun = 'old-run',
 	Late = 'late',
 	NoRoom = 'no-room',
-	/** The worker has less than the owner counted with. */
+	/** The worker's capacity is now smaller than the owner assumed. */
 	Shrunk = 'shrunk',
 	Ticket = 'ticket',
 	Unhealthy = 'unhealthy',
 	Invalid = 'invalid',
-	/** The worker gave no answer; the run may still begin until its lease is over. */
+	/** The worker did not answer; a start may still take effect until its lease expires. */
 	Unanswered = 'unanswered',
 }
 
@@ -97,25 +99,27 @@
 export type WorkerAnswer = {
 	isDone: boolean;
 	refusal?: OrderRefusal;
-	/** The worker's clock, where it was told. */
+	/** Reading of the worker's clock, if the answer had one. */
 	clockMs?: number;
 };
 
-/** Start of one run, as ordered from a worker. */
+/** Start of one run, as sent to a worker. */
 export type WorkerStart = {
 	taskId: string;
 	run: number;
 	input: string;
+	/** Checkpoint to resume from; empty: none. */
 	checkpoint: string;
+	/** Permission of the advice service to run here, where the queue needs one. */
 	ticket?: string;
 };
 
-/** Calls to one worker. Throw `peer-unavailable` without an answer: the call may have been done, or may be done later. */
+/** Calls to one worker. They throw `peer-unavailable` if there is no answer: the call may have been carried out, or may be later. */
 export type WorkerClient = {
 	start(workerId: string, start: WorkerStart, terms: {fence: number; leaseUntilMs: number}): Promise<WorkerAnswer>;
 	stop(workerId: string, run: {taskId: string; run: number}, fence: number): Promise<WorkerAnswer>;
 	pace(workerId: string, run: {taskId: string; run: number; percent: number}, fence: number): Promise<WorkerAnswer>;
-	/** Prolongs the lease of all that runs, drops ends up to `forgetUpTo`, and lists; waits up to `waitMs` for an end. */
+	/** Renews the lease of all running runs, drops ends up to `forgetUpTo`, and lists the runs; waits up to `waitMs` for a new end. */
 	renew(workerId: string | undefined, terms: {
 		fence: number; forgetUpTo: number; leaseUntilMs?: number; waitMs: number;
 	}): Promise<WorkerListing | {refusal: OrderRefusal}>;
@@ -128,20 +132,21 @@
 	Pace = 'pace',
 }
 
-/** An order of an owner to an agent. */
+/** An order from an owner to an agent. */
 export type Order
 	= | {type: OrderType.Start; start: WorkerStart}
 		| {type: OrderType.Stop; taskId: string; run: number}
 		| {type: OrderType.Pace; taskId: string; run: number; percent: number};
 
-/** Orders of one owner for one incarnation of a worker. */
+/** Orders from one owner for one incarnation of a worker. */
 export type OrdersRequest = {
 	epoch: number;
 	workerId: string;
-	/** Agent's life and clock after which the orders must not be carried out. */
+	/** Incarnation of the agent that the orders are for. */
 	agentLife: string;
+	/** Reading of the agent's clock after which the orders must not be carried out. */
 	notAfterMs: number;
-	/** What the owner took the worker to have as it decided; undefined from an owner of the version before. */
+	/** Capacity that the owner assumed for the worker when it decided; undefined from an owner of the previous version. */
 	capacity?: Capacity;
 	orders: Order[];
 };
@@ -149,50 +154,54 @@
 /** Answers, one for each order. */
 export type OrdersReply = {
 	answers: WorkerAnswer[];
-	/** State of the agent that includes the effect of the orders. */
+	/** Version of the agent's state that includes the effect of the orders. */
 	version: number;
 };
 
-/** What an owner asks of an agent: its state, once it differs from the version known. */
+/** Long poll of an owner: the agent replies with its state once that differs from the known version. */
 export type WatchRequest = {
 	epoch: number;
 	agentLife: string;
 	knownVersion: number;
 	waitMs: number;
-	/** Ends that are in the log. */
+	/** Ends up to this number are stored in the log. */
 	forget?: {workerId: string; upTo: number};
-	/** Crashed runs up to this number of the agent's life are in the log. */
+	/** Crashed runs up to this number of the agent's incarnation are stored in the log. */
 	crashesStored: number;
-	/** Reading of the worker's clock after which the store still showed this owner as the newest and the agent as not lost. */
+	/**
+	Proof for the lease: a reading of the worker's clock after which the store still showed this owner as the newest and the
+	agent's registration (`session`) as not declared lost.
+	*/
 	proof?: {workerId: string; clockMs: number; session: number};
 };
 
 /** State of an agent and of its worker. */
 export type WatchReply = {
-	/** Set when the request's epoch is not the newest known. */
+	/** Newest epoch known, if the request's epoch is older. */
 	newerEpoch?: number;
 	agentLife: string;
-	/** Offset of the agent's registration. */
+	/** Offset of the agent's registration in the store. */
 	session: number;
 	version: number;
 	agentClockMs: number;
 	worker?: WorkerReport;
-	/** Reading of the worker's clock and the time that its lease runs until. */
+	/** Latest reading of the worker's clock. */
 	workerClockMs: number;
+	/** End of the worker's lease, on the worker's clock. */
 	leaseUntilMs: number;
-	/** False until the worker was listed once by this life of the agent. */
+	/** Whether this incarnation of the agent has listed the worker's runs. */
 	isListed: boolean;
-	/** Whether the worker answered when it was last asked. */
+	/** Whether the worker answered the last renewal. */
 	isAnswering: boolean;
-	/** The worker gives no answer, and every lease that it ever had is over: nothing runs there. */
+	/** The worker does not answer and all its leases have expired: nothing runs there. */
 	isOver: boolean;
 	running: RunningRow[];
 	ended: EndedRow[];
-	/** Ordered and not yet resolved: may still begin. */
+	/** Starts with unknown outcome: they may still take effect. */
 	starting: Array<{taskId: string; run: number}>;
-	/** Runs that were there as the worker crashed, as far as the agent does not know that they are in the log. */
+	/** Runs that were resident when a worker crashed, and that no owner has reported as stored in the log. */
 	crashed: CrashedRun[];
-	/** A worker that was there before: all of its runs are over. */
+	/** Earlier incarnations of the worker: all their runs have ended. */
 	goneWorkerIds: string[];
 };
 
--- a/src/types/job-api.ts
+++ b/src/types/job-api.ts
@@ -1,10 +1,10 @@
 /**
-What callers may ask of an entry about jobs, free of any wire.
+Operations on jobs that an entry offers to callers, independent of the protocol.
 */
 import {type QueueConfig, type SiteConfig} from './site.ts';
 import {type WorkflowSpec, type WorkflowState} from './workflows.ts';
 
-/** What became of a job that was handed in. */
+/** Outcome of submitting a job. */
 export enum SubmitOutcome {
 	/** It is in the log. */
 	Accepted = 'accepted',
@@ -14,30 +14,30 @@
 	Unknown = 'unknown',
 }
 
-/** Answer to a job that was handed in. */
+/** Reply to the submission of a job. */
 export type SubmitReply = {
 	outcome: SubmitOutcome;
-	/** When to come back after a refusal. */
+	/** After a refusal: time until the caller should try again. */
 	retryAfterMs?: number;
 	reason?: string;
 };
 
-/** What became of a cancellation, and of a question that needs the newest state. */
+/** Outcome of a cancellation, or of a query that needs the latest state. */
 export enum LookupOutcome {
 	Found = 'found',
-	/** Proven: the log has no such job. */
+	/** The log was read to its end and has no such job. */
 	Absent = 'absent',
 	/** The log could not be read to its end in time. */
 	Unknown = 'unknown',
 }
 
-/** Jobs as an entry offers them to callers. */
+/** Operations on jobs for callers. */
 export type JobApi = {
 	getConfig(): SiteConfig | undefined;
-	/** Resolves within the time given. */
+	/** Resolves within `timeoutMs`. */
 	submit(queue: QueueConfig, id: string, spec: WorkflowSpec, timeoutMs: number): Promise<SubmitReply>;
 	getState(queue: QueueConfig, id: string, timeoutMs: number): Promise<{outcome: LookupOutcome; state?: WorkflowState}>;
 	cancel(queue: QueueConfig, id: string, timeoutMs: number): Promise<LookupOutcome>;
-	/** Accepted jobs of the queue of which no task has started. */
+	/** Counts the accepted jobs of the queue that have started no task yet. */
 	countPending(queue: QueueConfig): number;
 };
--- a/src/types/jobs.ts
+++ b/src/types/jobs.ts
@@ -1,5 +1,5 @@
 /**
-Jobs as callers and operators see them.
+Jobs and their states, as callers and operators see them.
 */
 import {type Resources, type TaskState} from './platform.ts';
 
@@ -9,23 +9,23 @@
 	Batch = 'batch',
 }
 
-/** A job: a number of equal tasks. */
+/** A job: a number of identical tasks. */
 export type JobSpec = {
 	jobId: string;
 	team: string;
-	/** Name of what is run; harm and declared sizes are learned by kind. */
+	/** Name of the program that the tasks run; interference and the accuracy of declared sizes are estimated per kind. */
 	kind: string;
 	taskClass: TaskClass;
-	/** Higher runs first; at or above the urgent level it may evict. */
+	/** Higher values run first; at or above the urgent level, tasks may evict others. */
 	priority: number;
 	taskCount: number;
-	/** Starts all tasks or none. */
+	/** Gang: either all tasks start or none. */
 	isGang: boolean;
-	/** An idempotent task may be run again when its end cannot be learned. */
+	/** An idempotent task may be run again if its end cannot be determined. */
 	isIdempotent: boolean;
 	resources: Resources;
 	declaredRunTimeMs: number;
-	/** Service whose side decides where the tasks run; none: anywhere. */
+	/** Service whose region the tasks must run in; undefined: any region. */
 	service?: string;
 	input?: unknown;
 };
@@ -45,16 +45,16 @@
 export type TaskStatus = {
 	taskId: string;
 	attempt: number;
-	/** None while the task waits to be placed. */
+	/** Undefined while the task waits for placement. */
 	state?: TaskState;
 	workerId?: string;
 	evictions: number;
 	result?: unknown;
-	/** Why it counts as ended, when no worker confirmed the end. */
+	/** Why the task counts as ended although no worker confirmed the end. */
 	reason?: string;
 };
 
-/** What a caller is told of a job. */
+/** Status of a job as reported to callers. */
 export type JobStatus = {
 	jobId: string;
 	state: JobState;
--- a/src/types/metrics.ts
+++ b/src/types/metrics.ts
@@ -11,7 +11,7 @@
 	RequestMs = 'request_ms',
 	/** Retries that the budget did not allow. */
 	RetriesDenied = 'retries_denied',
-	/** Answers of an upstream that came after the request was closed. */
+	/** Answers of an upstream that arrived after the request was closed. */
 	LateAnswers = 'late_answers',
 	ClaimsOpen = 'claims_open',
 	ClaimEndsDropped = 'claim_ends_dropped',
@@ -41,7 +41,7 @@
 	SlotRefusals = 'slot_refusals',
 	SlotsSponsored = 'slots_sponsored',
 	SlotsHeldBack = 'slots_held_back',
-	/** Entries for the jobs stream that were not queued: the log has been away for long. */
+	/** Records for the jobs stream that were dropped because the log had been unavailable for long. */
 	JobEntriesDropped = 'job_entries_dropped',
 	JobsRefused = 'jobs_refused',
 	TaskRetries = 'task_retries',
@@ -54,7 +54,7 @@
 	RecoveryMs = 'recovery_ms',
 }
 
-/** Counts events and sets levels. */
+/** Counts events, sets gauges and records timings. */
 export type Metrics = {
 	count(metric: Metric, reason?: string, amount?: number): void;
 	gauge(metric: Metric, value: number): void;
--- a/src/types/placement.ts
+++ b/src/types/placement.ts
@@ -1,5 +1,5 @@
 /**
-What the placement engine is told and what it decides.
+Input and decisions of the placement engine.
 */
 import {type JobSpec} from './jobs.ts';
 import {type Resources, type TaskUsage} from './platform.ts';
@@ -11,9 +11,9 @@
 	failureDomain: string;
 	rack: string;
 	capacity: Resources;
-	/** Taken by tasks of others: room that cannot be given now, though the worker has it. */
+	/** Used by tasks that this engine does not manage, and so not available to it. */
 	foreign?: Resources;
-	/** False while draining or held down: what runs stays counted, nothing new is placed. */
+	/** False while the worker is draining or held down: no task is placed on it, and running tasks still use its capacity. */
 	isOpen: boolean;
 };
 
@@ -25,9 +25,9 @@
 	queuedAtMs: number;
 	/** Region in which it must run; undefined: any. */
 	region?: string;
-	/** What a worker already holds for it, as learned after a takeover; undefined: decided here. */
+	/** Resources that a worker already holds for the task, learned after a takeover; undefined: the engine decides them. */
 	reserved?: Resources;
-	/** False: an eviction loses all of its work. */
+	/** False: an eviction loses all work of the task. */
 	isCheckpointable?: boolean;
 };
 
@@ -48,8 +48,8 @@
 }
 
 /**
-One decision. Starts of a gang come together, or not at all. `resources` of a start is what is held for the task, to be
-ordered from the worker. A final `Unplaceable` ends the job; any other is reconsidered when the fleet changes.
+One decision. A gang's starts are decided together, or not at all. `resources` of a start are reserved for the task and sent
+to the worker. An `Unplaceable` with `isFinal` ends the job; without it, the job is reconsidered when the fleet changes.
 */
 export type Decision
 	= | {type: DecisionType.Start; taskId: string; workerId: string; resources: Resources}
@@ -57,22 +57,22 @@
 		| {type: DecisionType.Throttle; taskId: string; workerId: string; share: number}
 		| {type: DecisionType.Unplaceable; jobId: string; missing: string; isFinal: boolean};
 
-/** Decides where tasks run. It is told all that happens and keeps no timers of its own. */
+/** Decides where tasks run. Its caller reports all events to it; it has no timers of its own. */
 export type PlacementEngine = {
 	setWorker(worker: PlacementWorker): void;
 	removeWorker(workerId: string): void;
-	/** Quota of a team; amounts above it are borrowed and given back on demand. */
+	/** Sets the quota of a team; usage above it is borrowed and returned on demand. */
 	setQuota(team: string, quota: Resources, weight: number): void;
 	enqueue(task: PendingTask): void;
 	/** Drops a waiting task. */
 	cancel(taskId: string): void;
-	/** A task runs on the worker: by a decision that took effect, or as learned from the worker after a takeover. */
+	/** Records that a task runs on the worker, after a decision or as learned from the worker after a takeover. */
 	noteRunning(task: PendingTask, workerId: string, startedAtMs: number): void;
-	/** A start was refused by the worker or its answer never came: the room is held until `noteEnded`. */
+	/** Records that the worker refused a start or never answered it: the capacity stays reserved until `noteEnded`. */
 	noteStartRefused(taskId: string, workerId: string): void;
-	/** The task's end is confirmed; its room is free. */
+	/** Records the confirmed end of a task, and frees its capacity. */
 	noteEnded(taskId: string, isSuccess: boolean, nowMs: number): void;
 	noteUsage(taskId: string, usage: TaskUsage): void;
-	/** Decides at most so many. A started task's room is taken at once. */
+	/** Makes at most `maxDecisions` decisions. The capacity for a start is reserved at once. */
 	decide(nowMs: number, maxDecisions: number): Decision[];
 };
--- a/src/types/platform.ts
+++ b/src/types/platform.ts
@@ -1,9 +1,9 @@
 /**
-What the platform gives, reduced to what the program assumes of it: an append-only log and workers.
+The platform's interfaces as far as the program relies on them: an append-only log and workers.
 */
 import {type TaskClass} from './jobs.ts';
 
-/** Streams that the program keeps in the platform's log. */
+/** The program's streams in the platform's log. */
 export enum Stream {
 	Config = 'config',
 	Entries = 'entries',
@@ -12,13 +12,13 @@
 	Ownership = 'ownership',
 }
 
-/** One record as read back: its place in the stream and what was appended. */
+/** One record as read back: its offset in the stream and the appended value. */
 export type LogRecord = {
 	offset: number;
 	value: unknown;
 };
 
-/** A stretch of a stream. Records before `oldestOffset` are gone; the next append gets `endOffset` or later. */
+/** Consecutive records of a stream. Records before `oldestOffset` were dropped; the next append gets `endOffset` or a later offset. */
 export type LogPage = {
 	records: LogRecord[];
 	oldestOffset: number;
@@ -32,11 +32,11 @@
 	signal?: AbortSignal;
 };
 
-/** The platform's log. There is no conditional append, and an answer may be lost after the append took effect. */
+/** The platform's log. It has no conditional append, and the answer may be lost after an append took effect. */
 export type PlatformLog = {
-	/** Appends one record; resolves to its offset. A rejection leaves open whether the record was appended. */
+	/** Appends one record; resolves to its offset. After a rejection, it is unknown whether the record was appended. */
 	append(stream: Stream, value: unknown, signal?: AbortSignal): Promise<number>;
-	/** Reads records from the offset on, or from the oldest kept one when that is later. */
+	/** Reads records from the offset on, or from the oldest retained one if that is later. */
 	read(stream: Stream, fromOffset: number, options?: ReadOptions): Promise<LogPage>;
 };
 
@@ -47,7 +47,7 @@
 	accelerators: number;
 };
 
-/** States of a task as its worker sees it. */
+/** States of a task as reported by its worker. */
 export enum TaskState {
 	Running = 'running',
 	Succeeded = 'succeeded',
@@ -66,25 +66,25 @@
 	taskClass: TaskClass;
 	resources: Resources;
 	leaseMs: number;
-	/** Log offset of the shard owner's claim; a worker refuses older tokens of the same shard. */
+	/** Log offset of the shard owner's claim; a worker refuses lower tokens for the same shard. */
 	fencingToken: number;
 	shard: number;
 	checkpointId?: string;
 	input?: unknown;
-	/** Latest reading of the worker's own monotonic clock at which the order may take effect; none: at any time. */
+	/** Latest reading of the worker's own monotonic clock at which the order may take effect; undefined: no limit. */
 	notAfterMs?: number;
-	/** Incarnation of the worker that is meant; none: any. */
+	/** Incarnation of the worker that the order is for; undefined: any. */
 	workerIncarnation?: number;
 };
 
-/** Why a worker did not do as ordered. */
+/** Why a worker refused an order. */
 export enum WorkerRefusal {
 	NoRoom = 'no-room',
 	StaleToken = 'stale-token',
 	StaleAttempt = 'stale-attempt',
 	UnknownTask = 'unknown-task',
 	Draining = 'draining',
-	/** The order came too late, or was meant for an earlier incarnation of the worker. */
+	/** The order arrived too late, or was meant for an earlier incarnation of the worker. */
 	Expired = 'expired',
 }
 
@@ -112,49 +112,50 @@
 	error?: string;
 };
 
-/** Measured use of one task, credited to the time that it speaks of. */
+/** Measured resource usage of one task. */
 export type TaskUsage = {
+	/** Time that the measurement applies to. */
 	measuredAtMs: number;
 	processors: number;
 	memoryMb: number;
-	/** Tail latency over its declared target, or run time over its unhindered run time. 1 is unharmed. */
+	/** Tail latency divided by its declared target, or run time divided by the run time without interference; 1: not slowed down. */
 	slowdown: number;
 };
 
-/** Reference to one attempt of a task, with the token of the shard owner that speaks. */
+/** Reference to one attempt of a task, with the fencing token of the shard owner that sends it. */
 export type TaskRef = {
 	taskId: string;
 	attempt: number;
 	shard: number;
 	fencingToken: number;
-	/** As in an order to start; a renewal that comes later is refused. */
+	/** As in `StartOrder`; a renewal that arrives later is refused. */
 	notAfterMs?: number;
 	workerIncarnation?: number;
 };
 
-/** Everything that a worker runs or has ended and not yet been told to forget. */
+/** All attempts that a worker runs, and all ended ones that it has not been asked to forget. */
 export type WorkerSnapshot = {
 	workerId: string;
 	incarnation: number;
 	capacity: Resources;
 	tasks: TaskReport[];
-	/** The worker's own monotonic clock as it answered. */
+	/** Reading of the worker's own monotonic clock when it answered. */
 	clockMs?: number;
 };
 
-/** One worker. It runs tasks under leases and is the last word on its own capacity. */
+/** One worker. It runs tasks under leases and is authoritative for its own capacity. */
 export type WorkerClient = {
 	start(order: StartOrder): Promise<WorkerReply>;
-	/** Renews the leases of all attempts named; the reply has one entry for each, in order. */
+	/** Renews the leases of the given attempts; the reply has one item for each, in the same order. */
 	renew(refs: TaskRef[], leaseMs: number): Promise<WorkerReply[]>;
-	/** Stops an attempt, after a checkpoint when asked. The reply confirms the end. */
+	/** Stops an attempt, after a checkpoint if `isCheckpoint` is set. The reply confirms the end. */
 	stop(ref: TaskRef, options: {isCheckpoint: boolean}): Promise<WorkerReply>;
 	/** Sets the share of its processors that an attempt may use, from 0 to 1. */
 	throttle(ref: TaskRef, share: number): Promise<WorkerReply>;
 	/** Drops ended attempts whose ends have been recorded. */
 	forget(refs: TaskRef[]): Promise<void>;
-	/** Refuses older tokens of the shard from now on, and lists what runs. */
+	/** Makes the worker refuse lower tokens for the shard from now on, and lists its attempts. */
 	seal(shard: number, fencingToken: number): Promise<WorkerSnapshot>;
-	/** Lists what runs and what has ended. */
+	/** Lists running and ended attempts. */
 	list(): Promise<WorkerSnapshot>;
 };
--- a/src/types/random.ts
+++ b/src/types/random.ts
@@ -1,12 +1,12 @@
 /**
-Randomness as the program sees it, passed in so that a seed repeats a run.
+Source of randomness, passed in so that a run can be repeated with the same seed.
 */
 
 /** Source of random numbers. */
 export type Random = {
 	/** A number in [0, 1). */
 	next(): number;
-	/** A whole number in [0, limit). */
+	/** An integer in [0, limit). */
 	below(limit: number): number;
 	/** An identifier of 16 hexadecimal digits. */
 	id(): string;
--- a/src/types/requests.ts
+++ b/src/types/requests.ts
@@ -1,24 +1,24 @@
 /**
-Requests of callers, and the answers that are the program's own.
+Callers' requests, and the answers that the program gives itself.
 */
 
-/** Classes of requests: quick checks go before long requests, which keep a reserved share. */
+/** Classes of requests: short checks have priority over long requests, which have a reserved share. */
 export enum RequestClass {
 	Check = 'check',
 	Long = 'long',
 }
 
-/** What is known of a request that got no whole answer from an upstream. */
+/** What is known of a request that got no complete answer from an upstream. */
 export enum Outcome {
 	/** No byte of the request can have reached an upstream. */
 	NotRun = 'not-run',
 	/** The request may have run. */
 	Unknown = 'unknown',
-	/** The request ran and was answered; its answer is not at hand any more. */
+	/** The request ran and was answered; the answer is no longer available. */
 	Done = 'done',
 }
 
-/** Why a request was refused or given up. One counter each. */
+/** Why a request was refused or abandoned. Each reason has its own counter. */
 export enum RefusalReason {
 	UnknownService = 'unknown-service',
 	NoUpstream = 'no-upstream',
@@ -40,14 +40,14 @@
 	UpstreamTimeout = 'upstream-timeout',
 	AnswerTruncated = 'answer-truncated',
 	CallerGone = 'caller-gone',
-	/** The guard beside the upstream has no slot or connection left. */
+	/** The guard on the upstream's host has no slot or connection left. */
 	GuardFull = 'guard-full',
-	/** The guard beside the upstream is stopping. */
+	/** The guard on the upstream's host is stopping. */
 	GuardDraining = 'guard-draining',
 	AnswerNotKept = 'answer-not-kept',
 }
 
-/** Why a request was tried again. One counter each. */
+/** Why a request was tried again. Each reason has its own counter. */
 export enum RetryReason {
 	ConnectFailed = 'connect-failed',
 	GuardRefused = 'guard-refused',
@@ -56,28 +56,28 @@
 	Hedge = 'hedge',
 }
 
-/** Headers of the callers' contract. */
+/** Headers of requests and answers, as agreed with callers and upstreams. */
 export enum Header {
-	/** Id of a non-idempotent request: a UUID of version 7, made by the caller, kept over its own retries. */
+	/** Id of a non-idempotent request: a version 7 UUID, created by the caller and reused for its own retries. */
 	RequestId = 'request-id',
 	RequestClass = 'request-class',
-	/** Milliseconds from arrival within which the answer is of use. */
+	/** Milliseconds from arrival within which the caller can use the answer. */
 	DeadlineMs = 'request-deadline-ms',
 	CallerId = 'caller-id',
-	/** On answers of the program itself: `not-run` or `unknown`. */
+	/** On answers that the program gives itself: a value of `Outcome`. */
 	Outcome = 'request-outcome',
 	RefusalReason = 'refusal-reason',
 	RetryAfter = 'retry-after',
-	/** The same in milliseconds. */
+	/** The value of `retry-after`, in milliseconds. */
 	RetryAfterMs = 'retry-after-ms',
-	/** Status of an answer that is not at hand any more. */
+	/** Status of an answer that is no longer available. */
 	Status = 'request-status',
-	/** On an answer that was recorded at an earlier try of the same id. */
+	/** On an answer that was recorded for an earlier attempt with the same id. */
 	Replayed = 'request-replayed',
-	/** To upstreams: number of the try, from 1. */
+	/** To upstreams: number of the attempt, from 1. */
 	Attempt = 'request-attempt',
-	/** Set by whoever retries itself: whoever receives it does not. */
+	/** Set by a sender that retries itself: the receiver must not retry. */
 	NoRetry = 'no-retry',
-	/** On every answer: entry that served it. */
+	/** On every answer: the entry that served it. */
 	Entry = 'served-by-entry',
 }
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -1,5 +1,5 @@
 /**
-Names of the services of a process, and what each offers to the others.
+Names and interfaces of the services within a process.
 */
 import {type Service} from '../core/kernel.ts';
 import {type Settings} from '../core/settings-schema.ts';
@@ -15,7 +15,7 @@
 import {type Random} from './random.ts';
 import {type RefusalReason} from './requests.ts';
 
-/** Names by which services find each other. */
+/** Names under which services are registered. */
 export enum ServiceName {
 	Clock = 'clock',
 	Random = 'random',
@@ -36,26 +36,26 @@
 	Membership = 'membership',
 }
 
-/** What entries ask of each other. */
+/** Methods of calls between entries. */
 export enum PeerMethod {
-	/** Presence and digests of what each side knows. */
+	/** Presence, and digests of what each side knows. */
 	Hello = 'hello',
 	/** Announcements that the other side does not know yet. */
 	Announcements = 'announcements',
-	/** Slot shares asked for, granted and given back. */
+	/** Requests, grants and returns of slot shares. */
 	Slots = 'slots',
-	/** Configuration, from a peer that has more of it. */
+	/** Configuration from a peer that has read more of it. */
 	Config = 'config',
-	/** Jobs passed to the owner of their shard. */
+	/** Jobs forwarded to the owner of their shard. */
 	Jobs = 'jobs',
-	/** A guard's reports. */
+	/** Reports of a guard. */
 	Guard = 'guard',
 }
 
-/** Who this process is. */
+/** Identity of this process. */
 export type Identity = {
 	processId: string;
-	/** Grows with each start of the process. */
+	/** Increases with each start of the process. */
 	incarnation: number;
 	region: string;
 	failureDomain: string;
@@ -63,7 +63,7 @@
 
 /** Server for operators, upstreams and workers. */
 export type ControlService = Service & Pick<JsonServer, 'route'> & {
-	/** Address bound. */
+	/** Gets the address that the server listens on. */
 	getAddress(): string;
 	/** Adds a part to the answer of `/statusz`. */
 	addStatus(name: string, getStatus: () => unknown): void;
@@ -79,24 +79,24 @@
 	getSection(name: string): ConfigSection | undefined;
 	getSections(): Map<string, ConfigSection>;
 	getHistory(): ConfigResult[];
-	/** Region that owns the service, with the record that made it so. */
+	/** Gets the region that owns the service, with the offset of the record that made it the owner. */
 	getOwner(serviceName: string): ServiceOwner | undefined;
-	/** Whether the end of the log was read within the last so many milliseconds. */
+	/** Whether the log was read to its end within the last `withinMs` milliseconds. */
 	isFresh(withinMs: number): boolean;
 };
 
 /** Upstreams that announced themselves. */
 export type UpstreamRegistry = Service & {
 	announce(announcement: UpstreamAnnouncement): AnnouncementReply;
-	/** Takes an announcement that may be meant for another entry, and passes it on to its sponsor. */
+	/** Handles an announcement that may be meant for another entry; it is then forwarded to the upstream's sponsor. */
 	receive(announcement: UpstreamAnnouncement): Promise<AnnouncementReply>;
-	/** Upstreams of the service that may get new requests. */
+	/** Gets the upstreams of the service that new requests may be routed to. */
 	getRoutable(serviceName: string): UpstreamAnnouncement[];
 	list(): UpstreamAnnouncement[];
 	get(upstreamId: string): UpstreamAnnouncement | undefined;
-	/** This entry's right to grant the upstream's slots, while it may be believed. */
+	/** Gets this entry's right to grant the upstream's slots; undefined if it has none or the right is no longer certain. */
 	getSponsorship(upstreamId: string): Sponsorship | undefined;
-	/** Gives all sponsorships up; for a graceful shutdown. */
+	/** Resigns all sponsorships, for a graceful shutdown. */
 	resignSponsorships(): void;
 };
 
@@ -114,7 +114,7 @@
 
 /** Jobs of this installation. */
 export type JobsService = Service & {
-	/** Resolves once the job is in the log. Throws `log-unavailable` when that is not known. */
+	/** Resolves once the job is in the log. Throws `log-unavailable` if it is not known whether it is. */
 	submit(spec: JobSpec): Promise<JobStatus>;
 	getStatus(jobId: string): JobStatus | undefined;
 	cancel(jobId: string): Promise<JobStatus>;
@@ -129,37 +129,37 @@
 	failureDomain: string;
 	peerAddress: string;
 	controlAddress: string;
-	/** Heard of within its lease. */
+	/** Its presence was received, and its lease has not expired. */
 	isAlive: boolean;
 };
 
-/** Answers a peer's call. */
+/** Handles a peer's call; what it returns is the answer. */
 export type PeerHandler = (body: unknown, peerId: string) => unknown;
 
-/** Entries of the installation, and calls between them. */
+/** The other entries of the installation, and calls between them. */
 export type PeersService = Service & {
 	list(): Peer[];
 	handle(method: PeerMethod, handler: PeerHandler): void;
-	/** Calls a peer. Throws `peer-unavailable` without an answer; the call may then have been handled. */
+	/** Calls a peer. Throws `peer-unavailable` if there is no answer; the peer may have handled the call. */
 	call(peerId: string, method: PeerMethod, body: unknown, timeoutMs?: number): Promise<unknown>;
 };
 
 /** One slot of an upstream, held for one request. */
 export type SlotHold = {
-	/** Gives the slot back; once. */
+	/** Returns the slot; repeated calls have no effect. */
 	release(): void;
 };
 
 /** Slots of upstreams that this entry may use. */
 export type SlotsService = Service & {
-	/** Takes a slot, or undefined when this entry's share has none free. `holdMs` bounds how long it may be held. */
+	/** Acquires a slot for at most `holdMs`; undefined if no slot of this entry's share is free. */
 	tryTake(upstreamId: string, holdMs: number): SlotHold | undefined;
 	getFree(upstreamId: string): number;
-	/** Connections to the upstream that this entry may keep open: the same part as its share of the slots. */
+	/** Gets the number of connections to the upstream that this entry may keep open, in proportion to its share of the slots. */
 	getConnections(upstreamId: string): number;
-	/** Requests that wait for a slot of the service: shares move to where the demand is. */
+	/** Sets how many requests wait for a slot of the service; shares are moved to entries with demand. */
 	setDemand(serviceName: string, waiting: number): void;
-	/** Calls back when a slot may have become free. */
+	/** Registers a callback for when a slot may have become free. */
 	onFree(callback: () => void): void;
 };
 
@@ -167,15 +167,15 @@
 export enum ClaimState {
 	/** Claimed by an entry that may have dispatched it. */
 	Claimed = 'claimed',
-	/** Ran; its answer is kept when it is small. */
+	/** The request ran; its answer is kept if it is small. */
 	Done = 'done',
-	/** Given back by its claimant, never dispatched: may be claimed again. */
+	/** Released by its claimant and never dispatched: may be claimed again. */
 	NotRun = 'not-run',
-	/** Dispatched, and its answer never came. */
+	/** Dispatched, but no answer arrived. */
 	Unknown = 'unknown',
 }
 
-/** Status of a request id, as far as the log tells. */
+/** Status of a request id according to the log. */
 export type ClaimStatus = {
 	requestId: string;
 	service: string;
@@ -191,38 +191,38 @@
 /** How a claimed request ended. */
 export type ClaimEnd = Pick<ClaimStatus, 'state' | 'status' | 'body' | 'contentType'>;
 
-/** Outcome of a try to claim. */
+/** Outcome of an attempt to claim a request id. */
 export type ClaimResult
 	= | {isWon: true}
 	/** Another claim came first. */
 		| {isWon: false; claim: ClaimStatus}
-	/** The log did not confirm in time; the claim was given up and must not be dispatched. */
+	/** The log did not confirm in time; the claim was abandoned and the request must not be dispatched. */
 		| {isWon: false; claim?: undefined};
 
-/** At most one run for each request id. */
+/** Ensures that each request id is run at most once. */
 export type ClaimsService = Service & {
-	/** Claims the id. Only after `isWon` may the request be dispatched, once, by this entry. */
+	/** Claims the id. With `isWon`, this entry may dispatch the request once; otherwise it must not. */
 	claim(requestId: string, serviceName: string, timeoutMs: number): Promise<ClaimResult>;
 	/** Records the end of a claim that this entry won. */
 	finish(requestId: string, end: ClaimEnd): void;
-	/** Why the id may not be claimed, or undefined when it may. */
+	/** Gets the reason why the id may not be claimed; undefined if it may. */
 	judge(requestId: string): RefusalReason | undefined;
-	/** Whether a claim that was won may still be dispatched; to be asked right before the first byte. */
+	/** Whether a request whose claim was won may still be dispatched; to be checked right before its first byte is sent. */
 	isDispatchable(requestId: string): boolean;
 	lookup(requestId: string): ClaimStatus | undefined;
-	/** Claims with no known end, oldest first. */
+	/** Lists claims with no known end, oldest first. */
 	listOpen(): ClaimStatus[];
 };
 
-/** On which side each service runs while it is moved between data centres. */
+/** Region in which each service runs while it is moved between data centres. */
 export type MovesService = Service & {
-	/** Region whose upstreams get the service's new requests; undefined: any. */
+	/** Gets the region whose upstreams get the service's new requests; undefined: any. */
 	getRegion(serviceName: string): string | undefined;
-	/** Whether non-idempotent requests may be dispatched now: not while a move settles. */
+	/** Whether non-idempotent requests may be dispatched now; false for some time after a move. */
 	isSettled(serviceName: string): boolean;
 };
 
-/** What each name stands for. */
+/** Type of the service under each name. */
 export type ServiceMap = {
 	[ServiceName.Clock]: Clock;
 	[ServiceName.Random]: Random;
--- a/src/types/site.ts
+++ b/src/types/site.ts
@@ -1,50 +1,50 @@
 /**
-Where a process stands: its addresses, what is around it, and the bounds that hold there. Read from the platform.
+Settings of a site and its processes: addresses, the store, and time limits, as given by the platform and its operators.
 */
 
-/** Bounds and durations of a site. */
+/** Time limits and other bounds of a site. */
 export type SiteBounds = {
-	/** A configuration that was acknowledged is in force within this time. */
+	/** An acknowledged configuration is in force within this time. */
 	configApplyMs: number;
-	/** A worker that drains gets no task later than this after its announcement was acknowledged. */
+	/** A draining worker gets no task later than this after its announcement was acknowledged. */
 	drainMs: number;
-	/** Longest lease that a worker grants. */
+	/** Longest lease that a worker accepts. */
 	maxLeaseMs: number;
 	/** A stop takes at most this long. */
 	stopMs: number;
-	/** Members of a gang wait so long for each other. */
+	/** How long members of a gang wait for each other. */
 	gangWaitMs: number;
-	/** A cancelled job has nothing running after this time. */
+	/** Nothing of a cancelled job runs after this time. */
 	cancelMs: number;
-	/** A repeated job starts at most so early. */
+	/** An occurrence of a repeated job starts at most this long before it is due. */
 	earlyMs: number;
-	/** The state of a job is known for so long after its end. */
+	/** How long the state of a job is available after its end. */
 	statusKeptMs: number;
-	/** A task far from its data, or a step spread over racks, takes so many times as long. */
+	/** Factor on the run time of a task far from its data, or of a step that is spread over racks. */
 	farFactor: number;
 	checkpointEveryMs: number;
 	restoreMs: number;
-	/** A pace is in force after this time. */
+	/** A throttle is in force after this time. */
 	paceMs: number;
-	/** A serving task may miss its target for so long on end. */
+	/** Longest time for which a latency-critical task may miss its target without a break. */
 	harmMs: number;
-	/** A task that was away for so long counts as away whatever the cause. */
+	/** A task that was unavailable for this long counts as unavailable, whatever the cause. */
 	awayMs: number;
 	/** Time between SIGTERM and SIGKILL. */
 	graceMs: number;
 };
 
-/** Settings of a process, as the platform gives them. */
+/** Settings of a process, as given by the platform. */
 export type SiteSettings = {
 	hostName: string;
 	ip: string;
 	failureDomain: string;
-	/** Where callers connect; only on hosts that callers reach. */
+	/** Address for callers; only on hosts that callers can reach. */
 	callersAddress?: string;
 	readinessAddress?: string;
-	/** Where a worker announces itself; only beside a worker. */
+	/** Address for the announcements of the worker; only on a worker's host. */
 	announceAddress?: string;
-	/** The worker beside this process, and its service. */
+	/** The worker on this host, and its service. */
 	workerAddress?: string;
 	workerService?: string;
 	/** Ports for calls between the program's own processes. */
@@ -56,37 +56,38 @@
 		address: string;
 		partitions: number;
 		minMemberTtlMs: number;
-		/** How long records are kept. */
+		/** How long records are retained. */
 		keptMs: number;
 		maxCallBytes: number;
 	};
 	bounds: SiteBounds;
 };
 
-/** A queue that callers hand jobs in to. */
+/** A queue that callers submit jobs to. */
 export type QueueConfig = {
 	name: string;
 	host: string;
 	pathPrefix: string;
 	service: string;
-	/** 0 comes first. */
+	/** Lower values come first; 0 is the highest priority. */
 	priority: number;
 	maxAttempts: number;
+	/** See `Workflow.stretch`. */
 	stretch: number;
 	targetLatencyMs: number;
 	timeoutMs: number;
-	/** Steps of this queue may run only where the advice service says; undefined: anywhere. */
+	/** Steps of this queue may run only on workers that the advice service permits; undefined: on any. */
 	advice?: {decisionMs: number; perWorkerMs: number; validMs: number};
 };
 
-/** Failure domains that operators have asked to empty: nothing more is started there until they take the request back. */
+/** Failure domains that operators have requested to evacuate: no task is started there until they withdraw the request. */
 export type Evacuations = {
-	/** Offset in the operators' stream up to which this holds: of two, the one with the higher offset is newer. */
+	/** Offset in the operators' stream up to which the list is valid; of two lists, the one with the higher offset is newer. */
 	asOf: number;
 	failureDomains: string[];
 };
 
-/** What the operators last declared for a site. */
+/** Latest configuration that the operators declared for a site. */
 export type SiteConfig = {
 	version: number;
 	queues: QueueConfig[];
--- a/src/types/store.ts
+++ b/src/types/store.ts
@@ -1,6 +1,6 @@
 /**
-The platform's store as the program uses it: partitioned topics with conditional appends, and groups that deal
-partitions to members. The platform's own log calls are in `platform.ts`; this is the wider interface.
+The platform's store as the program uses it: partitioned topics with conditional appends, and groups that assign partitions
+to their members. `platform.ts` has the simpler interface of an append-only log.
 */
 
 /** A partition of a topic. */
@@ -15,43 +15,43 @@
 	value: Buffer;
 };
 
-/** A stretch of a partition. The next append gets `endOffset` or later. */
+/** Consecutive records of a partition. The next append gets `endOffset` or a later offset. */
 export type StorePage = {
 	records: StoreRecord[];
 	oldestOffset: number;
 	endOffset: number;
 };
 
-/** Newest record of a key in a keyed topic. */
+/** Latest record of a key in a keyed topic. */
 export type KeyedRecord = {
 	key: string;
 	value: Buffer;
 	offset: number;
 };
 
-/** All newest records, and the offset from which a reader goes on. */
+/** The latest record of each key, and the offset from which to continue reading. */
 export type KeyedPage = {
 	records: KeyedRecord[];
 	endOffset: number;
 };
 
-/** Identity of a writer in one partition: a repeated sequence number appends nothing twice, an older epoch nothing at all. */
+/** Identity of a writer in one partition: a repeated sequence number is not appended again, and a lower epoch is never appended. */
 export type ProducerStamp = {
 	producer: string;
 	epoch: number;
 	sequence: number;
 };
 
-/** What became of an append. */
+/** Outcome of an append. */
 export enum AppendOutcome {
 	Appended = 'appended',
-	/** A writer with a higher epoch has appended: this one never will. */
+	/** A writer with a higher epoch has appended; this writer can append no more. */
 	Fenced = 'fenced',
 	/** The sequence number does not follow the last one. */
 	WrongSequence = 'wrong-sequence',
-	/** The partition does not end at the offset named. */
+	/** The partition does not end at the given offset. */
 	NotAtEnd = 'not-at-end',
-	/** Nothing was done; the same append may be tried again. */
+	/** Nothing was appended; the same append may be tried again. */
 	Refused = 'refused',
 }
 
@@ -66,53 +66,54 @@
 /** Conditions of an append. */
 export type AppendOptions = {
 	stamp?: ProducerStamp;
+	/** Append only if the partition ends at this offset. */
 	atOffset?: number;
 	timeoutMs: number;
 };
 
-/** Terms of a read. */
+/** Options of a read. */
 export type ReadOptions = {
 	waitMs: number;
-	/** At least one record is given; undefined: as much as the store gives. */
+	/** At least one record is returned even if it is larger; undefined: the store client's default. */
 	maxBytes?: number;
 	signal?: AbortSignal;
 };
 
-/** A member's place in a group. */
+/** Membership in a group, as sent with each join. */
 export type GroupMember = {
 	group: string;
 	member: string;
 	topics: string[];
 	ttlMs: number;
-	/** The last one received; 0 at first. */
+	/** Latest generation received; 0 in the first join. */
 	generation: number;
 };
 
-/** Partitions that belong to a member as of a generation. */
+/** Partitions assigned to a member as of a generation. */
 export type GroupShare = {
 	generation: number;
 	partitions: PartitionRef[];
 };
 
-/** A record of a keyed topic that is to be written; without a value the key is dropped. */
+/** A write to a keyed topic; without a value, the key is deleted. */
 export type KeyedWrite = {
 	key: string;
 	value?: Buffer;
 };
 
 /**
-Client of the store. Calls throw `store-refused` when nothing was done, `store-unanswered` when that is not known, and
-`offset-gone` for a read before the oldest record.
+Client of the store. Calls throw `store-refused` if nothing was done, `store-unanswered` if it is unknown whether anything was,
+and `offset-gone` for a read before the oldest record.
 */
 export type StoreClient = {
 	append(ref: PartitionRef, values: Buffer[], options: AppendOptions): Promise<AppendResult>;
 	appendKeyed(ref: PartitionRef, writes: KeyedWrite[], options: AppendOptions): Promise<AppendResult>;
-	/** Answers as soon as a record is there, at the latest after `waitMs`, with at most about `maxBytes` of records. */
+	/** Returns as soon as there is a record, or after `waitMs`, with at most about `maxBytes` of records. */
 	read(ref: PartitionRef, fromOffset: number, options: ReadOptions): Promise<StorePage>;
 	readKeyed(ref: PartitionRef, fromOffset: number, waitMs: number, signal?: AbortSignal): Promise<{records: Array<KeyedWrite & {offset: number}>; endOffset: number}>;
 	newest(ref: PartitionRef, signal?: AbortSignal): Promise<KeyedPage>;
 	join(member: GroupMember): Promise<GroupShare>;
 	leave(group: string, member: string): Promise<void>;
-	/** Members of the group that hold a partition. */
+	/** Gets the members of the group that have a partition assigned. */
 	getOwners(group: string): Promise<string[]>;
 };
--- a/src/types/workflows.ts
+++ b/src/types/workflows.ts
@@ -1,44 +1,45 @@
 /**
-Jobs of several steps as callers hand them in: what each step needs, and in which order steps run.
+Jobs of several steps (workflows) as callers submit them: what each step needs, and in which order steps run.
 */
 
-/** One step: a number of equal tasks. */
+/** One step: a number of identical tasks. */
 export type WorkflowStep = {
 	count: number;
 	/** Processors in thousandths of a core. */
 	milliCpu: number;
 	memoryMb: number;
 	accelerators: number;
-	/** Rough; often far off. */
+	/** The caller's rough estimate of the run time; often far off. */
 	estimateMs: number;
-	/** Steps whose tasks must all have succeeded first. */
+	/** Indexes of the steps whose tasks must all have succeeded first. */
 	after: number[];
+	/** The tasks write checkpoints. */
 	isCheckpointing: boolean;
-	/** All tasks of one run work only together. */
+	/** Gang: tasks make progress only while all of them run. */
 	isGang: boolean;
-	/** Much slower on more than one rack. */
+	/** Much slower when spread over more than one rack. */
 	isSameRack: boolean;
 	/** Label that the worker must have. */
 	requiredLabel?: string;
-	/** Rack where the data is. */
+	/** Rack where the input data is. */
 	dataRack?: string;
-	/** At most so many tasks of one occurrence on one worker; 0: no bound. */
+	/** Maximum number of tasks of one occurrence on one worker; 0: no bound. */
 	maxPerWorker: number;
-	/** Copies may run at the same time; the first to succeed counts. */
+	/** Several copies of a task may run at the same time; the first to succeed counts. */
 	isSpeculative: boolean;
-	/** Runs until the job is cancelled and is restarted however it ends. */
+	/** Long-running: runs until the job is cancelled, and is restarted whenever it ends. */
 	isLasting: boolean;
-	/** Name of what the tasks run; tasks of one image behave alike. */
+	/** Name of the program that the tasks run; tasks of one image are expected to behave alike. */
 	image?: string;
-	/** Bound on the tail latency of a lasting task that serves; 0: none. */
+	/** Target for the tail latency of a latency-critical task; 0: none. */
 	targetMs: number;
-	/** Takes the processors that others leave unused: not counted against capacity. */
+	/** Best-effort: uses processors that other tasks leave idle, and is not counted against capacity. */
 	isFilling: boolean;
-	/** So many tasks may be away at a time by what the system does; undefined: no such promise. */
+	/** Maximum number of tasks that the system's own actions may make unavailable at a time; undefined: no bound. */
 	maxAway?: number;
 };
 
-/** A job as handed in by a caller. */
+/** A job as submitted by a caller. */
 export type WorkflowSpec = {
 	/** Opaque to the scheduler, passed to each task. */
 	input: string;
@@ -46,29 +47,29 @@
 	/** First due time, in ms since 1970; only with `repeatCount`. */
 	firstDueMs: number;
 	intervalMs: number;
-	/** How often the steps run; 0: once, at once. */
+	/** Number of occurrences of all steps; 0: one, due at once. */
 	repeatCount: number;
 };
 
-/** A job as it stands in the log: with the terms of its queue at the time of acceptance. */
+/** A job as stored in the log, with the settings of its queue at the time of acceptance. */
 export type Workflow = WorkflowSpec & {
 	id: string;
 	queue: string;
 	service: string;
-	/** 0 comes first. */
+	/** Lower values come first; 0 is the highest priority. */
 	priority: number;
-	/** A task that failed so often fails its job. */
+	/** A task that fails this many times fails its job. */
 	maxAttempts: number;
-	/** Objective: this many times the longest chain of work, and `targetLatencyMs` more. */
+	/** Latency objective: `stretch` times the critical path, plus `targetLatencyMs`. */
 	stretch: number;
 	targetLatencyMs: number;
-	/** Advice on where steps may run is needed. */
+	/** Steps may run only on workers that the advice service permits. */
 	needsAdvice: boolean;
-	/** Wall clock of the entry that took it. */
+	/** Wall time of the entry that received it. */
 	receivedAtMs: number;
 };
 
-/** States of a job as callers are told. */
+/** States of a job as reported to callers. */
 export enum WorkflowState {
 	Queued = 'queued',
 	Running = 'running',
@@ -85,7 +86,7 @@
 	Lapsed = 'lapsed',
 	/** Another member of its gang ended. */
 	Broken = 'broken',
-	/** Waited in vain for the other members of its gang. */
+	/** The other members of its gang did not start in time. */
 	Alone = 'alone',
 }
 
@@ -102,29 +103,29 @@
 	taskId: string;
 	run: number;
 	end: RunEnd;
-	/** Empty: none. */
+	/** Latest checkpoint; empty: none. */
 	checkpoint: string;
 };
 
-/** A crash of the worker that a run was on. */
+/** A crash of a worker, as counted for a task that had a run on it. */
 export type TaskCrash = {
 	run: number;
-	/** Time from the run's start until the worker fell silent. */
+	/** Time from the run's start until the worker stopped answering. */
 	ageMs: number;
-	/** Nothing on the worker had started later. */
+	/** No run on the worker had started later, apart from members of the same gang. */
 	isNewest: boolean;
 	host: string;
-	/** Another task had succeeded on the host since its last crash. */
+	/** Another task had succeeded on the host since the host's previous crash. */
 	isHostProven: boolean;
-	/** Wall clock of the owner that counted it. */
+	/** Wall time of the owner that counted it. */
 	atMs: number;
 };
 
-/** Formats the name of a task. */
+/** Formats a task's id. */
 export const formatTaskId = ({workflowId, occurrence, step, index}: TaskRef): string =>
 	`${workflowId}.${occurrence}.${step}.${index}`;
 
-/** Parses the name of a task; undefined for anything else. */
+/** Parses a task's id; undefined for any other text. */
 export const parseTaskId = (taskId: string): TaskRef | undefined => {
 	const [workflowId, ...numbers] = taskId.split('.');
 	const [occurrence, step, index] = numbers.map(Number);
