--- a/src/types/placement.ts
+++ b/src/types/placement.ts
@@ -68,7 +68,7 @@
 	cancel(taskId: string): void;
 	/** Records that a task runs on the worker, after a decision or as learned from the worker after a takeover. */
 	noteRunning(task: PendingTask, workerId: string, startedAtMs: number): void;
-	/** Records that the worker refused a start or never answered it: the capacity stays reserved until `noteEnded`. */
+	/** Records that the worker refused a start or never answered it: the capacity stays reserved until `recordEnded`. */
 	noteStartRefused(taskId: string, workerId: string): void;
 	/** Records the confirmed end of a task, and frees its capacity. */
 	noteEnded(taskId: string, isSuccess: boolean, nowMs: number): void;
--- a/test/caller-server.test.ts
+++ b/test/caller-server.test.ts
@@ -1,5 +1,5 @@
 /**
-What callers get for what they send, with the jobs behind it given by the test.
+Answers of the callers' server to valid and invalid requests, on top of a job API that the test defines.
 */
 import {Buffer} from 'node:buffer';
 import {createConnection} from 'node:net';
@@ -59,13 +59,13 @@
 		[SubmitOutcome.Accepted, 200, undefined],
 		[SubmitOutcome.NotAccepted, 503, '2'],
 		[SubmitOutcome.Unknown, 504, undefined],
-	])('get for a job that is %s %d', async (outcome, status, retryAfter) => {
+	])('get, for a job that is %s, status %d', async (outcome, status, retryAfter) => {
 		await serve({submit: async () => ({outcome, retryAfterMs: 1500})});
 		const answer = await call('POST', '/issue/00000000000000a1', body);
 		expect([answer.status, answer.headers['retry-after']]).toEqual([status, retryAfter]);
 	});
 
-	it('are told the state, that there is no such job, or that it is not known', async () => {
+	it('get the state of a job, an answer that there is no such job, or one that its state is unknown', async () => {
 		const outcomes = [LookupOutcome.Found, LookupOutcome.Absent, LookupOutcome.Unknown];
 		await serve({getState: async () => ({outcome: outcomes.shift()!, state: WorkflowState.Completed})});
 		const answers = [];
@@ -83,28 +83,28 @@
 		['GET', '/issue/not-an-id', 404],
 		['PUT', '/issue/00000000000000a1', 405],
 		['DELETE', '/issue/00000000000000a1', 200],
-	])('get for %s %s %d', async (method, path, status) => {
+	])('get, for %s %s, status %d', async (method, path, status) => {
 		await serve({});
 		expect((await call(method, path)).status).toBe(status);
 	});
 
-	it('are turned away before there is a configuration', async () => {
+	it('get 503 before there is a configuration', async () => {
 		await serve({getConfig: () => undefined});
 		expect((await call('GET', '/issue/')).status).toBe(503);
 	});
 
-	it('reach the queue with the longest prefix of their host', () => {
+	it('reach the queue of their host with the longest matching path prefix', () => {
 		expect(findQueue(config.queues, 'a.example', '/issue/more/x')?.name).toBe('longer');
 		expect(findQueue(config.queues, 'b.example', '/issue/x')).toBeUndefined();
 	});
 });
 
-describe('bad senders', () => {
+describe('senders of invalid requests', () => {
 	it.each([
-		['not JSON', '{'],
-		['no steps', '{"spec":"x"}'],
-		['a step after itself', '{"steps":[{"count":1,"after":[0]}]}'],
-		['a count that is none', '{"steps":[{"count":"many"}]}'],
+		['a body that is not JSON', '{'],
+		['a job without steps', '{"spec":"x"}'],
+		['a step that depends on itself', '{"steps":[{"count":1,"after":[0]}]}'],
+		['a count that is not a number', '{"steps":[{"count":"many"}]}'],
 	])('get 400 for %s', async (_, text) => {
 		await serve({});
 		expect((await call('POST', '/issue/00000000000000a1', text)).status).toBe(400);
@@ -115,8 +115,8 @@
 		expect((await call('POST', '/issue/00000000000000a1', 'x'.repeat(3000))).status).toBe(413);
 	});
 
-	/** A sender that stalls within its body would hold a connection and memory for ever. */
-	it('get 408 when they stall', async () => {
+	/** Without a timeout, a sender that stalls within its body would keep a connection and memory in use without end. */
+	it('get 408 when they stall within the body', async () => {
 		await serve({});
 		const [host, port] = address.split(':');
 		const socket = createConnection(Number(port), host);
@@ -132,8 +132,8 @@
 	});
 });
 
-describe('jobs', () => {
-	it('have defaults for what is left out', () => {
+describe('decoded jobs', () => {
+	it('have defaults for omitted fields', () => {
 		expect(decodeSpec(Buffer.from(body)).steps[0]).toMatchObject({
 			count: 2, milliCpu: 500, memoryMb: 0, after: [], isGang: false, maxPerWorker: 0, targetMs: 0,
 		});
--- a/test/site-calls.ts
+++ b/test/site-calls.ts
@@ -1,5 +1,5 @@
 /**
-Calls between the processes of a site on manual time, over paths that tests cut.
+Calls between the processes of a simulated site on manual time, over paths that tests can interrupt.
 */
 import {type Agent} from '../src/agents/agent.ts';
 import {createError, ErrorCode} from '../src/core/errors.ts';
@@ -10,20 +10,23 @@
 import {type AgentClient} from '../src/workflows/agent-links.ts';
 import {createRelayTarget} from '../src/workflows/relaying-api.ts';
 
-/** Processes of a site, and the paths between them. */
+/** Processes of a simulated site, and the state of the paths between them. */
 export type SitePaths = {
 	clock: Clock;
 	queue: QueueConfig;
 	hosts: ReadonlyMap<string, {agent: Agent | undefined; clock: {isPaused: boolean}}>;
 	entries: ReadonlyMap<string, SiteEntry>;
-	/** Pairs `entry>host` or `entry>entry` between which nothing passes, and those whose calls are done and not answered. */
+	/** Pairs `entry>host` or `entry>entry` between which no messages pass. */
 	cuts: ReadonlySet<string>;
+	/** Pairs between which calls are carried out but their answers are lost. */
 	lostAnswers: ReadonlySet<string>;
-	/** Entries that have not reached the store for a while, and those whose last call to it failed. */
+	/** Entries that have not reached the store for some time. */
 	storeLost: ReadonlySet<string>;
+	/** Entries whose last call to the store failed. */
 	storeFailing: ReadonlySet<string>;
-	/** How long an entry's thread leaves a call to an agent unsent, and an answer unhandled. */
+	/** How long an entry's thread takes to send a call to an agent. */
 	getCallDelayMs: () => number;
+	/** How long an entry's thread takes to handle an answer. */
 	getAnswerDelayMs: () => number;
 };
 
@@ -34,7 +37,7 @@
 	throw createError(code, {step, peer});
 };
 
-/** What an entry calls agents with. */
+/** Creates the client with which an entry calls agents. */
 export const createAgentClient = (site: SitePaths, entryName: string): AgentClient => {
 	const {clock, hosts, cuts} = site;
 	const call = async <Reply>(host: string, act: (agent: Agent) => Promise<Reply>, timeoutMs: number): Promise<Reply> => {
@@ -44,7 +47,7 @@
 			return fail(clock, 'call agent', host, timeoutMs);
 		}
 
-		// A process that died answers never: the caller's own bound ends the call.
+		// A process that died never answers: the caller's timeout ends the call.
 		const reply = structuredClone(await Promise.race([act(agent), fail(clock, 'call agent', host, timeoutMs)]));
 		await clock.sleep(1 + site.getAnswerDelayMs());
 		return cuts.has(`${entryName}>${host}`) ? fail(clock, 'call agent', host, 0) : reply;
@@ -56,7 +59,7 @@
 	};
 };
 
-/** What an entry calls other entries with. */
+/** Creates the client with which an entry calls other entries. */
 export const createEntryClient = (site: SitePaths, entryName: string): EntryClient => {
 	const {
 		clock, queue, entries, cuts, lostAnswers, storeLost, storeFailing,
--- a/test/site-capacity.test.ts
+++ b/test/site-capacity.test.ts
@@ -14,10 +14,10 @@
 	expect(world.violations).toEqual([]);
 });
 
-/** A call to the worker is on its way for so long. */
+/** Latency of a call to the worker. */
 const callMs = 5;
 
-/** The worker says that it changes, and does so once calls of before have arrived. */
+/** The worker announces its new capacity, and changes it once calls sent before have arrived. */
 const setCapacity = async (host: string, milliCpu: number): Promise<void> => {
 	const {worker, agent} = world.hosts.get(host)!;
 	agent!.announce({...worker.announce(), milliCpu});
@@ -29,7 +29,7 @@
 
 const isAnyRunning = (host: string): boolean => world.hosts.get(host)!.worker.running.size > 0;
 
-it('are not brought over what is left while their owner has not heard of it', async () => {
+it('are not overcommitted while their owner does not know of the reduced capacity', async () => {
 	world = await createSite(1);
 	world.plan = () => ({workMs: 300});
 	for (let round = 0; round < 20; round++) {
@@ -44,7 +44,7 @@
 	expect(world.events.filter(event => event.type === 'ended').length).toBe(80);
 });
 
-it('refuse an order that was decided when there was more', async () => {
+it('refuse an order that was decided when they had more capacity', async () => {
 	world = await createSite(1);
 	await setCapacity('host-0', 1000);
 	const {agent, worker, clock} = world.hosts.get('host-0')!;
@@ -64,7 +64,7 @@
 	expect(isAnyRunning('host-0')).toBe(false);
 });
 
-it('are given nothing more while what runs is stopped or takes all that is left', async () => {
+it('get no further task while running tasks are being stopped or use all remaining capacity', async () => {
 	world = await createSite(1);
 	world.plan = () => ({workMs: 3000});
 	await world.submit(jobId, createSpec([createStep({count: 2})]));
@@ -76,7 +76,7 @@
 	expect(world.isRunning(`${jobId}.0.0.0`)).toBe(false);
 });
 
-it('take work again as soon as they have grown', async () => {
+it('get tasks again as soon as their capacity has grown', async () => {
 	world = await createSite(1);
 	await setCapacity('host-0', 500);
 	await world.clock.advance(1000);
@@ -87,7 +87,7 @@
 	expect(await world.waitFor(() => world.isRunning(`${jobId}.0.0.0`), 5000)).toBeLessThan(100);
 });
 
-it('may have nothing left for a while, also for what fills and for what serves', async () => {
+it('may have no capacity for a while, also for best-effort and latency-critical tasks', async () => {
 	world = await createSite(2);
 	world.plan = ({taskId}) => ({workMs: taskId.startsWith(otherId) ? undefined : 1000});
 	await world.submit(otherId, createSpec([createStep({
--- a/test/site-evacuation.test.ts
+++ b/test/site-evacuation.test.ts
@@ -1,5 +1,5 @@
 /**
-Failure domains that operators have asked to empty.
+Failure domains that operators have requested to evacuate.
 */
 import {Buffer} from 'node:buffer';
 import {
@@ -53,7 +53,7 @@
 	taskId: `${jobId}.0.0.0`, run: 1, input: '', checkpoint: '',
 };
 
-/** An order of the newest owner known, as one that was cut off from the store would send it. */
+/** Sends an order to start a task with the latest epoch, as an owner without access to the store would. */
 const orderStart = async (host: string) => {
 	const {agent, worker, clock} = world.hosts.get(host)!;
 	return world.settle(agent!.order({
@@ -79,12 +79,12 @@
 		store.put(ref, `evacuate/${domain}`, Buffer.from('{}'));
 	};
 
-	const takeBack = async (domain: string) => {
+	const withdraw = async (domain: string) => {
 		await store.createClient('operator').appendKeyed(ref, [{key: `evacuate/${domain}`}], {timeoutMs: 1000});
 	};
 
 	return {
-		clock, store, follower, aborter, request, takeBack,
+		clock, store, follower, aborter, request, withdraw,
 	};
 };
 
@@ -94,7 +94,7 @@
 		expect(world.violations).toEqual([]);
 	});
 
-	it('get no start, and what runs there is left to end', async () => {
+	it('get no start, and their running tasks run to their end', async () => {
 		await createSite(['hall-a', 'hall-b']);
 		world.plan = () => ({workMs: 3000});
 		await world.submit(jobId, createSpec([createStep({count: 8})]));
@@ -110,7 +110,7 @@
 		}
 	});
 
-	it('get starts again once the request is taken back', async () => {
+	it('get starts again once the request is withdrawn', async () => {
 		await createSite(['hall-a']);
 		setEvacuations(5, 'hall-a');
 		await world.clock.advance(1000);
@@ -121,7 +121,7 @@
 		expect(await world.waitFor(() => getStartsOn('host-0') === 4, 1500)).toBeDefined();
 	});
 
-	it('get starts again when the request is taken back while their owner dies', async () => {
+	it('get starts again when the request is withdrawn while their owner crashes', async () => {
 		await createSite(['hall-a']);
 		setEvacuations(5, 'hall-a');
 		await world.clock.advance(1000);
@@ -138,7 +138,7 @@
 		expect(await orderStart('host-0')).toMatchObject({answers: [{isDone: false, refusal: OrderRefusal.Evacuated}]});
 	});
 
-	it('stay evacuated for an agent that starts after the store has let the request go', async () => {
+	it('stay evacuated for an agent that starts after the store has dropped the record of the request', async () => {
 		await createSite(['hall-a', 'hall-b']);
 		setEvacuations(5, 'hall-a');
 		await world.clock.advance(45_000);
@@ -149,7 +149,7 @@
 		expect(await orderStart('host-0')).toMatchObject({answers: [{isDone: false, refusal: OrderRefusal.Evacuated}]});
 	});
 
-	it('are none when an older request is told after its removal', async () => {
+	it('do not count as evacuated when an older request arrives after its removal', async () => {
 		await createSite(['hall-a']);
 		setEvacuations(7);
 		await world.clock.advance(500);
@@ -160,7 +160,7 @@
 		expect(await world.waitFor(() => getStartsOn('host-0') === 1, 1500)).toBeDefined();
 	});
 
-	it('may be all at once: what waits starts when one is taken back', async () => {
+	it('may be all hosts at once: waiting tasks start when one request is withdrawn', async () => {
 		await createSite(['hall-a', 'hall-b']);
 		setEvacuations(5, 'hall-a', 'hall-b');
 		await submitMany(2);
@@ -173,25 +173,25 @@
 });
 
 describe('requests to evacuate', () => {
-	it('are read from the operators\' stream, and their removal too', async () => {
-		const {clock, follower, aborter, request, takeBack} = await follow();
+	it('and their removal are read from the operators\' stream', async () => {
+		const {clock, follower, aborter, request, withdraw} = await follow();
 		request('hall-a');
 		request('hall-b');
 		await clock.advance(50);
 		expect(follower.evacuations.failureDomains).toEqual(['hall-a', 'hall-b']);
-		void takeBack('hall-a');
+		void withdraw('hall-a');
 		await clock.advance(50);
 		expect(follower.evacuations.failureDomains).toEqual(['hall-b']);
 		aborter.abort();
 	});
 
-	it('end also when the record of the removal is gone before it was read', async () => {
-		const {clock, store, follower, aborter, request, takeBack} = await follow();
+	it('end even if the store drops the record of the removal before it was read', async () => {
+		const {clock, store, follower, aborter, request, withdraw} = await follow();
 		request('hall-a');
 		await clock.advance(50);
 		store.getDelayMs = ({client}) => client === 'entry' ? 500 : 0;
 		await clock.advance(1100);
-		void takeBack('hall-a');
+		void withdraw('hall-a');
 		await clock.advance(20);
 		store.trim(ref, 2);
 		await clock.advance(3000);
--- a/test/site-inputs.test.ts
+++ b/test/site-inputs.test.ts
@@ -1,5 +1,5 @@
 /**
-What comes from outside in a form that nobody expected: records, answers and announcements of another writer.
+Records, answers and announcements of other writers in an unexpected form.
 */
 import {Buffer} from 'node:buffer';
 import fc from 'fast-check';
@@ -71,26 +71,26 @@
 };
 
 describe('decoders', () => {
-	it.each(records)('read back what was written: $type', record => {
+	it.each(records)('decode an encoded record: $type', record => {
 		expect(decodeRecord(encodeRecord(record))).toEqual(record);
 	});
 
-	it('read back control records', () => {
+	it('decode an encoded control record', () => {
 		const lost = {
 			type: ControlType.Lost as const, host: 'h', session: 4, epoch: 2,
 		};
 		expect(decodeControl(encodeControl(lost))).toEqual(lost);
 	});
 
-	/** A value of another writer either is what its type says, or is refused in one way that every reader knows. */
-	it.each(Object.entries(decoders))('refuse whatever is not theirs: %s', (_, decoder) => {
+	/** A value of another writer either decodes to its type or is refused with `bad-input`, which every reader handles. */
+	it.each(Object.entries(decoders))('refuse invalid values with `bad-input`: %s', (_, decoder) => {
 		const known = [step, workflow, ...records, {
 			host: 'h', address: 'a', service: 's', failureDomain: 'f',
 		}, {version: 3, routes: [{name: 'q'}]}];
 		const bytes = fc.oneof(
 			fc.uint8Array({maxLength: 200}).map(array => Buffer.from(array)),
 			fc.json().map(text => Buffer.from(text)),
-			// One field of something sound is replaced, or left out.
+			// A valid value with one field replaced or removed.
 			fc.tuple(fc.constantFrom(...known), fc.nat(), fc.option(fc.jsonValue(), {nil: undefined})).map(([value, index, other]) => {
 				const keys = Object.keys(value);
 				return Buffer.from(JSON.stringify({...value, [keys[index % keys.length]!]: other}));
@@ -103,8 +103,8 @@
 });
 
 describe('readers of the store', () => {
-	/** Records that nobody can read lie between those of jobs: each of them is passed over, and every job is known. */
-	it('pass over what they cannot read', async () => {
+	/** Undecodable records between those of jobs are reported and skipped; every job is read. */
+	it('skip records that they cannot decode', async () => {
 		const world = new SiteWorld();
 		const store = world.store.createClient('x');
 		const invalid: number[] = [];
@@ -120,8 +120,11 @@
 		expect(invalid).toHaveLength(junk.length);
 	});
 
-	/** One registration cannot be read. The owner must not begin to read from the start for ever: it would never settle. */
-	it('find the other agents beside a registration that cannot be read', async () => {
+	/**
+	Registrations that cannot be decoded must not make the owner read all registrations again without end: it would never
+	complete its reconciliation.
+	*/
+	it('find the other agents despite registrations that cannot be decoded', async () => {
 		const world = new SiteWorld();
 		const store = world.store.createClient('x');
 		await world.settle(store.appendKeyed({topic: agentsTopic, partition: 0}, [
@@ -138,16 +141,16 @@
 	});
 });
 
-describe('an announcement that was held up', () => {
+describe('a delayed announcement', () => {
 	const report = (workerId: string, sequence: number): WorkerReport => ({
 		workerId, service: 's', failureDomain: 'f', isDraining: false, milliCpu: 1000, memoryMb: 1000, accelerators: 0, labels: [], sequence,
 	});
 
 	/**
-	The agent is restarted and hears its worker. Then an announcement arrives that a cut had held up, sent by an incarnation
-	that crashed before. If it counted as the newest, all that runs on the living one would be started elsewhere as well.
+	A restarted agent receives an announcement of its worker, then one that a network partition had delayed, from an incarnation
+	that crashed before. If that one became current, all runs of the live incarnation would be started elsewhere as well.
 	*/
-	it('does not make the living incarnation count as gone', () => {
+	it('does not make the live incarnation count as gone', () => {
 		const state = new AgentState('life', 7000);
 		expect(state.announce(report('i-2', 1), 0)).toBe(true);
 		expect(state.announce(report('i-1', 90), 0)).toBe(false);
@@ -155,7 +158,7 @@
 		expect(state.goneWorkerIds).toEqual([]);
 	});
 
-	it('counts once the worker says that the incarnation before is gone', () => {
+	it('takes effect once the worker\'s answer shows that the previous incarnation is gone', () => {
 		const state = new AgentState('life', 7000);
 		state.announce(report('i-1', 5), 0);
 		state.announce(report('i-2', 1), 0);
--- a/test/store-calls.test.ts
+++ b/test/store-calls.test.ts
@@ -1,5 +1,5 @@
 /**
-The store's formats, against a server that answers as its pages say.
+Requests and answers of the store client, against a server that answers as the platform's documentation says.
 */
 import {Buffer} from 'node:buffer';
 import {
@@ -13,8 +13,8 @@
 let server: WireServer;
 const ref = {topic: 'work', partition: 3};
 
-const createStore = async (give: (asked: Asked) => Given): Promise<StoreClient> => {
-	server = await new WireServer(give).start();
+const createStore = async (respond: (request: Asked) => Given): Promise<StoreClient> => {
+	server = await new WireServer(respond).start();
 	return createStoreClient(server.http, server.address);
 };
 
@@ -36,7 +36,7 @@
 });
 
 describe('append', () => {
-	it('sends records with their lengths, and the writer\'s number', async () => {
+	it('sends length-prefixed records, and the writer\'s epoch and sequence number', async () => {
 		const store = await createStore(() => ({status: 200, json: {offset: 7, end: 9}}));
 		const result = await store.append(ref, [Buffer.from('ab'), Buffer.from('c')], {stamp: {producer: 'w', epoch: 2, sequence: 5}, atOffset: 7, timeoutMs: 1000});
 		expect(result).toEqual({outcome: AppendOutcome.Appended, offset: 7, endOffset: 9});
@@ -54,22 +54,22 @@
 		[{status: 503}, {outcome: AppendOutcome.Refused, reason: 'status 503'}],
 		[{status: 429}, {outcome: AppendOutcome.Refused, reason: 'status 429'}],
 		[{status: 507}, {outcome: AppendOutcome.Refused, reason: 'status 507'}],
-	])('tells %j apart', async (given, result) => {
-		const store = await createStore(() => given);
+	])('maps the answer %j to its outcome', async (response, result) => {
+		const store = await createStore(() => response);
 		expect(await store.append(ref, [], {timeoutMs: 1000})).toEqual(result);
 	});
 
-	it('says that it is not known what became of a call without an answer', async () => {
+	it('reports an unknown outcome for a call without an answer', async () => {
 		const store = await createStore(() => 'reset');
 		await expect(store.append(ref, [Buffer.from('a')], {timeoutMs: 1000})).rejects.toSatisfy(error => getErrorCode(error) === ErrorCode.StoreUnanswered);
 	});
 
-	it('gives a silent connection up after the time allowed', async () => {
+	it('times out when the connection does not respond', async () => {
 		const store = await createStore(() => 'silence');
 		await expect(store.append(ref, [Buffer.from('a')], {timeoutMs: 50})).rejects.toSatisfy(error => getErrorCode(error) === ErrorCode.StoreUnanswered);
 	});
 
-	it('writes the key in front of the value', async () => {
+	it('encodes the key before the value', async () => {
 		const store = await createStore(() => ({status: 200, json: {offset: 0, end: 1}}));
 		await store.appendKeyed(ref, [{key: 'k', value: Buffer.from('v')}, {key: 'gone'}], {timeoutMs: 1000});
 		expect(server.asked[0]!.body).toEqual(Buffer.concat([frame('\u0001kv'), frame('\u0004gone')]));
@@ -77,7 +77,7 @@
 });
 
 describe('read', () => {
-	it('numbers records from where it began', async () => {
+	it('numbers records from the offset of the read', async () => {
 		const store = await createStore(() => ({status: 200, raw: Buffer.concat([frameHead(12, 2), frame('x'), frame('')])}));
 		expect(await store.read(ref, 10, {waitMs: 500, maxBytes: 65_536})).toEqual({
 			records: [{offset: 10, value: Buffer.from('x')}, {offset: 11, value: Buffer.from('')}], oldestOffset: 2, endOffset: 12,
@@ -86,17 +86,17 @@
 		expect(server.asked[0]!.url.searchParams.get('maxKb')).toBe('64');
 	});
 
-	it('names the oldest offset where records are gone', async () => {
+	it('reports the oldest offset when records were dropped', async () => {
 		const store = await createStore(() => ({status: 410, json: {first: 44}}));
 		await expect(store.read(ref, 10, {waitMs: 0})).rejects.toSatisfy(error => getOldestOffset(error) === 44);
 	});
 
-	it('takes a refusal for one that did nothing', async () => {
+	it('reports a refusal as a call that did nothing', async () => {
 		const store = await createStore(() => ({status: 503}));
 		await expect(store.read(ref, 0, {waitMs: 0})).rejects.toSatisfy(error => getErrorCode(error) === ErrorCode.StoreRefused);
 	});
 
-	it('gathers all pages of newest records, and ends where the first one ended: what was written meanwhile is read again', async () => {
+	it('collects all pages of latest records, and returns the end offset of the first: records written meanwhile are read again', async () => {
 		const store = await createStore(({url}) => ({
 			status: 200,
 			json: url.searchParams.get('after') === null
@@ -110,7 +110,7 @@
 });
 
 describe('groups', () => {
-	it('gives the partitions that belong to the member', async () => {
+	it('returns the partitions that are assigned to the member', async () => {
 		const store = await createStore(() => ({status: 200, json: {generation: 7, ttlMs: 3000, parts: [['work', 3, 840]]}}));
 		expect(await store.join({
 			group: 'g', member: 'm', topics: ['work'], ttlMs: 1200, generation: 6,
--- a/test/wire-server.ts
+++ b/test/wire-server.ts
@@ -1,5 +1,5 @@
 /**
-A server that answers with what a test gives, and keeps what it was asked: for the adapter's formats.
+HTTP server for tests of the platform adapter: answers as the test says, and records the requests.
 */
 import {Buffer} from 'node:buffer';
 import {createServer, type IncomingHttpHeaders, type Server} from 'node:http';
@@ -15,23 +15,23 @@
 	address = '';
 	readonly #server: Server;
 
-	constructor(give: (asked: Asked) => Given) {
+	constructor(respond: (request: Asked) => Given) {
 		this.#server = createServer((request, response) => {
 			const chunks: Buffer[] = [];
 			request.on('data', (chunk: Buffer) => {
 				chunks.push(chunk);
 			});
 			request.on('end', () => {
-				const asked = {
+				const received = {
 					method: request.method!, url: new URL(request.url!, 'http://stand-in'), headers: request.headers, body: Buffer.concat(chunks),
 				};
-				this.asked.push(asked);
-				const given = give(asked);
-				if (given === 'reset') {
+				this.asked.push(received);
+				const answer = respond(received);
+				if (answer === 'reset') {
 					request.socket.destroy();
-				} else if (given !== 'silence') {
-					response.writeHead(given.status, given.headers);
-					response.end(given.raw ?? JSON.stringify(given.json ?? {}));
+				} else if (answer !== 'silence') {
+					response.writeHead(answer.status, answer.headers);
+					response.end(answer.raw ?? JSON.stringify(answer.json ?? {}));
 				}
 			});
 		});
--- a/test/worker-calls.test.ts
+++ b/test/worker-calls.test.ts
@@ -1,5 +1,5 @@
 /**
-The worker's formats, against a server that answers as its pages say.
+Requests and answers of the worker client, against a server that answers as the platform's documentation says.
 */
 import {
 	afterEach, describe, expect, it,
@@ -15,8 +15,8 @@
 	taskId: 'j.0.1.17', run: 2, input: '(text)', checkpoint: '',
 };
 
-const createClient = async (given: Given): Promise<WorkerClient> => {
-	server = await new WireServer(() => given).start();
+const createClient = async (response: Given): Promise<WorkerClient> => {
+	server = await new WireServer(() => response).start();
 	return createWorkerClient(server.http, server.address);
 };
 
@@ -26,7 +26,7 @@
 });
 
 describe('orders', () => {
-	it('names the incarnation that is meant, the lease and the fence', async () => {
+	it('sends the worker\'s incarnation, the lease and the fencing token', async () => {
 		const client = await createClient({status: 200, json: {clockMs: 5}});
 		expect(await client.start('i-1', {...start, checkpoint: 'c', ticket: 't'}, {fence: 7, leaseUntilMs: 486_000.7})).toEqual({isDone: true, clockMs: 5});
 		const {headers, body} = server!.asked[0]!;
@@ -46,19 +46,19 @@
 		[429, undefined, OrderRefusal.Unhealthy],
 		[503, undefined, OrderRefusal.Unhealthy],
 		[400, undefined, OrderRefusal.Invalid],
-	])('tells %d %s apart', async (status, reason, refusal) => {
+	])('maps status %d with reason %s to its refusal', async (status, reason, refusal) => {
 		const client = await createClient({status, json: {clockMs: 5, reason}});
 		expect(await client.stop('i-1', {taskId: 'j.0.1.17', run: 2}, 7)).toEqual({isDone: false, refusal, clockMs: 5});
 	});
 
-	it('throws without an answer: the order may have been carried out', async () => {
+	it('throws if there is no answer: the order may have been carried out', async () => {
 		const client = await createClient('reset');
 		await expect(client.start('i-1', start, {fence: 7, leaseUntilMs: 1})).rejects.toSatisfy(error => getErrorCode(error) === ErrorCode.PeerUnavailable);
 	});
 });
 
 describe('listing', () => {
-	it('gives what runs and what ended', async () => {
+	it('returns running and ended runs', async () => {
 		const client = await createClient({
 			status: 200,
 			headers: {'instance-id': 'i-1'},
@@ -88,7 +88,7 @@
 	};
 	const decode = (fields: Record<string, unknown>) => decodeAnnouncement('i-1', JSON.stringify({...announcement, ...fields}));
 
-	it('says what the worker has and whether it drains', () => {
+	it('are decoded to the worker\'s capacity and whether it drains', () => {
 		expect(decode({})).toEqual({
 			workerId: 'i-1', service: 's', failureDomain: 'z', isDraining: true, remainingMs: 900, milliCpu: 16_000, memoryMb: 32_768, accelerators: 0, labels: ['a', 'r1-3'], sequence: 4,
 		});
@@ -96,8 +96,8 @@
 	});
 
 	/**
-	Another writer may announce something too. A worker of which the capacity is not known, or that is in a state that is
-	not known, would be given work that it cannot hold; the worker that was known before has to stay known.
+	Announcements may come from other writers. A worker with unknown capacity or in an unknown state would get tasks that it
+	cannot run, so such an announcement must be rejected and the worker known before must stay.
 	*/
 	it.each([
 		{service: undefined},
@@ -115,11 +115,11 @@
 		{seq: undefined},
 		{zone: []},
 		{remainingMs: 'soon'},
-	])('names no worker with %j', fields => {
+	])('are rejected with %j', fields => {
 		expect(() => decode(fields)).toThrow();
 	});
 
-	it.each(['', '[]', 'null', '7', '{', '"x"', '\u0000'])('names no worker in %j', text => {
+	it.each(['', '[]', 'null', '7', '{', '"x"', '\u0000'])('are rejected if their text is %j', text => {
 		expect(() => decodeAnnouncement('i-1', text)).toThrow();
 	});
 });
