--- a/src/agents/agent-state.ts
+++ b/src/agents/agent-state.ts
@@ -57,11 +57,11 @@
 	#successor: WorkerReport | undefined;
 	#version = 1;
 	readonly #watchers = new Set<() => void>();
-	readonly #horizonMs: number;
+	readonly #leaseMs: number;
 
-	constructor(life: string, horizonMs: number) {
+	constructor(life: string, leaseMs: number) {
 		this.life = life;
-		this.#horizonMs = horizonMs;
+		this.#leaseMs = leaseMs;
 	}
 
 	/** Increases with each change that owners need to know. */
@@ -182,7 +182,7 @@
 	#setWorker(report: WorkerReport, nowMs: number): void {
 		this.#successor = undefined;
 		this.worker = {
-			report, lease: new LeaseClock(this.#horizonMs), runs: new WorkerRuns(), forgetUpTo: 0, isOver: false, isAnswering: true, answeredAtMs: nowMs,
+			report, lease: new LeaseClock(this.#leaseMs), runs: new WorkerRuns(), forgetUpTo: 0, isOver: false, isAnswering: true, answeredAtMs: nowMs,
 		};
 		this.bump();
 	}
--- a/src/agents/agent.ts
+++ b/src/agents/agent.ts
@@ -51,7 +51,7 @@
 	#fence: number;
 	#isRegistered = false;
 	#registrations = 0;
-	#hasLeft = false;
+	#hasWorkerLeft = false;
 	/** Loss declarations about registrations before this offset are ignored: their leases have already expired. */
 	#minLostSession = 0;
 	#isStoreReached: boolean | undefined;
@@ -100,7 +100,7 @@
 	announce(report: WorkerReport): void {
 		const previous = this.state.worker?.report;
 		if (this.state.announce(report, this.#options.clock.monotonicMs())) {
-			this.#hasLeft = false;
+			this.#hasWorkerLeft = false;
 			this.#options.note('worker came', {
 				workerId: report.workerId, before: previous?.workerId, milliCpu: report.milliCpu, memoryMb: report.memoryMb, labels: report.labels,
 			});
@@ -113,7 +113,7 @@
 	/** Handles the worker's message that it ends. */
 	workerLeft(workerId: string): void {
 		this.#options.note('worker left', {workerId});
-		this.#hasLeft = true;
+		this.#hasWorkerLeft = true;
 		this.state.drop(workerId, this.#options.clock.monotonicMs());
 	}
 
@@ -130,7 +130,7 @@
 	later owners need not wait for its leases. An agent that is only restarted keeps its registration.
 	*/
 	async leave(): Promise<void> {
-		if (this.state.worker === undefined && this.#hasLeft) {
+		if (this.state.worker === undefined && this.#hasWorkerLeft) {
 			await this.#removeRegistration();
 		}
 	}
@@ -143,7 +143,7 @@
 		]);
 	}
 
-	/** Called before a read is sent: takes the worker's clock as the proof's time, and returns what applies the proof if the read succeeds. */
+	/** Called before a read is sent: uses the worker's clock as the time of the proof, and returns a function that applies the proof. */
 	#prepareProof(): (() => void) | undefined {
 		const {worker} = this.state;
 		const clockMs = worker?.lease.estimate(this.#options.clock.monotonicMs());
--- a/src/agents/control-records.ts
+++ b/src/agents/control-records.ts
@@ -56,7 +56,7 @@
 
 const decodeName = (value: unknown): string => {
 	if (typeof value !== 'string') {
-		throw createError(ErrorCode.BadInput, {step: 'read control record', detail: `expected a failure domain's name as a string, got ${typeof value}`});
+		throw createError(ErrorCode.BadInput, {step: 'read control record', detail: 'expected the name of a failure domain as a string'});
 	}
 
 	return value;
--- a/src/agents/control-watch.ts
+++ b/src/agents/control-watch.ts
@@ -50,7 +50,7 @@
 		return this.#isCaughtUp;
 	}
 
-	/** Whether operators have asked to empty the failure domain. */
+	/** Whether operators have requested the evacuation of the failure domain. */
 	isEvacuated(failureDomain: string): boolean {
 		return this.#evacuations.failureDomains.includes(failureDomain);
 	}
@@ -67,7 +67,7 @@
 		while (!signal.aborted) {
 			const applyProof = this.#options.onReadSent();
 			try {
-				// Reads do not wait until the stream was read to its end: the agent accepts no start before that.
+				// Before the stream was read to its end, reads do not wait for new records: until then the agent accepts no start.
 				const page = await store.read(ref, this.#offset, {waitMs: this.#isCaughtUp ? readWaitMs : 0, signal});
 				for (const {offset, value} of page.records) {
 					this.#apply(value);
--- a/src/agents/lease-clock.ts
+++ b/src/agents/lease-clock.ts
@@ -10,14 +10,14 @@
 
 /** Lease of one incarnation of a worker. */
 export class LeaseClock {
-	readonly #horizonMs: number;
+	readonly #leaseMs: number;
 	#sample: {clockMs: number; atMs: number} | undefined;
 	#leaseUntilMs = 0;
 	#sentUntilMs = 0;
 
-	/** A lease ends `horizonMs` after its latest proof; an owner that declares the agent lost waits at least as long. */
-	constructor(horizonMs: number) {
-		this.#horizonMs = horizonMs;
+	/** A lease ends this long after its latest proof; an owner that declares the agent lost waits at least as long. */
+	constructor(leaseMs: number) {
+		this.#leaseMs = leaseMs;
 	}
 
 	/** End of the lease on the worker's clock, as of the latest proof. */
@@ -49,7 +49,7 @@
 
 	/** Extends the lease by a proof, whose time is a reading of the worker's clock. */
 	prove(clockMs: number): void {
-		this.#leaseUntilMs = Math.max(this.#leaseUntilMs, clockMs + this.#horizonMs);
+		this.#leaseUntilMs = Math.max(this.#leaseUntilMs, clockMs + this.#leaseMs);
 	}
 
 	/**
@@ -65,7 +65,7 @@
 		this.#sentUntilMs = Math.max(this.#sentUntilMs, untilMs);
 	}
 
-	/** Whether every lease sent to the worker has certainly expired, also on a slow clock, if the worker does not answer. */
+	/** Whether every lease sent to a worker that does not answer has certainly expired, even if the worker's clock is slow. */
 	isOver(nowMs: number, slackMs: number): boolean {
 		if (!this.#sample) {
 			return false;
--- a/src/agents/order-handler.ts
+++ b/src/agents/order-handler.ts
@@ -140,7 +140,7 @@
 			return {isDone: false, refusal: OrderRefusal.Evacuated};
 		}
 
-		// Each start sent to a worker that does not answer would move the time at which its leases are known to have expired.
+		// Each start sent to a worker that does not answer would postpone the time at which its leases are known to have expired.
 		if (!worker.isAnswering) {
 			return {isDone: false, refusal: OrderRefusal.Unhealthy};
 		}
--- a/src/agents/worker-loop.ts
+++ b/src/agents/worker-loop.ts
@@ -27,7 +27,7 @@
 const listWaitMs = 500;
 /** Interval at which measurements are sent to an owner: they cover the last half second, so sending them more often adds little. */
 const measurementIntervalMs = 400;
-/** Pause between listings while there are ends that are not stored in the log: the worker lists these at once, each time. */
+/** Pause between listings while some ends are not stored in the log yet: the worker does not wait before it lists these again. */
 const unstoredPauseMs = 100;
 const retryMs = 100;
 const idleMs = 250;
--- a/src/agents/worker-runs.ts
+++ b/src/agents/worker-runs.ts
@@ -32,7 +32,7 @@
 	readonly #sinceMs = new Map<string, number>();
 	#isListed = false;
 
-	/** Whether there was a listing of the worker. */
+	/** Whether a listing of the worker has been applied. */
 	get isListed(): boolean {
 		return this.#isListed;
 	}
--- a/src/platform/caller-server.ts
+++ b/src/platform/caller-server.ts
@@ -148,7 +148,7 @@
 	const fields = parseFields(body, 'read job');
 	const steps = fields.list('steps', value => new Fields(value, 'read step')).map((step, index) => decodeStep(step, index));
 	if (steps.length === 0 || steps.length > maxSteps) {
-		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `expected 1 to ${maxSteps} steps, got ${steps.length}`});
+		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `no steps or too many: got ${steps.length} steps`});
 	}
 
 	return {
@@ -182,7 +182,7 @@
 		maxAway: fields.has('mayMiss') ? fields.count('mayMiss') : undefined,
 	};
 	if (step.count > maxTasksPerStep || step.after.some(earlier => earlier >= index)) {
-		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `step ${index}: expected at most ${maxTasksPerStep} tasks, and only earlier steps in "after"; got ${step.count} tasks`});
+		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `step ${index}: too many tasks, or a dependency on itself or a later step`});
 	}
 
 	return step;
--- a/test/store-calls.test.ts
+++ b/test/store-calls.test.ts
@@ -13,7 +13,7 @@
 let server: WireServer;
 const ref = {topic: 'work', partition: 3};
 
-const createStore = async (respond: (request: Asked) => Given): Promise<StoreClient> => {
+const createStore = async (respond: (received: Asked) => Given): Promise<StoreClient> => {
 	server = await new WireServer(respond).start();
 	return createStoreClient(server.http, server.address);
 };
--- a/test/wire-server.ts
+++ b/test/wire-server.ts
@@ -15,7 +15,7 @@
 	address = '';
 	readonly #server: Server;
 
-	constructor(respond: (request: Asked) => Given) {
+	constructor(respond: (received: Asked) => Given) {
 		this.#server = createServer((request, response) => {
 			const chunks: Buffer[] = [];
 			request.on('data', (chunk: Buffer) => {
