--- a/src/agents/agent-state.ts
+++ b/src/agents/agent-state.ts
@@ -44,7 +44,7 @@
 	worker: WorkerState | undefined;
 	/** When the state was last sent to an owner. */
 	toldAtMs = Number.NEGATIVE_INFINITY;
-	/** Offset of the registration in force; 0 before the first. */
+	/** Offset of the registration in effect; 0 before the first. */
 	session = 0;
 	/** Declared lost: all leases must expire before any is renewed or any task is started. */
 	mustLapse = false;
--- a/src/types/config.ts
+++ b/src/types/config.ts
@@ -5,7 +5,7 @@
 /** Keys and values of one section. */
 export type SectionValues = Record<string, string>;
 
-/** One section in force. A section without values was deleted; later changes are still checked against its offset. */
+/** One section in effect. A section without values was deleted; later changes are still checked against its offset. */
 export type ConfigSection = {
 	name: string;
 	/** Offset of the accepted record that last changed it. */
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -71,7 +71,7 @@
 	addReadiness(name: string, isReady: () => boolean): void;
 };
 
-/** Configuration in force. */
+/** Configuration in effect. */
 export type ConfigService = Service & {
 	isReady(): boolean;
 	/** Offset of the last record folded. */
--- a/src/types/site.ts
+++ b/src/types/site.ts
@@ -4,7 +4,7 @@
 
 /** Time limits and other bounds of a site. */
 export type SiteBounds = {
-	/** An acknowledged configuration is in force within this time. */
+	/** An acknowledged configuration is in effect within this time. */
 	configApplyMs: number;
 	/** A draining worker gets no task later than this after its announcement was acknowledged. */
 	drainMs: number;
@@ -24,7 +24,7 @@
 	farFactor: number;
 	checkpointEveryMs: number;
 	restoreMs: number;
-	/** A throttle is in force after this time. */
+	/** A throttle is in effect after this time. */
 	paceMs: number;
 	/** Longest time for which a latency-critical task may miss its target without a break. */
 	harmMs: number;
