--- a/src/chervilworks-site.ts
+++ b/src/chervilworks-site.ts
@@ -1,5 +1,5 @@
 /**
-The program as it runs on a site: one role for each process, with nothing loaded that the role does not need.
+Entry point of the program on a site. Each process runs one role and loads only the modules that the role needs.
 */
 import process from 'node:process';
 import {readSiteFile, siteFileVariable} from './platform/site-file.ts';
--- a/src/chervilworks.ts
+++ b/src/chervilworks.ts
@@ -1,5 +1,5 @@
 /**
-The program: one binary, its role chosen by subcommand.
+Entry point of the program; the subcommand selects the role.
 */
 import process from 'node:process';
 
@@ -7,7 +7,7 @@
 	const argv = process.argv.slice(2);
 	const guardFlag = argv[0] === 'guard' && argv.length <= 3 ? argv[1] ?? '--settings' : undefined;
 	if (guardFlag === '--settings') {
-		// The guard stands beside every upstream: it must not load what only the other roles need.
+		// A guard runs beside every upstream, so it must not load modules that only other roles need.
 		const {runGuard} = await import('./commands/guard-command.ts');
 		process.exitCode = await runGuard(argv[2]);
 		return;
--- a/src/utils/aborter.ts
+++ b/src/utils/aborter.ts
@@ -1,9 +1,9 @@
 /**
-Aborters that many tasks wait on: one for each peer and more.
+Abort controllers with many listeners, such as one for each peer.
 */
 import {setMaxListeners} from 'node:events';
 
-/** Creates an aborter without a bound on its listeners. */
+/** Creates an abort controller whose signal does not warn about many listeners. */
 export const createAborter = (): AbortController => {
 	const aborter = new AbortController();
 	setMaxListeners(0, aborter.signal);
--- a/src/utils/announcer.ts
+++ b/src/utils/announcer.ts
@@ -1,5 +1,5 @@
 /**
-Announces a host to the entries until it is stopped: one task for each host.
+Announces a host to the entries at intervals until it is stopped.
 */
 import {getMessage} from '../core/errors.ts';
 import {HostState, type AnnouncementReply} from '../types/announcements.ts';
@@ -7,27 +7,27 @@
 import {type Random} from '../types/random.ts';
 import {createLogger, Part} from './logger.ts';
 
-/** Posts one announcement. */
+/** Sends one announcement. */
 export type PostAnnouncement = (url: string, body: unknown, timeoutMs: number) => Promise<AnnouncementReply>;
 
-/** What to announce, and to whom. */
+/** Options of an announcer. */
 export type AnnouncerOptions = {
 	clock: Clock;
 	random: Random;
-	/** Control addresses tried in turn; one address when a balancer stands before the entries. */
+	/** Control addresses, tried one after the other; a single address if there is a load balancer in front of the entries. */
 	entryAddresses: string[];
 	path: 'upstreams' | 'workers';
-	/** The announcement without what the announcer adds: sequence, state and the echo of the sponsor. */
+	/** Announcement without the fields that the announcer adds: sequence, state and the sponsor's echo. */
 	body: Record<string, unknown>;
-	/** Another way to post than the usual client. */
+	/** Replaces the default HTTP client. */
 	post?: PostAnnouncement;
-	/** Announces only while this says so; without it, always. */
+	/** Announcements are sent only while this resolves to true; without it, always. */
 	isReady?: () => Promise<boolean>;
 };
 
 /** A running announcer. */
 export type Announcer = {
-	/** Announces that the host is leaving; resolves once an entry knows, or after one round of tries. */
+	/** Announces that the host is draining; resolves once an entry has accepted it, or after each address was tried once. */
 	drain(): Promise<void>;
 	stop(): void;
 };
@@ -37,7 +37,7 @@
 const maxRetryMs = 5000;
 const log = createLogger(Part.Membership);
 
-/** Loaded when it is used: a guard posts without the client's library. */
+/** Loads the HTTP client on first use, because a guard uses another one. */
 const postJson: PostAnnouncement = async (url, body, timeoutMs) => {
 	const {callJson} = await import('./http-client.ts');
 	return callJson<AnnouncementReply>({
@@ -45,14 +45,14 @@
 	});
 };
 
-/** The sponsor as its upstream knows it. */
+/** Sponsor as known to the upstream: the entry that divides the upstream's slots among the entries. */
 type Echo = {
 	sponsorId?: string;
 	sponsorTerm: number;
 	formerSponsorId?: string;
 };
 
-/** Keeps an upstream's promise: no other sponsor until the lock has passed since the last new term. */
+/** Lock of an upstream on its sponsor: the upstream accepts no other sponsor until the lock time has passed since the last new term. */
 export class SponsorLock {
 	#echo: Echo = {sponsorTerm: 0};
 	#lockedUntilMs = Number.NEGATIVE_INFINITY;
@@ -62,7 +62,7 @@
 		this.#clock = clock;
 	}
 
-	/** What to put into the next announcement. */
+	/** Gets the sponsor's fields for the next announcement. */
 	getEcho(): Echo {
 		if (this.#echo.sponsorId !== undefined && this.#clock.monotonicMs() >= this.#lockedUntilMs) {
 			this.#drop();
@@ -71,10 +71,10 @@
 		return this.#echo;
 	}
 
-	/** Takes the reply to an announcement that carried the echo. */
+	/** Handles the reply to an announcement that carried `sent`. */
 	take({sponsorId, sponsorTerm, sponsorLockMs = 0, isSponsorLeaving}: AnnouncementReply, sent: Echo): void {
 		if (isSponsorLeaving) {
-			// A late word of a former sponsor must not unlock the present one.
+			// A late reply about a former sponsor must not release the lock on the current one.
 			if (sent.sponsorId === this.#echo.sponsorId) {
 				this.#drop();
 			}
@@ -87,7 +87,7 @@
 			return;
 		}
 
-		// The same term again means that the sponsor was not reached: the lock must go on running out.
+		// An unchanged term means that the sponsor was not reached: the lock must not be extended.
 		if (knownId === sponsorId && sponsorTerm <= knownTerm) {
 			return;
 		}
@@ -102,13 +102,13 @@
 }
 
 /**
-How long to wait after so many tries without an answer. After the loss of an entry its hosts must not all come back in the
-same instant, and while all are lost they must not wear out the one that comes back first.
+Gets the pause after a number of consecutive failures: exponential backoff with jitter. After the loss of an entry its hosts must
+not all retry at the same time, and while all entries are down they must not overload the first that comes back.
 */
 export const getRetryPauseMs = (failures: number, random: Random): number =>
 	Math.min(maxRetryMs, retryMs * (2 ** (failures - 1))) * (0.5 + random.next());
 
-/** Starts announcing. */
+/** Starts to announce a host. */
 export const startAnnouncer = (options: AnnouncerOptions): Announcer => {
 	const {clock, random, entryAddresses, path, body, post = postJson, isReady} = options;
 	const aborter = new AbortController();
@@ -118,7 +118,7 @@
 	let target = random.below(entryAddresses.length);
 	let failures = 0;
 
-	/** Announces once; undefined when no entry answered. */
+	/** Announces once; resolves to the time until the next announcement, or to undefined if the entry did not answer. */
 	const announce = async (): Promise<number | undefined> => {
 		const echo = lock.getEcho();
 		try {
@@ -134,7 +134,7 @@
 			return reply.nextAfterMs;
 		} catch (error) {
 			failures++;
-			log('Not announced: %s', getMessage(error));
+			log('Announcement failed: %s', getMessage(error));
 			target = (target + 1) % entryAddresses.length;
 			return undefined;
 		}
@@ -150,9 +150,9 @@
 
 	const run = async () => {
 		while (!aborter.signal.aborted) {
-			// Silence ends the lease: a host that cannot serve for a moment comes back with its next announcement.
-			const isAnnounced = await isReady?.() ?? true;
-			await clock.sleep(isAnnounced ? getPauseMs(await announce()) : retryMs, aborter.signal);
+			// Without announcements the lease expires; a host that is not ready for a while is alive again at its next announcement.
+			const isAnnounceable = await isReady?.() ?? true;
+			await clock.sleep(isAnnounceable ? getPauseMs(await announce()) : retryMs, aborter.signal);
 		}
 	};
 
--- a/src/utils/call-stream-client.ts
+++ b/src/utils/call-stream-client.ts
@@ -1,6 +1,6 @@
 /**
-Calls to peers over one open connection each. On a small host a call over a kept HTTP connection takes several times as much
-processor time. A peer of a version that knows no streams is called over HTTP.
+Client of call streams: sends all calls to a peer over one connection. On a small host, a call over a keep-alive HTTP connection
+takes several times as much processor time. Peers of a version that does not support call streams are called over HTTP.
 */
 import {request as sendRequest} from 'node:http';
 import {type Socket} from 'node:net';
@@ -12,21 +12,21 @@
 import {type HttpClient} from './http-calls.ts';
 import {afterPendingInput, type Turns} from './turns.ts';
 
-/** One call. */
+/** A call to a peer. */
 export type StreamCall = {
 	address: string;
 	path: string;
 	json: unknown;
 	timeoutMs: number;
 	signal?: AbortSignal;
-	/** What is being done, for errors. */
+	/** Operation that the call is part of, for error messages. */
 	step: string;
 };
 
-/** An answer. */
+/** Response to a call. */
 export type StreamAnswer = {status: number; json: unknown};
 
-/** Sends calls. Throws `peer-unavailable` without an answer: the call may have been carried out; `peer-unreached` if nothing was sent. */
+/** Sends calls. Throws `peer-unavailable` if there is no response (the call may have been carried out), `peer-unreached` if nothing was sent. */
 export type StreamClient = {
 	call(call: StreamCall): Promise<StreamAnswer>;
 	close(): void;
@@ -34,24 +34,24 @@
 
 type Pending = {
 	call: StreamCall;
-	/** Undefined: the peer knows no streams. */
+	/** Undefined: the peer does not support call streams. */
 	resolve: (answer: StreamAnswer | undefined) => void;
 	reject: (error: Error) => void;
 };
 
-/** One connection with the calls that are out on it. */
+/** One connection with its calls in progress. */
 class PeerStream {
-	isOver = false;
+	isClosed = false;
 	readonly #pending = new Map<number, Pending>();
 	readonly #turns: Turns;
-	readonly #onOver: () => void;
+	readonly #onClosed: () => void;
 	readonly #abortConnect: () => void;
 	#socket: Socket | undefined;
 	#lastNumber = 0;
 
-	constructor(address: string, turns: Turns, onOver: () => void) {
+	constructor(address: string, turns: Turns, onClosed: () => void) {
 		this.#turns = turns;
-		this.#onOver = onOver;
+		this.#onClosed = onClosed;
 		const request = sendRequest({
 			...parseAddress(address), path: callStreamPath, headers: {connection: 'Upgrade', upgrade: callStreamProtocol}, agent: false,
 		});
@@ -64,41 +64,41 @@
 		});
 		request.on('response', response => {
 			response.resume();
-			this.#refuse();
+			this.#fallBackToHttp();
 		});
 		request.on('error', error => {
-			this.end(error.message);
+			this.close(error.message);
 		});
 		request.end();
 	}
 
-	/** Sends a call; resolves to undefined if the peer knows no streams. */
+	/** Sends a call; resolves to undefined if the peer does not support call streams. */
 	async send(call: StreamCall): Promise<StreamAnswer | undefined> {
 		return new Promise((resolve, reject) => {
 			const number = ++this.#lastNumber;
-			const finish = () => {
+			const cleanUp = () => {
 				clearTimeout(timer);
 				call.signal?.removeEventListener('abort', onAbort);
 			};
 
 			const onAbort = () => {
-				this.#fail(number, 'given up');
+				this.#fail(number, 'aborted by the caller');
 			};
 
 			const timer = setTimeout(() => {
 				afterPendingInput(() => {
 					if (this.#pending.has(number)) {
-						// Connections may go silent for good with no reset.
-						this.end(`no answer in ${call.timeoutMs} ms`);
+						// A connection may stop delivering data without a reset, so it is closed as a whole.
+						this.close(`no response within ${call.timeoutMs} ms`);
 					}
 				});
 			}, call.timeoutMs);
 			this.#pending.set(number, {
 				call, resolve(answer) {
-					finish();
+					cleanUp();
 					resolve(answer);
 				}, reject(error) {
-					finish();
+					cleanUp();
 					reject(error);
 				},
 			});
@@ -111,14 +111,14 @@
 		});
 	}
 
-	/** Ends the connection and fails all calls that are out. */
-	end(detail: string): void {
-		if (this.isOver) {
+	/** Closes the connection and fails all calls in progress. */
+	close(detail: string): void {
+		if (this.isClosed) {
 			return;
 		}
 
-		this.isOver = true;
-		this.#onOver();
+		this.isClosed = true;
+		this.#onClosed();
 		for (const number of this.#pending.keys()) {
 			this.#fail(number, detail);
 		}
@@ -128,40 +128,40 @@
 	}
 
 	#open(socket: Socket, head: Buffer): void {
-		if (this.isOver) {
+		if (this.isClosed) {
 			socket.destroy();
 			return;
 		}
 
 		this.#socket = socket;
 		readLines(socket, head, line => {
-			this.#take(line);
+			this.#handleLine(line);
 		});
 		socket.on('close', () => {
-			this.end('the connection was closed');
+			this.close('the connection was closed');
 		});
 		for (const [number, {call}] of this.#pending) {
 			socket.write(formatLine(number, call.path, call.json));
 		}
 	}
 
-	#take({number, word, json}: CallLine): void {
+	#handleLine({number, word, json}: CallLine): void {
 		const pending = this.#pending.get(number);
 		if (!pending) {
-			// Given up meanwhile.
+			// The call was aborted before its response arrived.
 			return;
 		}
 
 		this.#pending.delete(number);
 		const {call: {address, step}, resolve, reject} = pending;
 		const answer = async () => {
-			// What follows from an answer may take a while, and callers wait for the thread as well.
+			// Handling a response may take long; yield first, so that other work on the thread gets a turn.
 			await this.#turns.next();
 			try {
 				resolve({status: Number(word), json: JSON.parse(json) as unknown});
 			} catch (error) {
 				reject(createError(ErrorCode.BadInput, {
-					step, peer: address, detail: 'the answer is not JSON', cause: error,
+					step, peer: address, detail: 'the response is not JSON', cause: error,
 				}));
 			}
 		};
@@ -169,11 +169,11 @@
 		void answer();
 	}
 
-	#refuse(): void {
-		const refused = [...this.#pending.values()];
+	#fallBackToHttp(): void {
+		const pendingCalls = [...this.#pending.values()];
 		this.#pending.clear();
-		this.end('the peer knows no streams');
-		for (const {resolve} of refused) {
+		this.close('the peer does not support call streams');
+		for (const {resolve} of pendingCalls) {
 			resolve(undefined);
 		}
 	}
@@ -188,7 +188,7 @@
 	}
 }
 
-/** Creates the client; `http` serves peers that know no streams. */
+/** Creates the client; `http` is used for peers that do not support call streams. */
 export const createStreamClient = (http: HttpClient, turns: Turns): StreamClient => {
 	const streams = new Map<string, PeerStream>();
 	const getStream = (address: string): PeerStream => {
@@ -218,7 +218,7 @@
 		},
 		close() {
 			for (const stream of streams.values()) {
-				stream.end('closed');
+				stream.close('the client was closed');
 			}
 		},
 	};
--- a/src/utils/call-stream.ts
+++ b/src/utils/call-stream.ts
@@ -1,30 +1,30 @@
 /**
-What both ends of a call stream share: calls and answers as lines of text on one connection that was upgraded from HTTP. A
-call is `number path json`, its answer `number status json`.
+Line format of call streams. Calls and responses are lines of text on a connection that was upgraded from HTTP: a call is
+`number path json`, its response `number status json`.
 */
 import {type Socket} from 'node:net';
 import {StringDecoder} from 'node:string_decoder';
 
-/** Name of the protocol in the upgrade. */
+/** Protocol name in the `Upgrade` header. */
 export const callStreamProtocol = 'chervilworks-calls';
-/** Path of the upgrade. */
+/** Path of the upgrade request. */
 export const callStreamPath = '/v1/calls';
 
-/** Ends the connection of a peer that sends a longer line. */
+/** The connection of a peer that sends a longer line is closed. */
 const maxLineChars = 4_194_304;
 
-/** One line in its parts. */
+/** Parsed line. */
 export type CallLine = {
 	number: number;
-	/** Path of a call, or status of an answer. */
+	/** Path of a call, or status of a response. */
 	word: string;
 	json: string;
 };
 
-/** Formats a call or an answer. */
+/** Formats a call or a response as a line. */
 export const formatLine = (number: number, word: string | number, json: unknown): string => `${number} ${word} ${JSON.stringify(json ?? {})}\n`;
 
-/** Takes a line apart; undefined if it is none. */
+/** Parses a line; undefined if it is malformed. */
 export const parseLine = (line: string): CallLine | undefined => {
 	const wordStart = line.indexOf(' ') + 1;
 	const jsonStart = line.indexOf(' ', wordStart) + 1;
@@ -34,12 +34,12 @@
 		: undefined;
 };
 
-/** Reads lines until the connection closes; destroys it for anything else. */
+/** Reads lines until the connection closes; destroys it on a malformed or too long line. */
 export const readLines = (socket: Socket, head: Buffer, onLine: (line: CallLine) => void): void => {
-	// A server's sockets take no encoding.
+	// `setEncoding` cannot be used: it is not allowed on the sockets of an HTTP server.
 	const decoder = new StringDecoder('utf8');
 	let rest = '';
-	const take = (chunk: Buffer) => {
+	const onData = (chunk: Buffer) => {
 		rest += decoder.write(chunk);
 		let start = 0;
 		for (let end = rest.indexOf('\n'); end !== -1; end = rest.indexOf('\n', start)) {
@@ -60,10 +60,10 @@
 	};
 
 	socket.setNoDelay(true);
-	socket.on('data', take);
-	// Also after an error the connection closes.
+	socket.on('data', onData);
+	// Ignored: `close` follows each error.
 	socket.on('error', () => undefined);
 	if (head.length > 0) {
-		take(head);
+		onData(head);
 	}
 };
--- a/src/utils/columns.ts
+++ b/src/utils/columns.ts
@@ -1,8 +1,8 @@
 /**
-Lines of cells as text with aligned columns.
+Formats rows of cells as text with aligned columns.
 */
 
-/** Aligns cells; the first columns stand left, the others right. Without a number all stand left. */
+/** Aligns the cells of the first `leftCount` columns left and those of the others right; without a count, all left. */
 export const alignColumns = (lines: string[][], leftCount = Number.POSITIVE_INFINITY): string[] => {
 	const widths = lines[0]!.map((_, column) => Math.max(...lines.map(line => line[column]?.length ?? 0)));
 	return lines.map(line => line
--- a/src/utils/engine.ts
+++ b/src/utils/engine.ts
@@ -1,15 +1,15 @@
 /**
-Fits the JavaScript engine to the host.
+Configures the JavaScript engine for the processor share of the host.
 */
 import {setFlagsFromString} from 'node:v8';
 
-/** On less of a processor, the threads of the optimizing compiler take more from the main thread than its code gives back. */
+/** On hosts with a smaller share of a processor, the threads of the optimizing compiler slow the main thread down by more than optimized code saves. */
 const minOptimizingProcessors = 0.25;
 
-/** Whether the optimizing compiler pays on so many processors. */
+/** Whether the optimizing compiler saves time on a host with so many processors. */
 export const isOptimizing = (processors: number): boolean => processors >= minOptimizingProcessors;
 
-/** Turns the optimizing compiler off where it does not pay; to be called before the main work begins. */
+/** Turns the optimizing compiler off on small hosts; must be called before the main work starts. */
 export const fitEngine = (processors: number): void => {
 	if (!isOptimizing(processors)) {
 		setFlagsFromString('--no-opt');
--- a/src/utils/event-log.ts
+++ b/src/utils/event-log.ts
@@ -1,70 +1,70 @@
 /**
-Structured logs on standard output: one line of JSON for each decision or change of belief. Writing never blocks: lines
-beyond a rate, or beyond what the reader takes, are dropped and counted by event. What is told often does not displace what
-is told seldom.
+Structured log on standard output: one line of JSON for each decision or state change. Writing never blocks: lines above a rate
+limit are dropped and counted by event, and lines are dropped while the output is not read. Frequent events do not displace rare
+ones.
 */
 import {pino} from 'pino';
 import {type Clock} from '../types/clock.ts';
 
-/** Writes one line. */
+/** Writes one line for an event. */
 export type Note = (event: string, fields?: Record<string, unknown>) => void;
 
 /** Log of a process. */
 export type EventLog = {
 	note: Note;
-	/** Writes what is gathered; for the end of the process. */
+	/** Writes all buffered lines synchronously; called at the end of the process. */
 	flush(): void;
 };
 
-/** Lines a second that are written. */
+/** Limit on lines written a second. */
 const maxLinesPerS = 600;
-/** Lines a second of each event that are written in any case: how a job was taken and ended is told once. */
-const keptLinesPerS = 40;
-/** Gathered lines beyond this are dropped: nobody reads the output. */
-const maxPendingBytes = 1_048_576;
-const writeFromBytes = 8192;
+/** Lines a second of each event that are written regardless of the limit, because rare events such as the end of a job are logged only once. */
+const minLinesPerSOfEvent = 40;
+/** Lines are dropped while this much is buffered, as when nobody reads the output. */
+const maxBufferedBytes = 1_048_576;
+const minWriteBytes = 8192;
 const flushEveryMs = 200;
-const rateWindowMs = 1000;
+const windowMs = 1000;
 
-/** Which lines are written. */
+/** Rate limit on lines, with a minimum for each event. */
 export class LineBudget {
 	#windowStartMs = Number.NEGATIVE_INFINITY;
 	#lines = 0;
-	#linesOf = new Map<string, number>();
-	#dropped = new Map<string, number>();
+	#linesByEvent = new Map<string, number>();
+	#droppedByEvent = new Map<string, number>();
 
-	/** Whether a line of the event is written. */
+	/** Returns whether a line of the event may be written; counts it as written or dropped. */
 	take(event: string): boolean {
-		const linesOf = this.#linesOf.get(event) ?? 0;
-		if (linesOf >= keptLinesPerS && this.#lines >= maxLinesPerS) {
-			this.#dropped.set(event, (this.#dropped.get(event) ?? 0) + 1);
+		const eventLines = this.#linesByEvent.get(event) ?? 0;
+		if (eventLines >= minLinesPerSOfEvent && this.#lines >= maxLinesPerS) {
+			this.#droppedByEvent.set(event, (this.#droppedByEvent.get(event) ?? 0) + 1);
 			return false;
 		}
 
-		this.#linesOf.set(event, linesOf + 1);
+		this.#linesByEvent.set(event, eventLines + 1);
 		this.#lines++;
 		return true;
 	}
 
-	/** Begins a new second when the last is over; gives the lines that were dropped in it, by event. */
+	/** Starts a new window if the last one has ended; returns the number of lines dropped in the last one, by event. */
 	renew(nowMs: number): Record<string, number> | undefined {
-		if (nowMs - this.#windowStartMs < rateWindowMs) {
+		if (nowMs - this.#windowStartMs < windowMs) {
 			return undefined;
 		}
 
-		const dropped = this.#dropped;
+		const dropped = this.#droppedByEvent;
 		this.#windowStartMs = nowMs;
 		this.#lines = 0;
-		this.#linesOf = new Map();
-		this.#dropped = new Map();
+		this.#linesByEvent = new Map();
+		this.#droppedByEvent = new Map();
 		return dropped.size > 0 ? Object.fromEntries(dropped) : undefined;
 	}
 }
 
-/** Creates the log; the fields given stand on every line. */
+/** Creates the log; the fields in `base` are on every line. */
 export const createEventLog = (clock: Clock, base: Record<string, unknown>): EventLog => {
 	const destination = pino.destination({
-		fd: 1, sync: false, minLength: writeFromBytes, maxLength: maxPendingBytes,
+		fd: 1, sync: false, minLength: minWriteBytes, maxLength: maxBufferedBytes,
 	});
 	const logger = pino({base, timestamp: () => `,"time":${clock.now().getTime()}`}, destination);
 	const budget = new LineBudget();
--- a/src/utils/http-calls.ts
+++ b/src/utils/http-calls.ts
@@ -1,6 +1,6 @@
 /**
-The one HTTP client of the processes that run on a site: keep-alive connections, a bound on each call, and no trust in
-connections of a peer that let a call time out.
+HTTP client of the processes on a site: keep-alive connections and a time limit on each call. After a call has timed out, the idle
+connections to its peer are closed.
 */
 import {Buffer} from 'node:buffer';
 import {Agent, request as sendRequest, type IncomingHttpHeaders} from 'node:http';
@@ -8,7 +8,7 @@
 import {parseAddress} from './address.ts';
 import {afterPendingInput, Turns} from './turns.ts';
 
-/** One call. */
+/** A call to a peer. */
 export type HttpCall = {
 	address: string;
 	method: string;
@@ -16,29 +16,29 @@
 	headers?: Record<string, string>;
 	body?: Buffer | string;
 	timeoutMs: number;
-	/** A host without power answers no opening packet: bound on the wait for a connection; undefined: `timeoutMs` alone. */
+	/** Longest wait for a connection, because a host without power does not answer connection requests; undefined: only `timeoutMs` applies. */
 	connectTimeoutMs?: number;
 	signal?: AbortSignal;
-	/** What is being done, for errors. */
+	/** Operation that the call is part of, for error messages. */
 	step: string;
 };
 
-/** An answer that arrived whole. */
+/** Complete response. */
 export type HttpAnswer = {
 	status: number;
 	headers: IncomingHttpHeaders;
 	body: Buffer;
 };
 
-/** Sends calls. Throws `peer-unavailable` without a whole answer: the call may have been carried out; `peer-unreached` if nothing was sent. */
+/** Sends calls. Throws `peer-unavailable` without a complete response (the call may have been carried out), `peer-unreached` if nothing was sent. */
 export type HttpClient = {
 	call(call: HttpCall): Promise<HttpAnswer>;
-	/** Parses a JSON answer; undefined for an empty one. */
+	/** Parses a JSON response; undefined for an empty one. */
 	callJson(call: Omit<HttpCall, 'body'> & {json?: unknown}): Promise<{status: number; headers: IncomingHttpHeaders; json: unknown}>;
 	close(): void;
 };
 
-/** Creates the client; at most so many connections to each peer. */
+/** Creates the client, with at most `maxConnections` connections to each peer. */
 export const createHttpClient = (maxConnections: number, turns = new Turns()): HttpClient => {
 	const agents = new Map<string, Agent>();
 	const getAgent = (address: string): Agent => {
@@ -51,8 +51,8 @@
 		return agent;
 	};
 
-	/** Connections may go silent for good with no reset; after a time-out none of the idle ones is trusted. */
-	const dropIdle = (address: string) => {
+	/** A connection may stop delivering data without a reset. After a time-out, the idle connections to the peer may be in the same state, so they are closed. */
+	const closeIdleConnections = (address: string) => {
 		for (const sockets of Object.values(agents.get(address)?.freeSockets ?? {})) {
 			for (const socket of sockets ?? []) {
 				socket.destroy();
@@ -84,7 +84,7 @@
 				connectTimer = setTimeout(() => {
 					afterPendingInput(() => {
 						if (!isConnected) {
-							fail(`no connection in ${connectTimeoutMs} ms`);
+							fail(`no connection within ${connectTimeoutMs} ms`);
 						}
 					});
 				}, connectTimeoutMs);
@@ -101,16 +101,16 @@
 			}
 
 			isSettled = true;
-			finish();
+			cleanUp();
 			request.destroy();
 			reject(createError(isConnected ? ErrorCode.PeerUnavailable : ErrorCode.PeerUnreached, {step, peer: address, detail}));
 		};
 
 		const onAbort = () => {
-			fail('given up');
+			fail('aborted by the caller');
 		};
 
-		const finish = () => {
+		const cleanUp = () => {
 			clearTimeout(timer);
 			clearTimeout(connectTimer);
 			signal?.removeEventListener('abort', onAbort);
@@ -119,8 +119,8 @@
 		const timer = setTimeout(() => {
 			afterPendingInput(() => {
 				if (!isSettled) {
-					dropIdle(address);
-					fail(`no answer in ${timeoutMs} ms`);
+					closeIdleConnections(address);
+					fail(`no response within ${timeoutMs} ms`);
 				}
 			});
 		}, timeoutMs);
@@ -141,8 +141,8 @@
 			response.on('end', () => {
 				if (!isSettled) {
 					isSettled = true;
-					finish();
-					// What follows from an answer may take a while, and callers wait for the thread as well.
+					cleanUp();
+					// Handling a response may take long; yield first, so that other work on the thread gets a turn.
 					void turns.next().then(() => {
 						resolve({status: response.statusCode ?? 0, headers: response.headers, body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)});
 					});
@@ -152,7 +152,7 @@
 				fail(error.message);
 			});
 			response.on('close', () => {
-				fail('the connection was closed within the answer');
+				fail('the connection was closed before the response was complete');
 			});
 		});
 		request.setNoDelay(true);
@@ -186,7 +186,7 @@
 		return JSON.parse(body.toString('utf8')) as unknown;
 	} catch (error) {
 		throw createError(ErrorCode.BadInput, {
-			step, peer, detail: 'the answer is not JSON', cause: error,
+			step, peer, detail: 'the response is not JSON', cause: error,
 		});
 	}
 };
--- a/src/utils/http-client.ts
+++ b/src/utils/http-client.ts
@@ -1,10 +1,10 @@
 /**
-JSON over HTTP, as a client.
+Client for JSON calls over HTTP, built on `undici`.
 */
 import {type Dispatcher, request} from 'undici';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 
-/** One exchange of JSON. */
+/** A call with JSON in both directions. */
 export type JsonCall = {
 	method: 'GET' | 'POST' | 'DELETE';
 	url: string;
@@ -12,13 +12,13 @@
 	timeoutMs: number;
 	signal?: AbortSignal;
 	dispatcher?: Dispatcher;
-	/** What is being done, for errors. */
+	/** Operation that the call is part of, for error messages. */
 	step: string;
 };
 
 const maxQuotedChars = 300;
 
-/** Sends JSON and reads JSON. Throws `peer-unavailable` without an answer, `refused` for an error status. */
+/** Sends JSON and reads JSON. Throws `peer-unavailable` without a JSON response, `not-found` for status 404, `refused` for another error status. */
 export const callJson = async <Reply>(call: JsonCall): Promise<Reply> => {
 	const {status, body} = await exchange(call);
 	if (status >= 400) {
--- a/src/utils/http-server.ts
+++ b/src/utils/http-server.ts
@@ -1,5 +1,5 @@
 /**
-A small HTTP server for JSON between the program, the platform and operators, with bounds on size and time.
+Minimal HTTP server for JSON calls of the program's processes, the platform and operators, with limits on the size and duration of bodies.
 */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
@@ -21,7 +21,7 @@
 	signal: AbortSignal;
 };
 
-/** Answer of a JSON route; without a status, 200. */
+/** Response of a JSON route; the default status is 200. */
 export type JsonReply = {
 	status?: number;
 	body: unknown;
@@ -33,13 +33,13 @@
 /** A server of JSON routes. */
 export type JsonServer = {
 	route(method: string, path: string, handler: JsonHandler): void;
-	/** Binds; resolves to the address bound. */
+	/** Binds to `host:port`; resolves to the address bound. */
 	listen(address: string): Promise<string>;
-	/** Finishes requests in progress and closes. */
+	/** Stops accepting connections and resolves when requests in progress are done. */
 	close(): Promise<void>;
 };
 
-/** Bounds on what a client may send. */
+/** Limits on the body of a request. */
 export type BodyBounds = {
 	maxBytes: number;
 	timeoutMs: number;
@@ -109,7 +109,7 @@
 	};
 };
 
-/** Runs a handler; an error becomes an answer. */
+/** Runs a handler; an error becomes a response with its status and code. */
 const run = async (handler: () => Promise<JsonReply>): Promise<{status: number; body: unknown}> => {
 	try {
 		const {status = 200, body} = await handler();
@@ -147,7 +147,7 @@
 	}
 
 	await new Promise<void>(resolve => {
-		// A connection that falls idle after this call would be kept open until its keep-alive ends.
+		// A connection that becomes idle after this call would stay open until its keep-alive time-out.
 		const sweep = setInterval(() => {
 			server.closeIdleConnections();
 		}, idleSweepMs);
@@ -156,12 +156,12 @@
 			resolve();
 		});
 		server.closeIdleConnections();
-		closeUnused(server);
+		closeUnusedConnections(server);
 	});
 };
 
-/** The server counts a connection on which nothing came yet as busy: one opened ahead would hold up the close. */
-const closeUnused = (server: Server): void => {
+/** Node counts a connection that has not received any data as busy, so a connection that a client opened in advance would delay the close. */
+const closeUnusedConnections = (server: Server): void => {
 	for (const socket of openSockets.get(server) ?? []) {
 		if (socket.bytesRead === 0) {
 			socket.destroy();
@@ -170,13 +170,13 @@
 };
 
 /**
-Reads a body within bounds of size and time. On an error the request is left open and paused, so that the client can
-still be answered.
+Reads a body within limits on size and time. Throws `body-too-large`, `body-too-slow` or `peer-unavailable`; the request is then
+paused but stays open, so that a response can still be sent.
 */
 export const readBody = async (request: IncomingMessage, clock: Clock, bounds: BodyBounds): Promise<Buffer> => new Promise((resolve, reject) => {
 	const chunks: Buffer[] = [];
 	let size = 0;
-	const finish = () => {
+	const cleanUp = () => {
 		timer.cancel();
 		request.off('data', onData);
 		request.off('end', onEnd);
@@ -185,7 +185,7 @@
 	};
 
 	const fail = (error: Error) => {
-		finish();
+		cleanUp();
 		request.pause();
 		reject(error);
 	};
@@ -194,12 +194,12 @@
 		size += chunk.length;
 		chunks.push(chunk);
 		if (size > bounds.maxBytes) {
-			fail(createError(ErrorCode.BodyTooLarge, {step: 'read body', detail: `at most ${bounds.maxBytes} bytes`}));
+			fail(createError(ErrorCode.BodyTooLarge, {step: 'read body', detail: `more than ${bounds.maxBytes} bytes`}));
 		}
 	};
 
 	const onEnd = () => {
-		finish();
+		cleanUp();
 		resolve(chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks));
 	};
 
@@ -211,9 +211,9 @@
 		fail(createError(ErrorCode.PeerUnavailable, {step: 'read body', detail: 'the client closed the connection'}));
 	};
 
-	// A client that sends a byte at a time would hold memory and a socket for ever.
+	// Without a time limit, a client that sends very slowly would occupy memory and a socket indefinitely.
 	const timer = clock.setTimer(() => {
-		fail(createError(ErrorCode.BodyTooSlow, {step: 'read body', detail: `${bounds.timeoutMs} ms`}));
+		fail(createError(ErrorCode.BodyTooSlow, {step: 'read body', detail: `not complete after ${bounds.timeoutMs} ms`}));
 	}, bounds.timeoutMs);
 	request.on('data', onData);
 	request.on('end', onEnd);
@@ -230,7 +230,7 @@
 	try {
 		return JSON.parse(body.toString('utf8')) as unknown;
 	} catch (error) {
-		throw createError(ErrorCode.BadInput, {step: 'read body', detail: 'not JSON', cause: error});
+		throw createError(ErrorCode.BadInput, {step: 'read body', detail: 'the body is not JSON', cause: error});
 	}
 };
 
@@ -268,7 +268,7 @@
 		return;
 	}
 
-	// The rest of a body that was not read would be taken for the next request, and a stalled sender would keep its connection.
+	// If the body was not read to its end, its rest would be parsed as the next request, and a stalled client would keep the connection open.
 	const isRead = response.req.complete;
 	response.writeHead(status, {'content-type': 'application/json', ...(!isRead && {connection: 'close'})});
 	response.end(JSON.stringify(body ?? {}));
--- a/src/utils/logger.ts
+++ b/src/utils/logger.ts
@@ -1,10 +1,10 @@
 /**
-Logs: short sentences, a fixed prefix for each part.
+Diagnostic logs through `debug`, with a namespace for each part of the program.
 */
 import process from 'node:process';
 import createDebug from 'debug';
 
-/** Parts of the program that log. */
+/** Namespaces of logs, one for each part of the program. */
 export enum Part {
 	Kernel = 'kernel',
 	Entry = 'entry',
@@ -24,15 +24,15 @@
 	Measure = 'measure',
 }
 
-/** Writes one line of log. */
+/** Writes one line to the log. */
 export type Logger = (format: string, ...values: unknown[]) => void;
 
 const prefix = 'chervilworks';
 
-/** Creates the logger of a part; `DEBUG=chervilworks:*` shows all of them. */
+/** Creates the logger of a namespace; `DEBUG=chervilworks:*` enables all of them. */
 export const createLogger = (part: Part): Logger => createDebug(`${prefix}:${part}`);
 
-/** Shows the logs of all parts unless the environment chose some. */
+/** Enables the logs of all namespaces unless the environment variable `DEBUG` selects some. */
 export const enableLogs = (): void => {
 	if (!process.env.DEBUG) {
 		createDebug.enable(`${prefix}:*`);
--- a/src/utils/manual-clock.ts
+++ b/src/utils/manual-clock.ts
@@ -1,5 +1,5 @@
 /**
-A clock that stands still until it is advanced: for tests and seeded measurements.
+Clock that advances only on request, for tests and seeded simulations.
 */
 import {type Clock, type Timer} from '../types/clock.ts';
 import {sleepOn} from './system-clock.ts';
@@ -13,20 +13,20 @@
 
 const isBefore = (a: Pending, b: Pending): boolean => a.dueMs < b.dueMs || (a.dueMs === b.dueMs && a.order < b.order);
 
-/** Lets every promise that can settle do so before the next timer fires. */
-const settle = async (): Promise<void> => {
+/** Waits until pending microtasks and immediates have run. */
+const settlePromises = async (): Promise<void> => {
 	await new Promise<void>(resolve => {
 		setImmediate(resolve);
 	});
 };
 
-/** A clock moved by hand. Timers fire in order of due time, then of creation. */
+/** Clock that is advanced explicitly. Timers fire in order of due time, then of creation. */
 export class ManualClock implements Clock {
-	// Counted from 0: on a wall reading, sums of small delays would round to nothing and a timer could come due early.
+	// Counted from 0: added to the large number of a wall time, small delays would be rounded and a timer could fire early.
 	#nowMs = 0;
 	#order = 0;
 	readonly #startMs: number;
-	// A binary heap keyed by due time keeps long measurements linear in their events.
+	// Binary heap ordered by due time, so that the cost of a timer grows only logarithmically with their number.
 	readonly #heap: Pending[] = [];
 
 	constructor(startMs = 1_800_000_000_000) {
@@ -57,20 +57,20 @@
 		await sleepOn((callback, ms) => this.setTimer(callback, ms), delayMs, signal);
 	}
 
-	/** Advances by the duration, letting promises settle between timers. */
+	/** Advances by the duration; promises settle after each timer. */
 	async advance(durationMs: number): Promise<void> {
 		const endMs = this.#nowMs + durationMs;
-		await settle();
+		await settlePromises();
 		for (let next = this.#takeDue(endMs); next; next = this.#takeDue(endMs)) {
 			this.#nowMs = Math.max(this.#nowMs, next.dueMs);
 			next.callback();
-			await settle();
+			await settlePromises();
 		}
 
 		this.#nowMs = endMs;
 	}
 
-	/** Advances by the duration with no settling: for purely synchronous callbacks, many times faster. */
+	/** Advances by the duration without waiting for promises; many times faster, for callbacks that are purely synchronous. */
 	advanceSync(durationMs: number): void {
 		const endMs = this.#nowMs + durationMs;
 		for (let next = this.#takeDue(endMs); next; next = this.#takeDue(endMs)) {
--- a/src/utils/metrics-page.ts
+++ b/src/utils/metrics-page.ts
@@ -1,6 +1,6 @@
 /**
-Counters and latency histograms of a process, served as text. The library is loaded when the page is first read: loading it
-takes a small host's processor for most of a second. What is counted before waits.
+Counters, gauges and latency histograms of a process, served in the Prometheus text format. `prom-client` is loaded when the page is
+first read, because loading it occupies the processor of a small host for most of a second. Until then, values are buffered.
 */
 import {createServer, type Server} from 'node:http';
 import {type Counter, type Histogram, type Registry} from 'prom-client';
@@ -9,11 +9,11 @@
 export type MetricsPage = {
 	/** Server of the page; the caller binds and closes it. */
 	server: Server;
-	/** Counts an event, with its reason if it has one. */
+	/** Counts an event; `reason` is its second label. */
 	count(event: string, reason?: string): void;
-	/** Takes a duration of a kind of work. */
+	/** Records a duration in ms for a kind of work. */
 	observe(kind: string, tookMs: number): void;
-	/** Sets what is shown of a level each time that the page is read. */
+	/** Adds a gauge whose value is read each time the page is read. */
 	addGauge(name: string, help: string, read: () => number): void;
 };
 
@@ -23,10 +23,10 @@
 	durations: Histogram<'kind'>;
 };
 
-/** Path that tells other processes that this one lives, without the cost of the page. */
+/** Path of the liveness check; cheaper than reading the page. */
 export const alivePath = '/alive';
 
-/** Upper bounds of the histogram in seconds: from an answer out of memory to the longest objective. */
+/** Upper bounds of the histogram's buckets in seconds, from a response out of memory to the longest latency objective. */
 const bucketsS = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10, 30];
 
 /** Creates the metrics of a process. */
@@ -34,9 +34,9 @@
 	let loaded: Loaded | undefined;
 	const gauges: Array<{name: string; help: string; read: () => number}> = [];
 	const counts = new Map<string, {event: string; reason: string; amount: number}>();
-	/** Durations by kind and whole millisecond, rounded up: no bound of a bucket lies between two of them. */
-	const waiting = new Map<string, {kind: string; tookMs: number; amount: number}>();
-	const load = async (): Promise<Loaded> => {
+	/** Buffered durations by kind and in whole milliseconds. Rounding up does not change the bucket, because all bounds are whole milliseconds. */
+	const bufferedDurations = new Map<string, {kind: string; tookMs: number; amount: number}>();
+	const loadMetrics = async (): Promise<Loaded> => {
 		if (!loaded) {
 			const {Counter, Gauge, Histogram, Registry} = await import('prom-client');
 			const registry = new Registry();
@@ -64,13 +64,13 @@
 		}
 
 		counts.clear();
-		for (const {kind, tookMs, amount} of waiting.values()) {
+		for (const {kind, tookMs, amount} of bufferedDurations.values()) {
 			for (let index = 0; index < amount; index++) {
 				loaded.durations.observe({kind}, tookMs / 1000);
 			}
 		}
 
-		waiting.clear();
+		bufferedDurations.clear();
 
 		return loaded;
 	};
@@ -90,9 +90,9 @@
 
 			const wholeMs = Math.ceil(tookMs);
 			const key = `${kind}#${wholeMs}`;
-			const entry = waiting.get(key) ?? {kind, tookMs: wholeMs, amount: 0};
+			const entry = bufferedDurations.get(key) ?? {kind, tookMs: wholeMs, amount: 0};
 			entry.amount++;
-			waiting.set(key, entry);
+			bufferedDurations.set(key, entry);
 		},
 		addGauge(name, help, read) {
 			gauges.push({name, help, read});
@@ -104,7 +104,7 @@
 				return;
 			}
 
-			const {registry} = await load();
+			const {registry} = await loadMetrics();
 			response.writeHead(200, {'content-type': registry.contentType});
 			response.end(await registry.metrics());
 		}),
--- a/src/utils/nearest.ts
+++ b/src/utils/nearest.ts
@@ -1,10 +1,10 @@
 /**
-Finds the known word nearest to a misspelt one.
+Finds the known word with the smallest edit distance to a misspelt one.
 */
 
 const maxDistance = 3;
 
-/** Gets the known word within three edits of the word, or undefined. */
+/** Gets the nearest known word within three edits, or undefined. */
 export const getNearest = (word: string, known: Iterable<string>): string | undefined => {
 	let nearest: string | undefined;
 	let nearestDistance = maxDistance + 1;
--- a/src/utils/parser.ts
+++ b/src/utils/parser.ts
@@ -1,10 +1,10 @@
 /**
-Checks input of unknown shape.
+Validates untyped input with `zod` schemas.
 */
 import {z} from 'zod';
 import {createError, ErrorCode} from '../core/errors.ts';
 
-/** Creates a function that checks a value against the schema and throws `bad-input` with all that is wrong. */
+/** Creates a function that validates a value against the schema and throws `bad-input` with all issues. */
 export const createParser = <Output>(step: string, schema: z.ZodType<Output>): (value: unknown) => Output => value => {
 	const parsed = schema.safeParse(value);
 	if (!parsed.success) {
--- a/src/utils/peer-clock.ts
+++ b/src/utils/peer-clock.ts
@@ -1,22 +1,22 @@
 /**
-A peer's steady clock, estimated from its readings. The estimate never runs ahead of what the readings allow, and one answer
-that was handled late does not set it back.
+Estimate of a peer's monotonic clock from the readings in its responses. The estimate is never ahead of what the readings allow, and
+a response that is handled late does not set it back.
 */
 
-/** When a call was sent and when its answer was handled, on the own steady clock in ms. */
+/** When a call was sent and when its response was handled, on the local monotonic clock in ms. */
 export type Exchange = {
 	sentAtMs: number;
 	handledAtMs: number;
 };
 
-/** Estimates one life of a peer; a new life has a clock of its own. */
+/** Estimates the clock of one incarnation of a peer; each incarnation has its own clock. */
 export class PeerClock {
-	/** Peer's clock minus the own one. */
+	/** Peer's clock minus the local one. */
 	#offsetMs = Number.NEGATIVE_INFINITY;
 
 	/**
-	Takes a reading from an answer. The peer read its clock between the two times of the exchange, which bounds the offset on
-	both sides; the lower bound holds unless the peer's clock stood still since.
+	Adds a reading from a response. The peer read its clock between the sending of the call and the handling of its response, which
+	bounds the offset on both sides. The lower bound holds unless the peer's clock has stood still since.
 	*/
 	note(peerClockMs: number, {sentAtMs, handledAtMs}: Exchange): void {
 		const lowestMs = peerClockMs - handledAtMs;
@@ -24,7 +24,7 @@
 		this.#offsetMs = Math.max(lowestMs, Math.min(this.#offsetMs, highestMs));
 	}
 
-	/** Gets the peer's clock now; negative infinity before the first reading. */
+	/** Estimates the peer's clock at the local time `nowMs`; negative infinity before the first reading. */
 	read(nowMs: number): number {
 		return nowMs + this.#offsetMs;
 	}
--- a/src/utils/process-load.ts
+++ b/src/utils/process-load.ts
@@ -1,75 +1,76 @@
 /**
-How far a process is behind: its timers fire late when it has no processor, or when its steps take all of it.
+Detects an overloaded process by the lateness of its timers: they fire late when the process gets too little processor time, or when
+its own work uses all of it.
 */
 import {type Clock} from '../types/clock.ts';
 
-/** A timer is looked at this often. */
-const lookEveryMs = 50;
-/** Told at most once in so long, with the latest of that time. */
-const noteEveryMs = 1000;
-/** Later than this a heartbeat that is due every quarter of a second is one behind. */
-const lateFromMs = 250;
-/** Time over which the share of waiting is averaged. */
-const averageMs = 2000;
-/** A longer stall, as after a freeze, is over when it is seen: it counts as so much. */
+/** Interval of the timer whose lateness is measured. */
+const timerIntervalMs = 50;
+/** Minimum time between two log lines on late timers; each reports the highest lateness since the last one. */
+const reportIntervalMs = 1000;
+/** Lateness that is logged: with it, a heartbeat that is due every quarter of a second misses a beat. */
+const reportedLatenessMs = 250;
+/** Time constant of the moving average of the share of time spent waiting. */
+const averagingTimeMs = 2000;
+/** Longest stall that is counted. A longer one, as after a freeze of the host, has ended when it is detected. */
 const maxStallMs = 500;
 /**
-More of its time than this spent waiting for the processor, what a caller asks takes a second: its connection, its request and
-the store's answer each wait for the thread.
+Share of time spent waiting for the processor above which the process is overloaded. A caller's request then takes about a second,
+because its connection, its request and the store's response each wait for the thread.
 */
 const overloadedShare = 0.4;
-/** Below this it takes callers again. */
-const keepsUpShare = 0.25;
+/** Share at or below which an overloaded process accepts callers again. */
+const recoveredShare = 0.25;
 
-/** Load of this process. */
+/** Tracks whether this process is overloaded. */
 export class ProcessLoad {
 	readonly #clock: Clock;
 	readonly #note: (event: string, fields: Record<string, unknown>) => void;
-	/** Share of its time that the process waited, of late. */
+	/** Moving average of the share of time that the process waited. */
 	#lateShare = 0;
 	#isOverloaded = false;
 	#latestMs = 0;
-	#notedAtMs: number;
+	#reportedAtMs: number;
 
 	constructor(clock: Clock, note: (event: string, fields: Record<string, unknown>) => void) {
 		this.#clock = clock;
 		this.#note = note;
-		this.#notedAtMs = clock.monotonicMs();
+		this.#reportedAtMs = clock.monotonicMs();
 	}
 
-	/** Whether others, if there are any, do better for callers. */
+	/** Whether callers should use other entries, if there are any. */
 	get isOverloaded(): boolean {
 		return this.#isOverloaded;
 	}
 
-	/** Looks at timers until the signal aborts. */
+	/** Measures the lateness of a timer until the signal aborts. */
 	async watch(signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			const startedAtMs = this.#clock.monotonicMs();
-			await this.#clock.sleep(lookEveryMs, signal);
-			const lateMs = Math.max(0, this.#clock.monotonicMs() - startedAtMs - lookEveryMs);
-			this.#judge(Math.min(maxStallMs, lateMs));
-			this.#tellLate(lateMs);
+			await this.#clock.sleep(timerIntervalMs, signal);
+			const lateMs = Math.max(0, this.#clock.monotonicMs() - startedAtMs - timerIntervalMs);
+			this.#updateOverload(Math.min(maxStallMs, lateMs));
+			this.#reportLateness(lateMs);
 		}
 	}
 
-	#judge(lateMs: number): void {
-		const spentMs = lateMs + lookEveryMs;
-		const weight = 1 - Math.exp(-spentMs / averageMs);
+	#updateOverload(lateMs: number): void {
+		const spentMs = lateMs + timerIntervalMs;
+		const weight = 1 - Math.exp(-spentMs / averagingTimeMs);
 		this.#lateShare += weight * ((lateMs / spentMs) - this.#lateShare);
-		const isOverloaded = this.#lateShare > (this.#isOverloaded ? keepsUpShare : overloadedShare);
+		const isOverloaded = this.#lateShare > (this.#isOverloaded ? recoveredShare : overloadedShare);
 		if (isOverloaded !== this.#isOverloaded) {
 			this.#isOverloaded = isOverloaded;
 			this.#note(isOverloaded ? 'overloaded' : 'keeps up', {lateShare: Number(this.#lateShare.toFixed(2))});
 		}
 	}
 
-	#tellLate(lateMs: number): void {
+	#reportLateness(lateMs: number): void {
 		this.#latestMs = Math.max(this.#latestMs, lateMs);
 		const nowMs = this.#clock.monotonicMs();
-		if (this.#latestMs >= lateFromMs && nowMs - this.#notedAtMs >= noteEveryMs) {
+		if (this.#latestMs >= reportedLatenessMs && nowMs - this.#reportedAtMs >= reportIntervalMs) {
 			this.#note('timers late', {latestMs: Math.round(this.#latestMs), lateShare: Number(this.#lateShare.toFixed(2))});
-			this.#notedAtMs = nowMs;
+			this.#reportedAtMs = nowMs;
 			this.#latestMs = 0;
 		}
 	}
--- a/src/utils/request-id.ts
+++ b/src/utils/request-id.ts
@@ -1,5 +1,5 @@
 /**
-Ids of non-idempotent requests: UUIDs of version 7, which carry the time at which they were made.
+Ids of non-idempotent requests: UUIDs of version 7, which contain their creation time.
 */
 import {type Clock} from '../types/clock.ts';
 import {type Random} from '../types/random.ts';
@@ -8,12 +8,12 @@
 
 /** Creates a request id. */
 export const createRequestId = (clock: Clock, random: Random): string => {
-	const time = clock.now().getTime().toString(16).padStart(12, '0');
-	const noise = random.id() + random.id();
-	return `${time.slice(0, 8)}-${time.slice(8)}-7${noise.slice(0, 3)}-8${noise.slice(3, 6)}-${noise.slice(6, 18)}`;
+	const timeDigits = clock.now().getTime().toString(16).padStart(12, '0');
+	const randomDigits = random.id() + random.id();
+	return `${timeDigits.slice(0, 8)}-${timeDigits.slice(8)}-7${randomDigits.slice(0, 3)}-8${randomDigits.slice(3, 6)}-${randomDigits.slice(6, 18)}`;
 };
 
-/** Gets the time at which the id was made, in milliseconds since 1970, or undefined when it is no such id. */
+/** Gets the creation time of an id in milliseconds since 1970, or undefined if it is not a UUID of version 7. */
 export const getRequestIdTimeMs = (requestId: string): number | undefined => {
 	const match = pattern.exec(requestId.toLowerCase());
 	return match ? Number.parseInt(match[1]! + match[2]!, 16) : undefined;
--- a/src/utils/system-clock.ts
+++ b/src/utils/system-clock.ts
@@ -4,7 +4,7 @@
 import {performance} from 'node:perf_hooks';
 import {type Clock, type Timer} from '../types/clock.ts';
 
-/** Resolves after the delay or when the signal aborts, on the given timer source. */
+/** Resolves after the delay or when the signal aborts; `setTimer` is the source of timers. */
 export const sleepOn = async (
 	setTimer: (callback: () => void, delayMs: number) => Timer,
 	delayMs: number,
--- a/src/utils/turns.ts
+++ b/src/utils/turns.ts
@@ -1,22 +1,22 @@
 /**
-Divides work among turns of the event loop. A loop that finds thirty answers at once runs all that follows from them
-before it looks at anything else. On a slow host that takes a third of a second, and platforms take one new connection a
-turn: callers then wait for seconds in front of a process that would answer them within milliseconds.
+Cooperative yielding: spreads work over turns of the event loop. If thirty responses arrive at once, the loop runs all work that
+follows from them before it polls for other input. On a slow host this takes a third of a second, and platforms accept one new
+connection in each turn: callers would wait for seconds for a connection to a process that answers within milliseconds.
 */
 import process from 'node:process';
 
 /**
-Work goes on in a turn until this is used up; one piece at the least. One piece a turn alone would be too little: what else
-belongs to a turn takes its time each time, and answers of peers would wait for seconds.
+Time for waiting work in each turn of the event loop; at least one piece of work runs. With only one piece in each turn, the fixed
+cost of a turn would make responses of peers wait for seconds.
 */
-const turnMs = 10;
+const maxWorkMsPerTurn = 10;
 
-/** Lets pieces of work go on, in the order of asking, for a short time in each turn. */
+/** Resumes waiting pieces of work in first-in-first-out order, for a short time in each turn of the event loop. */
 export class Turns {
 	readonly #waiting: Array<() => void> = [];
 	#isScheduled = false;
 
-	/** Resolves when it is the caller's turn. */
+	/** Resolves when the calling work may continue. */
 	async next(): Promise<void> {
 		return new Promise(resolve => {
 			this.#waiting.push(resolve);
@@ -29,7 +29,7 @@
 	#schedule(): void {
 		this.#isScheduled = true;
 		setImmediate(async () => {
-			const endMs = performance.now() + turnMs;
+			const endMs = performance.now() + maxWorkMsPerTurn;
 			do {
 				this.#waiting.shift()!();
 				await afterMicrotasks();
@@ -44,16 +44,16 @@
 }
 
 /**
-Calls back once the input that has arrived by now was read. A loop that is behind runs its timers first: an answer that came in
-time would else be taken for none.
+Calls back after the input that has arrived by now was read. The event loop runs timers before input, so when it is late, a time-out
+would otherwise fire although the response has already arrived.
 */
 export const afterPendingInput = (callback: () => void): void => {
 	setImmediate(callback);
 };
 
-/** Resolves once all that follows at once from what was resolved before has run. */
+/** Resolves after the microtasks that are pending now, and those that they queue, have run. */
 const afterMicrotasks = async (): Promise<void> => {
-	// From within a microtask: what is asked for before them would come first.
+	// Wait for a microtask first: a `nextTick` callback that is queued outside of microtasks runs before them.
 	await Promise.resolve();
 	await new Promise(resolve => {
 		process.nextTick(resolve);
--- a/src/utils/version.ts
+++ b/src/utils/version.ts
@@ -1,8 +1,8 @@
 /**
-The version of the program.
+Version of the program.
 */
 
-/** Set by the bundler; not defined when run from source. */
+/** Defined by the bundler; undefined when run from source. */
 declare const CHERVILWORKS_VERSION: string | undefined;
 
 /** Version of the program. */
--- a/src/utils/wakeup.ts
+++ b/src/utils/wakeup.ts
@@ -1,20 +1,20 @@
 /**
-A wait that others can cut short.
+A wait that other code can end early.
 */
 import {type Clock} from '../types/clock.ts';
 
-/** Lets one loop wait for a time or for a call, whichever comes first; a call while nobody waits is kept. */
+/** Lets one loop wait until a time-out or a call of `wake`. A call while nobody waits ends the next wait at once. */
 export class Wakeup {
 	#isCalled = false;
 	#aborter: AbortController | undefined;
 
-	/** Ends the present wait, or the next one at once. */
+	/** Ends the current wait, or the next one if there is none. */
 	wake(): void {
 		this.#isCalled = true;
 		this.#aborter?.abort();
 	}
 
-	/** Waits at most so long. */
+	/** Waits for `wake`, the time-out or the signal. */
 	async wait(clock: Clock, timeoutMs: number, signal?: AbortSignal): Promise<void> {
 		if (!this.#isCalled && !signal?.aborted) {
 			this.#aborter = new AbortController();
--- a/src/utils/work-meter.ts
+++ b/src/utils/work-meter.ts
@@ -1,30 +1,30 @@
 /**
-Where the time of a process goes: how long its steps keep the one thread. On a host with a small share of a processor a
-step of a few milliseconds keeps everything else waiting for a tenth of a second.
+Measures how long synchronous steps occupy the thread of a process. On a host with a small share of a processor, a step of a few
+milliseconds of processor time delays all other work by a tenth of a second.
 */
 import {type Clock} from '../types/clock.ts';
 
-/** Times of one kind of step since the last report. */
+/** Count and durations of one kind of step since the last report. */
 export type StepTimes = {
 	count: number;
 	totalMs: number;
 	longestMs: number;
 };
 
-/** Adds up the times of steps by kind, and tells them once a second. */
+/** Sums the durations of steps by kind and reports them about once a second. */
 export class WorkMeter {
 	readonly #clock: Clock;
 	readonly #onTimes: (times: Record<string, StepTimes>) => void;
 	readonly #times = new Map<string, StepTimes>();
-	#toldAtMs: number;
+	#reportedAtMs: number;
 
 	constructor(clock: Clock, onTimes: (times: Record<string, StepTimes>) => void) {
 		this.#clock = clock;
 		this.#onTimes = onTimes;
-		this.#toldAtMs = clock.monotonicMs();
+		this.#reportedAtMs = clock.monotonicMs();
 	}
 
-	/** Runs a step and adds the time that it took. */
+	/** Runs a step and records its duration. */
 	measure<Result>(kind: string, step: () => Result): Result {
 		const startedAtMs = this.#clock.monotonicMs();
 		try {
@@ -38,18 +38,17 @@
 		const {count, totalMs, longestMs} = this.#times.get(kind) ?? {count: 0, totalMs: 0, longestMs: 0};
 		const tookMs = endedAtMs - startedAtMs;
 		this.#times.set(kind, {count: count + 1, totalMs: totalMs + tookMs, longestMs: Math.max(longestMs, tookMs)});
-		if (endedAtMs - this.#toldAtMs >= noteEveryMs) {
-			this.#toldAtMs = endedAtMs;
-			this.#tell();
+		if (endedAtMs - this.#reportedAtMs >= reportIntervalMs) {
+			this.#reportedAtMs = endedAtMs;
+			this.#report();
 		}
 	}
 
-	#tell(): void {
+	#report(): void {
 		this.#onTimes(Object.fromEntries([...this.#times].map(([kind, {count, totalMs, longestMs}]) =>
 			[kind, {count, totalMs: Math.round(totalMs), longestMs: Math.round(longestMs)}])));
 		this.#times.clear();
 	}
 }
 
-/** Times are told this often. */
-const noteEveryMs = 1000;
+const reportIntervalMs = 1000;
--- a/test/busy-thread.test.ts
+++ b/test/busy-thread.test.ts
@@ -1,5 +1,5 @@
 /**
-Answers that come while the thread of the caller is busy.
+Responses that arrive while the caller's thread is busy.
 */
 import {Worker} from 'node:worker_threads';
 import {
@@ -18,13 +18,13 @@
 });
 
 afterEach(async () => {
-	for (const act of cleanUp.splice(0)) {
-		await act();
+	for (const cleanUpStep of cleanUp.splice(0)) {
+		await cleanUpStep();
 	}
 });
 
-/** Answers each request after a while, on a thread of its own. */
-const serveApart = String.raw`
+/** Server that answers each request after 50 ms, run on its own thread. */
+const serverThreadCode = String.raw`
 	const {createServer} = require('node:http');
 	const {parentPort} = require('node:worker_threads');
 	const server = createServer((request, response) => {
@@ -43,11 +43,11 @@
 	server.listen(0, '127.0.0.1', () => parentPort.postMessage(server.address().port));
 `;
 
-/** Guards against answers that came in time and are taken for none, as timers run first on a thread that is late. */
-describe('an answer that comes while the thread is busy beyond the time-out', () => {
+/** Guards against calls that time out although the response arrived in time, because a late event loop runs timers before input. */
+describe('a response that arrives while the thread is busy for longer than the time-out', () => {
 	const blockMs = 400;
 	const start = async (): Promise<string> => {
-		const worker = new Worker(serveApart, {eval: true});
+		const worker = new Worker(serverThreadCode, {eval: true});
 		cleanUp.push(async () => worker.terminate());
 		const port = await new Promise<number>(resolve => {
 			worker.once('message', resolve);
@@ -59,8 +59,8 @@
 		return `127.0.0.1:${port}`;
 	};
 
-	const block = async (afterMs = 20): Promise<void> => {
-		// The request leaves first; after an immediate, timers come before input.
+	const blockThread = async (afterMs = 20): Promise<void> => {
+		// The request must be sent first. Blocking from an immediate lets timers run before input afterwards.
 		await new Promise(resolve => {
 			if (afterMs > 0) {
 				setTimeout(() => {
@@ -76,31 +76,31 @@
 		}
 	};
 
-	it('is taken from a stream', async () => {
+	it('is received on a call stream', async () => {
 		const address = await start();
 		await call(address);
 		const answer = call(address, 200);
-		await block();
+		await blockThread();
 		expect(await answer).toEqual({status: 200, json: {n: 1}});
 	});
 
-	it('is taken from an HTTP connection', async () => {
+	it('is received on an HTTP connection', async () => {
 		const address = await start();
 		const send = async () => http.callJson({
 			address, method: 'POST', path: '/', json: {}, timeoutMs: 200, step: 'call',
 		});
 		await send();
 		const answer = send();
-		await block();
+		await blockThread();
 		expect(await answer).toMatchObject({status: 200, json: {n: 1}});
 	});
 
-	it('is taken from a connection that was accepted meanwhile', async () => {
+	it('is received on a connection that was accepted meanwhile', async () => {
 		const address = await start();
 		const answer = http.callJson({
 			address, method: 'POST', path: '/', json: {}, timeoutMs: 2000, connectTimeoutMs: 100, step: 'call',
 		});
-		await block(0);
+		await blockThread(0);
 		expect(await answer).toMatchObject({status: 200, json: {n: 1}});
 	});
 });
--- a/test/call-clients.ts
+++ b/test/call-clients.ts
@@ -1,5 +1,5 @@
 /**
-Clients of both kinds, as a process has them: they share the turns of its thread.
+HTTP client and call-stream client that share one `Turns`, as in a process.
 */
 import {createStreamClient, type StreamClient} from '../src/utils/call-stream-client.ts';
 import {createHttpClient, type HttpClient} from '../src/utils/http-calls.ts';
--- a/test/call-stream.test.ts
+++ b/test/call-stream.test.ts
@@ -1,5 +1,5 @@
 /**
-Call streams between processes.
+Calls between processes over call streams.
 */
 import {createServer, type Server} from 'node:http';
 import {connect, createServer as createTcpServer, type Socket} from 'node:net';
@@ -25,7 +25,7 @@
 	address, path: '/echo', json, timeoutMs, signal, step: 'call',
 });
 
-const getCode = async (answer: Promise<unknown>): Promise<ErrorCode | undefined> => {
+const getCallErrorCode = async (answer: Promise<unknown>): Promise<ErrorCode | undefined> => {
 	try {
 		await answer;
 		return undefined;
@@ -46,13 +46,13 @@
 };
 
 afterEach(async () => {
-	for (const act of cleanUp.splice(0)) {
-		await act();
+	for (const cleanUpStep of cleanUp.splice(0)) {
+		await cleanUpStep();
 	}
 });
 
 describe('calls on a stream', () => {
-	it('are answered in any order, each with its own answer', async () => {
+	it('may be answered in any order; each gets its own response', async () => {
 		createClients();
 		const {address, stop} = await serveEcho();
 		cleanUp.push(stop);
@@ -61,7 +61,7 @@
 		expect(answers).toEqual(waits.map(waitMs => ({status: 200, json: {waitMs, text: 'line\nbreak é'}})));
 	});
 
-	it('tell errors by their status', async () => {
+	it('report errors by their status', async () => {
 		createClients();
 		const {address, stop} = await serveEcho();
 		cleanUp.push(stop);
@@ -71,7 +71,7 @@
 		expect(status).toBe(404);
 	});
 
-	it('go over HTTP to a peer that knows no streams', async () => {
+	it('go over HTTP to a peer that does not support call streams', async () => {
 		createClients();
 		const server: Server = createServer((request, response) => {
 			response.writeHead(request.method === 'POST' ? 200 : 404);
@@ -85,7 +85,7 @@
 		expect(await call(address, {})).toEqual({status: 200, json: {old: true}});
 	});
 
-	it('leave a connection that has gone silent, and go on over a new one', async () => {
+	it('close a connection that delivers no more data, and continue over a new one', async () => {
 		createClients();
 		const {address, stop} = await serveEcho();
 		cleanUp.push(stop);
@@ -94,11 +94,11 @@
 		const sockets = new Set<Socket>();
 		const proxy = createTcpServer(socket => {
 			sockets.add(socket);
-			const isBorn = !isSilent;
+			const wasOpenedBefore = !isSilent;
 			const target = connect(Number(port), host);
 			sockets.add(target);
 			socket.on('data', chunk => {
-				if (isBorn && isSilent) {
+				if (wasOpenedBefore && isSilent) {
 					return;
 				}
 
@@ -124,32 +124,32 @@
 		const proxyAddress = `127.0.0.1:${(proxy.address() as {port: number}).port}`;
 		await call(proxyAddress, {});
 		isSilent = true;
-		expect(await getCode(call(proxyAddress, {}, 100))).toBe(ErrorCode.PeerUnavailable);
+		expect(await getCallErrorCode(call(proxyAddress, {}, 100))).toBe(ErrorCode.PeerUnavailable);
 		expect(await call(proxyAddress, {n: 2})).toEqual({status: 200, json: {n: 2}});
 	});
 
-	it('say that nothing was sent without a connection', async () => {
+	it('report that nothing was sent if there is no connection', async () => {
 		createClients();
 		const {address, stop} = await serveEcho();
 		await stop();
-		expect(await getCode(call(address, {}))).toBe(ErrorCode.PeerUnreached);
+		expect(await getCallErrorCode(call(address, {}))).toBe(ErrorCode.PeerUnreached);
 	});
 
-	it('end with the signal, and leave the other calls alone', async () => {
+	it('end when their signal aborts; other calls continue', async () => {
 		createClients();
 		const {address, stop} = await serveEcho();
 		cleanUp.push(stop);
 		const aborter = new AbortController();
-		const given = getCode(call(address, {waitMs: 200}, 1000, aborter.signal));
+		const aborted = getCallErrorCode(call(address, {waitMs: 200}, 1000, aborter.signal));
 		const other = call(address, {waitMs: 200});
 		setTimeout(() => {
 			aborter.abort();
 		}, 50);
-		expect(await given).toBe(ErrorCode.PeerUnavailable);
+		expect(await aborted).toBe(ErrorCode.PeerUnavailable);
 		expect((await other).status).toBe(200);
 	});
 
-	it('in progress are answered before the server closes, and idle connections end', async () => {
+	it('in progress are answered before the server closes, and idle connections are closed', async () => {
 		createClients();
 		const {address, stop} = await serveEcho();
 		const answer = call(address, {waitMs: 100});
--- a/test/duty-cycle.test.ts
+++ b/test/duty-cycle.test.ts
@@ -1,12 +1,12 @@
 /**
-Work that is kept to a share of the thread's time.
+Work that is limited to a share of the thread's time.
 */
 import {expect, it} from 'vitest';
 import {DutyCycle} from '../src/utils/duty-cycle.ts';
 import {ManualClock} from '../src/utils/manual-clock.ts';
 
-/** Guards against a look at the fleet that takes more of a small host's thread than all replies together. */
-it('takes no more than its share, however long it takes and however often it is asked for', () => {
+/** Guards against a periodic check of all workers that takes more time on a small host's thread than all replies together. */
+it('takes no more than its share, however long a run takes and however often it is requested', () => {
 	const clock = new ManualClock();
 	const cycle = new DutyCycle(clock, 19);
 	let spentMs = 0;
@@ -16,7 +16,7 @@
 		clock.advanceSync(tookMs);
 	};
 
-	for (let asked = 0; asked < 2000; asked++) {
+	for (let requested = 0; requested < 2000; requested++) {
 		cycle.tryRun(work);
 		clock.advanceSync(5);
 	}
@@ -25,14 +25,14 @@
 	expect(spentMs / clock.monotonicMs()).toBeLessThan(0.06);
 });
 
-it('runs each time where it takes no time', () => {
+it('runs at each request if it takes no time', () => {
 	const cycle = new DutyCycle(new ManualClock(), 19);
 	let runs = 0;
 	const work = () => {
 		runs++;
 	};
 
-	for (let asked = 0; asked < 10; asked++) {
+	for (let requested = 0; requested < 10; requested++) {
 		cycle.tryRun(work);
 	}
 
--- a/test/engine.test.ts
+++ b/test/engine.test.ts
@@ -1,11 +1,11 @@
 /**
-How the JavaScript engine is fitted to the host.
+Configuration of the JavaScript engine for the host.
 */
 import {expect, it} from 'vitest';
 import {isOptimizing} from '../src/utils/engine.ts';
 
-/** Guards against compiler threads that take half of a small host's processor while starts are refused as expired. */
-it('leaves the optimizing compiler to hosts with a good part of a processor', () => {
+/** Guards against compiler threads that use half of a small host's processor, so that orders to start tasks arrive late and are refused as expired. */
+it('enables the optimizing compiler only on hosts with enough of a processor', () => {
 	expect([0.069, 0.186].map(processors => isOptimizing(processors))).toEqual([false, false]);
 	expect([0.405, 1, 1.35].map(processors => isOptimizing(processors))).toEqual([true, true, true]);
 });
--- a/test/event-log.test.ts
+++ b/test/event-log.test.ts
@@ -1,15 +1,15 @@
 /**
-Which lines of log are written when there are too many.
+Rate limit on log lines.
 */
 import {describe, expect, it} from 'vitest';
 import {LineBudget} from '../src/utils/event-log.ts';
 
 describe('a log under load', () => {
 	/**
-	The owner of a large service told of each start and each pace, more than 600 lines a second. The lines that say that a job was
-	taken and how it ended were dropped with the rest, and nobody could tell afterwards why a caller waited.
+	Guards against the loss of rare events. The owner of a large service logs each start and each throttle, more than 600 lines a
+	second. If the lines on the acceptance and end of jobs are dropped with the rest, the wait of a caller cannot be explained.
 	*/
-	it('keeps what is told seldom beside what is told often', () => {
+	it('writes rare events beside frequent ones', () => {
 		const budget = new LineBudget();
 		budget.renew(0);
 		for (let index = 0; index < 2000; index++) {
@@ -20,7 +20,7 @@
 		expect(kept.every(Boolean)).toBe(true);
 	});
 
-	it('is bounded, and tells what was dropped', () => {
+	it('is limited, and reports the number of dropped lines', () => {
 		const budget = new LineBudget();
 		budget.renew(0);
 		const written = Array.from({length: 2000}, () => budget.take('pace')).filter(Boolean).length;
--- a/test/http-calls.test.ts
+++ b/test/http-calls.test.ts
@@ -1,5 +1,5 @@
 /**
-What the HTTP client says of a call without an answer.
+Errors of the HTTP client for calls without a response.
 */
 import {createServer, type Server} from 'node:http';
 import {connect} from 'node:net';
@@ -18,7 +18,7 @@
 	server.close();
 });
 
-const getCode = async (address: string, timeoutMs: number, connectTimeoutMs?: number): Promise<ErrorCode | undefined> => {
+const getCallErrorCode = async (address: string, timeoutMs: number, connectTimeoutMs?: number): Promise<ErrorCode | undefined> => {
 	try {
 		await http.call({
 			address, method: 'POST', path: '/', body: 'text', timeoutMs, connectTimeoutMs, step: 'call',
@@ -30,17 +30,17 @@
 	return undefined;
 };
 
-it('nothing was sent without a connection', async () => {
+it('reports that nothing was sent if there is no connection', async () => {
 	server = createServer();
 	const address = await listen(server, '127.0.0.1:0');
 	await new Promise(resolve => {
 		server.close(resolve);
 	});
 	http = createHttpClient(1);
-	expect(await getCode(address, 1000)).toBe(ErrorCode.PeerUnreached);
+	expect(await getCallErrorCode(address, 1000)).toBe(ErrorCode.PeerUnreached);
 });
 
-it('it may have been carried out once there was a connection, a new one or a kept one', async () => {
+it('reports that a call may have been carried out if there was a connection, new or kept alive', async () => {
 	server = createServer((request, response) => {
 		if (request.method === 'GET') {
 			response.end();
@@ -48,15 +48,15 @@
 	});
 	const address = await listen(server, '127.0.0.1:0');
 	http = createHttpClient(1);
-	expect(await getCode(address, 200)).toBe(ErrorCode.PeerUnavailable);
+	expect(await getCallErrorCode(address, 200)).toBe(ErrorCode.PeerUnavailable);
 	await http.call({
 		address, method: 'GET', path: '/', timeoutMs: 1000, step: 'call',
 	});
-	expect(await getCode(address, 200)).toBe(ErrorCode.PeerUnavailable);
+	expect(await getCallErrorCode(address, 200)).toBe(ErrorCode.PeerUnavailable);
 });
 
-/** Listens and accepts nothing: once its queue is full, opening packets get no answer. */
-const listenDeaf = `
+/** Server that listens but accepts nothing: once its backlog is full, connection requests are not answered. */
+const silentServerCode = `
 	const {createServer} = require('node:net');
 	const {parentPort} = require('node:worker_threads');
 	const server = createServer();
@@ -66,22 +66,22 @@
 	});
 `;
 
-it('a host that answers no opening packet is given up soon', async () => {
+it('times out early on a host that does not answer connection requests', async () => {
 	server = createServer();
 	http = createHttpClient(1);
-	const worker = new Worker(listenDeaf, {eval: true});
+	const worker = new Worker(silentServerCode, {eval: true});
 	const port = await new Promise<number>(resolve => {
 		worker.once('message', resolve);
 	});
-	const fillers = Array.from({length: 4}, () => connect(port, '127.0.0.1').on('error', () => undefined));
+	const backlogSockets = Array.from({length: 4}, () => connect(port, '127.0.0.1').on('error', () => undefined));
 	await new Promise(resolve => {
 		setTimeout(resolve, 100);
 	});
 	const startMs = performance.now();
-	expect(await getCode(`127.0.0.1:${port}`, 3000, 100)).toBe(ErrorCode.PeerUnreached);
+	expect(await getCallErrorCode(`127.0.0.1:${port}`, 3000, 100)).toBe(ErrorCode.PeerUnreached);
 	expect(performance.now() - startMs).toBeLessThan(1500);
-	for (const filler of fillers) {
-		filler.destroy();
+	for (const backlogSocket of backlogSockets) {
+		backlogSocket.destroy();
 	}
 
 	await worker.terminate();
--- a/test/json-server.test.ts
+++ b/test/json-server.test.ts
@@ -21,7 +21,7 @@
 	return {status: answer.status, body: await answer.json()};
 };
 
-test('a route takes its parts and its body', async () => {
+test('a handler gets the parameters of its route and the body', async () => {
 	const address = await start();
 	expect(await post(address, '/things/a%20b', '{"x":1}')).toEqual({status: 200, body: {id: 'a b', body: {x: 1}}});
 });
@@ -30,15 +30,15 @@
 	['too large', '/things/a', `"${'x'.repeat(200)}"`, 413],
 	['not JSON', '/things/a', '{"x":', 400],
 	['no such route', '/nothing', '{}', 404],
-])('%s is told as an error with its step', async (_name, path, body, status) => {
+])('%s: the response has an error message and a code', async (_name, path, body, status) => {
 	const address = await start();
 	const answer = await post(address, path, body);
 	expect(answer.status).toBe(status);
 	expect(answer.body).toMatchObject({error: expect.any(String) as string, code: expect.any(String) as string});
 });
 
-// A client announces a body and never sends it. It may hold the connection for the bound, and no longer.
-test('a sender that stalls loses its connection after the bound', async () => {
+// A client announces a body and does not send it to its end. Its connection must be closed after the time limit.
+test('the connection of a stalled sender is closed after the time limit', async () => {
 	const address = await start(100);
 	const [host, port] = address.split(':');
 	const socket = connect(Number(port), host);
--- a/test/metrics-page.test.ts
+++ b/test/metrics-page.test.ts
@@ -1,5 +1,5 @@
 /**
-The page of counters and durations, as a scraper reads it.
+The metrics page as a scraper reads it.
 */
 import {afterEach, expect, it} from 'vitest';
 import {createHttpClient} from '../src/utils/http-calls.ts';
@@ -21,27 +21,27 @@
 	await close(page.server);
 });
 
-it('shows what was counted before and after it was first read', async () => {
+it('shows values recorded before and after the first read', async () => {
 	page = createMetricsPage();
 	const address = await listen(page.server, '127.0.0.1:0');
 	page.count('start refused', 'no-room');
 	page.count('start refused', 'no-room');
 	page.observe('POST 200', 12);
-	let level = 3;
-	page.addGauge('chervilworks_partitions_owned', 'Partitions.', () => level);
+	let ownedPartitions = 3;
+	page.addGauge('chervilworks_partitions_owned', 'Partitions.', () => ownedPartitions);
 	const first = await scrape(address);
 	expect(first).toContain('chervilworks_events_total{event="start refused",reason="no-room"} 2');
 	expect(first).toContain('chervilworks_duration_seconds_bucket{le="0.03",kind="POST 200"} 1');
 	expect(first).toContain('chervilworks_partitions_owned 3');
 	page.count('start refused', 'no-room');
-	level = 0;
+	ownedPartitions = 0;
 	const second = await scrape(address);
 	expect(second).toContain('reason="no-room"} 3');
 	expect(second).toContain('chervilworks_partitions_owned 0');
 });
 
-/** Guards against durations that were dropped, or counted in another bucket, before the page was first read. */
-it('keeps each duration in its bucket until it is first read', async () => {
+/** Guards against durations that are dropped, or counted in a wrong bucket, if they are recorded before the first read. */
+it('counts each duration recorded before the first read in its bucket', async () => {
 	page = createMetricsPage();
 	const address = await listen(page.server, '127.0.0.1:0');
 	for (let index = 0; index < 8000; index++) {
--- a/test/peer-clock.test.ts
+++ b/test/peer-clock.test.ts
@@ -1,38 +1,38 @@
 /**
-The estimate of a peer's steady clock.
+Estimate of a peer's monotonic clock.
 */
 import * as fc from 'fast-check';
 import {expect, it} from 'vitest';
 import {PeerClock} from '../src/utils/peer-clock.ts';
 
-it('does not take an answer that was handled late for a peer whose clock is behind', () => {
+it('is not set back by a response that was handled late', () => {
 	const peer = new PeerClock();
 	peer.note(5000, {sentAtMs: 990, handledAtMs: 1000});
 	peer.note(5100, {sentAtMs: 1090, handledAtMs: 2400});
 	expect(peer.read(2400)).toBe(6400);
 });
 
-it('falls back at the next answer when the peer stood still', () => {
+it('is corrected at the next response after the peer stood still', () => {
 	const peer = new PeerClock();
 	peer.note(5000, {sentAtMs: 990, handledAtMs: 1000});
 	peer.note(5100, {sentAtMs: 4090, handledAtMs: 4100});
 	expect(peer.read(4100)).toBeLessThanOrEqual(5110);
 });
 
-it('never runs ahead of a clock that keeps going, whatever the delays', () => {
+it('is never ahead of a running clock, whatever the delays', () => {
 	fc.assert(fc.property(fc.array(fc.tuple(fc.nat(2000), fc.nat(2000), fc.nat(3000)), {minLength: 1}), exchanges => {
 		const peer = new PeerClock();
 		let nowMs = 0;
-		for (const [wayMs, lateMs, restMs] of exchanges) {
+		for (const [requestMs, lateMs, pauseMs] of exchanges) {
 			const sentAtMs = nowMs;
-			const readAtMs = sentAtMs + wayMs;
+			const readAtMs = sentAtMs + requestMs;
 			nowMs = readAtMs + lateMs;
 			peer.note(readAtMs + 700, {sentAtMs, handledAtMs: nowMs});
 			if (peer.read(nowMs) > nowMs + 700 || peer.read(nowMs) < nowMs + 700 - lateMs) {
 				return false;
 			}
 
-			nowMs += restMs;
+			nowMs += pauseMs;
 		}
 
 		return true;
--- a/test/process-load.test.ts
+++ b/test/process-load.test.ts
@@ -1,5 +1,5 @@
 /**
-A process that is late with everything, and one that stood still once.
+Overload detection in a process whose timers are always late, and in one that was frozen once.
 */
 import {
 	afterEach, beforeEach, expect, it,
@@ -44,10 +44,10 @@
 });
 
 /**
-Callers waited for seconds in front of an owner whose timers fired 0.1 to 0.4 s late; entries beside it had time. It tells
-the balancer that it is not ready, until it has kept up for a while.
+Guards against callers that wait for seconds for an owner whose timers fire 0.1 to 0.4 s late while other entries are not busy. An
+overloaded entry reports to the load balancer that it is not ready, until its timers have been on time for a while.
 */
-it('is overloaded while its timers are late, and until they were on time for a while', async () => {
+it('is overloaded while its timers are late, and until they have been on time for a while', async () => {
 	const load = start();
 	lateMs = 300;
 	await clock.advance(4000);
@@ -60,8 +60,8 @@
 	expect(events.filter(event => event !== 'timers late')).toEqual(['overloaded', 'keeps up']);
 });
 
-/** A host that was frozen for a second has nothing to shed once it is awake. */
-it('is not overloaded after it stood still once', async () => {
+/** After a freeze of one second a host is not behind with its work. */
+it('is not overloaded after a single freeze', async () => {
 	const load = start();
 	lateMs = 1000;
 	await clock.advance(1050);
--- a/test/turns.test.ts
+++ b/test/turns.test.ts
@@ -1,5 +1,5 @@
 /**
-Answers that come together, and who else wants the thread meanwhile.
+Handling of many responses that arrive at once, beside other work on the thread.
 */
 import {createServer, type ServerResponse} from 'node:http';
 import {afterEach, expect, it} from 'vitest';
@@ -7,22 +7,22 @@
 import {close, listen} from '../src/utils/http-server.ts';
 
 const peerCount = 30;
-/** As on the host of the story. */
+/** Time to handle one response, as on the host where the fault was seen. */
 const answerWorkMs = 12;
 
-const work = (durationMs: number): void => {
+const blockThread = (durationMs: number): void => {
 	const endMs = performance.now() + durationMs;
 	while (performance.now() < endMs) {
-		// Keeps the thread.
+		// Blocks the thread.
 	}
 };
 
-const held: ServerResponse[] = [];
+const heldResponses: ServerResponse[] = [];
 const server = createServer((_, response) => {
-	held.push(response);
-	if (held.length === peerCount) {
-		for (const each of held) {
-			each.end('{}');
+	heldResponses.push(response);
+	if (heldResponses.length === peerCount) {
+		for (const heldResponse of heldResponses) {
+			heldResponse.end('{}');
 		}
 	}
 });
@@ -34,32 +34,33 @@
 });
 
 /**
-Callers of the entry that owned got no answer before their deadline (46 of 66), though the entry's log shows answers within
-5 ms. Figures of its event loop: 4 turns a second with 23 events each, and just as many connections accepted as turns (7 and
-7, 12 and 12, 15 and 15 in two seconds). Each turn ran all that followed from the answers of fifteen agents. What waited in
-front was answered within two seconds, too late, once the entry had stopped owning.
+Guards against an owner that accepts new connections too slowly. 46 of 66 callers of an owner got no response before their deadline,
+although it answered each request within 5 ms. Its event loop made 4 turns a second with 23 events each and accepted one connection
+in each turn (7 turns and 7 connections, 12 and 12, 15 and 15 in two seconds), because each turn ran all work that followed from the
+responses of fifteen agents. Waiting connections were answered within two seconds, too late, after the entry had stopped being the
+owner.
 */
-it('handles answers of peers in turns of the event loop where each takes its time', async () => {
+it('handles each response of a peer in its own turn of the event loop if handling takes long', async () => {
 	const address = await listen(server, '127.0.0.1:0');
 	client = createHttpClient(peerCount);
 	let turn = 0;
-	let isOver = false;
-	const count = () => {
+	let isFinished = false;
+	const countTurn = () => {
 		turn++;
-		if (!isOver) {
-			setImmediate(count);
+		if (!isFinished) {
+			setImmediate(countTurn);
 		}
 	};
 
-	count();
+	countTurn();
 	const turns = await Promise.all(Array.from({length: peerCount}, async () => {
 		await client.call({
 			address, method: 'GET', path: '/', timeoutMs: 10_000, step: 'ask',
 		});
 		const ownTurn = turn;
-		work(answerWorkMs);
+		blockThread(answerWorkMs);
 		return ownTurn;
 	}));
-	isOver = true;
+	isFinished = true;
 	expect(new Set(turns).size).toBe(peerCount);
 });
