--- a/src/core/config-text.ts
+++ b/src/core/config-text.ts
@@ -55,7 +55,7 @@
 	},
 };
 
-/** Splits a comma-separated list and trims its items. */
+/** Splits a comma-separated list into trimmed items. */
 export const splitList = (value: string | undefined): string[] =>
 	(value ?? '').split(',').map(item => item.trim()).filter(Boolean);
 
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -74,7 +74,7 @@
 	for (const [section, keys] of Object.entries(settingsSchema)) {
 		lines.push(`[${section}]`);
 		for (const [key, spec] of Object.entries(keys as Record<string, AnySpec>)) {
-			lines.push(`; ${spec.doc}`, `; Allowed: ${describeAllowed(spec)}.`, `${key} = ${formatFallback(spec)}`, '');
+			lines.push(`; ${spec.doc}`, `; Allowed: ${describeAllowed(spec)}.`, `${key} = ${formatDefaultValue(spec)}`, '');
 		}
 	}
 
@@ -93,14 +93,14 @@
 	for (const [section, keys] of Object.entries(settingsSchema)) {
 		lines.push('', `## [${section}]`, '', '| key | default | allowed | meaning |', '| --- | --- | --- | --- |');
 		for (const [key, spec] of Object.entries(keys as Record<string, AnySpec>)) {
-			lines.push(`| \`${key}\` | ${formatFallback(spec) || 'none'} | ${describeAllowed(spec)} | ${spec.doc} |`);
+			lines.push(`| \`${key}\` | ${formatDefaultValue(spec) || 'none'} | ${describeAllowed(spec)} | ${spec.doc} |`);
 		}
 	}
 
 	return `${lines.join('\n')}\n`;
 };
 
-const formatFallback = ({fallback}: AnySpec): string => Array.isArray(fallback) ? fallback.join(', ') : String(fallback);
+const formatDefaultValue = ({fallback}: AnySpec): string => Array.isArray(fallback) ? fallback.join(', ') : String(fallback);
 
 /** Formats a mistake as one line. */
 export const formatMistake = (mistake: SettingsMistake): string => {
--- a/src/utils/fields.ts
+++ b/src/utils/fields.ts
@@ -3,7 +3,7 @@
 decoded, so that the result matches its type.
 
 Hand-written because loading `zod/mini` takes 0.09 s of processor time and 11 MB at each start of a process (medians of seven starts,
-two of four cores busy), and hosts have as little as 0.27 of a core.
+two of four cores busy), on hosts with 0.27 of a core.
 */
 import {type Buffer} from 'node:buffer';
 import {createError, ErrorCode} from '../core/errors.ts';
--- a/src/utils/process-load.ts
+++ b/src/utils/process-load.ts
@@ -26,10 +26,10 @@
 export class ProcessLoad {
 	readonly #clock: Clock;
 	readonly #note: (event: string, fields: Record<string, unknown>) => void;
-	/** Moving average of the share of time that the process waited. */
+	/** Moving average of the share of time that the process spent waiting. */
 	#lateShare = 0;
 	#isOverloaded = false;
-	#latestMs = 0;
+	#maxLateMs = 0;
 	#reportedAtMs: number;
 
 	constructor(clock: Clock, note: (event: string, fields: Record<string, unknown>) => void) {
@@ -66,12 +66,12 @@
 	}
 
 	#reportLateness(lateMs: number): void {
-		this.#latestMs = Math.max(this.#latestMs, lateMs);
+		this.#maxLateMs = Math.max(this.#maxLateMs, lateMs);
 		const nowMs = this.#clock.monotonicMs();
-		if (this.#latestMs >= reportedLatenessMs && nowMs - this.#reportedAtMs >= reportIntervalMs) {
-			this.#note('timers late', {latestMs: Math.round(this.#latestMs), lateShare: Number(this.#lateShare.toFixed(2))});
+		if (this.#maxLateMs >= reportedLatenessMs && nowMs - this.#reportedAtMs >= reportIntervalMs) {
+			this.#note('timers late', {latestMs: Math.round(this.#maxLateMs), lateShare: Number(this.#lateShare.toFixed(2))});
 			this.#reportedAtMs = nowMs;
-			this.#latestMs = 0;
+			this.#maxLateMs = 0;
 		}
 	}
 }
--- a/test/kernel.test.ts
+++ b/test/kernel.test.ts
@@ -59,7 +59,7 @@
 		expect(events).toEqual(['start log', 'stop config', 'stop log']);
 	});
 
-	// One service hangs at shutdown. The others must still be stopped.
+	// One service hangs at shutdown. The others must still be stopped within the time limit.
 	test('a service that does not stop times out, and the others are stopped', async () => {
 		const {events, clock, kernel, registerService} = setUpKernel();
 		registerService(ServiceName.Log, []);
--- a/test/process-load.test.ts
+++ b/test/process-load.test.ts
@@ -60,7 +60,7 @@
 	expect(events.filter(event => event !== 'timers late')).toEqual(['overloaded', 'keeps up']);
 });
 
-/** After a freeze of one second a host is not behind with its work. */
+/** A freeze of one second leaves no backlog of work, so the process must not be reported as overloaded. */
 it('is not overloaded after a single freeze', async () => {
 	const load = start();
 	lateMs = 1000;
