--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -3,6 +3,7 @@
 */
 import VError from 'verror';
 
+/** Codes of errors, as sent in responses. */
 export enum ErrorCode {
 	BadSettings = 'bad-settings',
 	BadInput = 'bad-input',
--- a/src/core/producer-writer.ts
+++ b/src/core/producer-writer.ts
@@ -23,6 +23,7 @@
 /** Handles events of a writer that the caller may log or count. */
 export type WriterNote = (event: 'refused' | 'unanswered' | 'sequence', detail: string) => void;
 
+/** Dependencies and options of a writer. */
 export type ProducerWriterOptions = {
 	store: StoreClient;
 	ref: PartitionRef;
--- a/src/utils/fields.ts
+++ b/src/utils/fields.ts
@@ -31,12 +31,12 @@
 		return this.#get(key, fallback, value => Number.isFinite(value), 'a number');
 	}
 
-	/** A finite number that is not negative. */
+	/** A finite number of at least 0. */
 	amount(key: string | number, fallback?: number): number {
 		return this.#get(key, fallback, value => Number.isFinite(value) && value >= 0, 'a number of at least 0');
 	}
 
-	/** An integer that is not negative. */
+	/** An integer of at least 0. */
 	count(key: string | number, fallback?: number): number {
 		return this.#get(key, fallback, value => Number.isSafeInteger(value) && value >= 0, 'an integer of at least 0');
 	}
