--- a/src/core/config-fold.ts
+++ b/src/core/config-fold.ts
@@ -14,7 +14,7 @@
 /** Verdicts kept, so that publishers of the last minutes can still look up theirs. */
 const maxKeptResults = 500;
 
-/** Configuration in force after all records up to and including `offset`. */
+/** Configuration in effect after all records up to and including `offset`. */
 export class ConfigFold {
 	#offset = -1;
 	// False after a gap in the records read, until a snapshot covers the gap.
@@ -140,7 +140,7 @@
 		};
 	}
 
-	/** Digest of sections and owners, to compare the configuration in force at two readers. */
+	/** Digest of sections and owners, to compare the configuration in effect at two readers. */
 	getDigest(): string {
 		const hash = createHash('sha256');
 		for (const name of [...this.#sections.keys()].toSorted(compareText)) {
--- a/src/core/config-publisher.ts
+++ b/src/core/config-publisher.ts
@@ -42,7 +42,7 @@
 	}
 };
 
-/** Gets the changes that turn the sections in force into the wanted ones. */
+/** Gets the changes that turn the sections in effect into the wanted ones. */
 export const getChanges = (fold: ConfigFold, wanted: ReadonlyMap<string, SectionValues>): Record<string, SectionChange> => {
 	const changes: Record<string, SectionChange> = {};
 	for (const [name, values] of wanted) {
@@ -92,7 +92,7 @@
 		await clock.sleep(retryPauseMs);
 	}
 
-	throw createError(ErrorCode.TimedOut, {step: 'publish config', detail: `no verdict received; change ${publish.id} may or may not be in force`, cause: lastError});
+	throw createError(ErrorCode.TimedOut, {step: 'publish config', detail: `no verdict received; change ${publish.id} may or may not be in effect`, cause: lastError});
 };
 
 const hasSameValues = (a: SectionValues | undefined, b: SectionValues): boolean => {
--- a/src/core/config-text.ts
+++ b/src/core/config-text.ts
@@ -59,7 +59,7 @@
 export const splitList = (value: string | undefined): string[] =>
 	(value ?? '').split(',').map(item => item.trim()).filter(Boolean);
 
-/** Parses the operators' text into sections. Each message in `mistakes` names its section and key. */
+/** Parses the operators' text into sections. Each message in `issues` names its section and key. */
 export const parseConfigText = (content: string): {sections: Map<string, SectionValues>; mistakes: string[]} => {
 	const sections = new Map<string, SectionValues>();
 	const mistakes: string[] = [];
@@ -131,7 +131,7 @@
 
 		const parsed = parseSectionName(section);
 		if (parsed) {
-			mistakes.push(...findKeyMistakes(section, parsed.kind, values), ...findDependencyMistakes(section, view));
+			mistakes.push(...findKeyIssues(section, parsed.kind, values), ...findDependencyIssues(section, view));
 		} else {
 			mistakes.push(`[${section}]: a section is named "service NAME" or "team NAME"`);
 		}
@@ -147,7 +147,7 @@
 const getDependencySections = (section: string, view: SectionView): string[] =>
 	splitList(view.get(section)?.dependsOn).map(dependency => getServiceSection(dependency));
 
-const findKeyMistakes = (section: string, kind: SectionKind, values: SectionValues): string[] => {
+const findKeyIssues = (section: string, kind: SectionKind, values: SectionValues): string[] => {
 	const mistakes: string[] = [];
 	const specs = keysByKind[kind];
 	for (const [key, value] of Object.entries(values)) {
@@ -162,7 +162,7 @@
 	return mistakes;
 };
 
-const findDependencyMistakes = (section: string, view: SectionView): string[] => {
+const findDependencyIssues = (section: string, view: SectionView): string[] => {
 	const missing = getDependencySections(section, view).filter(dependency => !view.get(dependency));
 	if (missing.length > 0) {
 		return missing.map(dependency => `[${section}] dependsOn: there is no section [${dependency}]`);
--- a/src/utils/call-stream-client.ts
+++ b/src/utils/call-stream-client.ts
@@ -43,14 +43,14 @@
 class PeerStream {
 	isClosed = false;
 	readonly #pending = new Map<number, Pending>();
-	readonly #yielder: Turns;
+	readonly #turnScheduler: Turns;
 	readonly #onClosed: () => void;
 	readonly #abortConnect: () => void;
 	#socket: Socket | undefined;
 	#lastNumber = 0;
 
-	constructor(address: string, yielder: Turns, onClosed: () => void) {
-		this.#yielder = yielder;
+	constructor(address: string, turnScheduler: Turns, onClosed: () => void) {
+		this.#turnScheduler = turnScheduler;
 		this.#onClosed = onClosed;
 		const request = sendRequest({
 			...parseAddress(address), path: callStreamPath, headers: {connection: 'Upgrade', upgrade: callStreamProtocol}, agent: false,
@@ -156,7 +156,7 @@
 		const {call: {address, step}, resolve, reject} = pending;
 		const answer = async () => {
 			// Handling a response may take long; yield first, so that other work on the thread gets a turn.
-			await this.#yielder.next();
+			await this.#turnScheduler.next();
 			try {
 				resolve({status: Number(word), json: JSON.parse(json) as unknown});
 			} catch (error) {
@@ -189,12 +189,12 @@
 }
 
 /** Creates the client; `http` is used for peers that do not support call streams. */
-export const createStreamClient = (http: HttpClient, yielder: Turns): StreamClient => {
+export const createStreamClient = (http: HttpClient, turnScheduler: Turns): StreamClient => {
 	const streams = new Map<string, PeerStream>();
 	const getStream = (address: string): PeerStream => {
 		let stream = streams.get(address);
 		if (!stream) {
-			const created = new PeerStream(address, yielder, () => {
+			const created = new PeerStream(address, turnScheduler, () => {
 				if (streams.get(address) === created) {
 					streams.delete(address);
 				}
--- a/src/utils/http-calls.ts
+++ b/src/utils/http-calls.ts
@@ -39,7 +39,7 @@
 };
 
 /** Creates the client, with at most `maxConnections` connections to each peer. */
-export const createHttpClient = (maxConnections: number, yielder = new Turns()): HttpClient => {
+export const createHttpClient = (maxConnections: number, turnScheduler = new Turns()): HttpClient => {
 	const agents = new Map<string, Agent>();
 	const getAgent = (address: string): Agent => {
 		let agent = agents.get(address);
@@ -143,7 +143,7 @@
 					isSettled = true;
 					cleanUp();
 					// Handling a response may take long; yield first, so that other work on the thread gets a turn.
-					void yielder.next().then(() => {
+					void turnScheduler.next().then(() => {
 						resolve({status: response.statusCode ?? 0, headers: response.headers, body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)});
 					});
 				}
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -12,14 +12,14 @@
 
 	test('a misspelt key, a value out of range and an unknown section are all reported, with the nearest name', () => {
 		const {mistakes} = checkSettings('[log]\ntimeoutMS = 5\nretentionMs = -1\n[enrty]\nx = 1\n', 'a.ini');
-		expect(mistakes.map(mistake => formatMistake(mistake))).toEqual([
+		expect(mistakes.map(issue => formatMistake(issue))).toEqual([
 			'a.ini: [log] timeoutMS = 5: no such key; did you mean timeoutMs?',
 			'a.ini: [enrty]: no such section; did you mean entry?',
 			expect.stringMatching(/a\.ini: \[log] retentionMs = -1: a whole number from 1000 to \d+/) as string,
 		]);
 	});
 
-	test('a key outside any section is a mistake', () => {
+	test('a key outside any section is reported', () => {
 		expect(checkSettings('id = 1\n', 'a.ini').mistakes).toHaveLength(1);
 	});
 
