--- a/src/requests/announcement-book.ts
+++ b/src/requests/announcement-book.ts
@@ -1,21 +1,21 @@
 /**
-Keeps the latest announcement of each host, in the order that incarnation, state and sequence give.
+Stores the latest announcement of each host; incarnation, state and sequence decide which one is newer.
 */
 import {type Clock} from '../types/clock.ts';
 import {HostState} from '../types/announcements.ts';
 
-/** What all announcements share. */
+/** Fields that all announcements have. */
 export type Announced = {
 	incarnation: number;
 	sequence: number;
 	state: HostState;
 };
 
-/** What taking an announcement changed. */
+/** What an announcement changed. */
 export enum Taken {
-	/** A newer announcement, or this one, is known. */
+	/** This announcement, or a newer one, is already known. */
 	Stale = 'stale',
-	/** Only newer: nothing that other entries need to hear. */
+	/** Newer, with no change that other entries need to know. */
 	Refreshed = 'refreshed',
 	/** New host, or new incarnation, state or content. */
 	Changed = 'changed',
@@ -24,10 +24,10 @@
 type Entry<A extends Announced> = {
 	announcement: A;
 	content: string;
-	/** Until when it counts as heard by this entry itself. */
-	heardUntilMs: number;
-	/** Last time that anything spoke for the host. */
-	namedAtMs: number;
+	/** End of the lease that this entry tracks. */
+	leaseUntilMs: number;
+	/** Last time at which an announcement of the host, or a set of another entry that contains it, was seen. */
+	lastSeenMs: number;
 };
 
 const stateRank: Record<HostState, number> = {
@@ -42,7 +42,7 @@
 		return next.incarnation > known.incarnation;
 	}
 
-	// Draining beats alive within an incarnation: a late re-announcement must not undo a drain.
+	// Within an incarnation, draining overrides alive: a delayed announcement must not undo a drain.
 	if (next.state !== known.state) {
 		return stateRank[next.state] > stateRank[known.state];
 	}
@@ -50,11 +50,11 @@
 	return next.sequence > known.sequence;
 };
 
-/** What of an announcement concerns other entries: all but what changes with each one. */
+/** Serializes what concerns other entries: all fields except those that change with each announcement. */
 const getContent = (announcement: Announced): string =>
 	JSON.stringify({...announcement, sequence: undefined, sponsorTerm: undefined});
 
-/** Announcements by host id. Later news of a host only ever replaces earlier news. */
+/** Announcements by host id. An announcement is only ever replaced by a newer one. */
 export class AnnouncementBook<A extends Announced> {
 	readonly #entries = new Map<string, Entry<A>>();
 	readonly #clock: Clock;
@@ -63,18 +63,18 @@
 		this.#clock = clock;
 	}
 
-	/** Takes an announcement that this entry heard from the host itself, or on its behalf; it counts for the lease. */
+	/** Applies an announcement that this entry received from the host, or on its behalf, and extends the host's lease. */
 	take(id: string, announcement: A, leaseMs: number): Taken {
-		const taken = this.merge(id, announcement);
-		if (taken !== Taken.Stale) {
+		const outcome = this.merge(id, announcement);
+		if (outcome !== Taken.Stale) {
 			const entry = this.#entries.get(id)!;
-			entry.heardUntilMs = Math.max(entry.heardUntilMs, this.#clock.monotonicMs() + leaseMs);
+			entry.leaseUntilMs = Math.max(entry.leaseUntilMs, this.#clock.monotonicMs() + leaseMs);
 		}
 
-		return taken;
+		return outcome;
 	}
 
-	/** Takes an announcement that another entry passed on: its order counts, its lease is the other entry's matter. */
+	/** Applies an announcement that another entry passed on, without a lease: the other entry tracks that. */
 	merge(id: string, announcement: A): Taken {
 		const known = this.#entries.get(id);
 		if (known && !isNewer(announcement, known.announcement)) {
@@ -86,20 +86,20 @@
 		this.#entries.set(id, {
 			announcement,
 			content,
-			heardUntilMs: known?.announcement.incarnation === announcement.incarnation ? known.heardUntilMs : Number.NEGATIVE_INFINITY,
-			namedAtMs: this.#clock.monotonicMs(),
+			leaseUntilMs: known?.announcement.incarnation === announcement.incarnation ? known.leaseUntilMs : Number.NEGATIVE_INFINITY,
+			lastSeenMs: this.#clock.monotonicMs(),
 		});
 		return isSame ? Taken.Refreshed : Taken.Changed;
 	}
 
-	/** Extends the lease of a host whose announcement reached another entry. */
+	/** Extends the lease of a host whose announcement was received by another entry. */
 	refresh(id: string, incarnation: number, leaseMs: number): boolean {
 		const entry = this.#entries.get(id);
 		if (entry?.announcement.incarnation !== incarnation) {
 			return false;
 		}
 
-		entry.heardUntilMs = Math.max(entry.heardUntilMs, this.#clock.monotonicMs() + leaseMs);
+		entry.leaseUntilMs = Math.max(entry.leaseUntilMs, this.#clock.monotonicMs() + leaseMs);
 		return true;
 	}
 
@@ -107,9 +107,9 @@
 		return this.#entries.get(id)?.announcement;
 	}
 
-	/** Tells whether this entry itself heard the host within its lease. */
+	/** Tells whether the host has a valid lease at this entry. */
 	isHeard(id: string): boolean {
-		return (this.#entries.get(id)?.heardUntilMs ?? Number.NEGATIVE_INFINITY) > this.#clock.monotonicMs();
+		return (this.#entries.get(id)?.leaseUntilMs ?? Number.NEGATIVE_INFINITY) > this.#clock.monotonicMs();
 	}
 
 	/** All hosts known. */
@@ -117,20 +117,20 @@
 		return [...this.#entries].map(([id, {announcement}]) => [id, announcement]);
 	}
 
-	/** Notes that something still speaks for the host. */
+	/** Records that the set of another entry still contains the host. */
 	noteNamed(id: string): void {
 		const entry = this.#entries.get(id);
 		if (entry) {
-			entry.namedAtMs = this.#clock.monotonicMs();
+			entry.lastSeenMs = this.#clock.monotonicMs();
 		}
 	}
 
-	/** Forgets hosts that nothing has spoken for since; the book stays as small as what is alive. */
+	/** Forgets hosts that were not seen and had no lease for so long, which bounds the size; returns their ids. */
 	forgetOlderThan(ageMs: number): string[] {
 		const oldestMs = this.#clock.monotonicMs() - ageMs;
 		const forgotten: string[] = [];
-		for (const [id, {namedAtMs, heardUntilMs}] of this.#entries) {
-			if (namedAtMs < oldestMs && heardUntilMs < oldestMs) {
+		for (const [id, {lastSeenMs, leaseUntilMs}] of this.#entries) {
+			if (lastSeenMs < oldestMs && leaseUntilMs < oldestMs) {
 				this.#entries.delete(id);
 				forgotten.push(id);
 			}
--- a/src/requests/claim-book.ts
+++ b/src/requests/claim-book.ts
@@ -1,5 +1,6 @@
 /**
-Claims of one entry: it may dispatch a request only after it has read its own claim as the first for that id.
+Claims of request ids by one entry. The entry may dispatch a request only after it has read its own claim back from the
+log as the first claim of that id.
 */
 import {type LogFollower} from '../core/log-reader.ts';
 import {type Settings} from '../core/settings-schema.ts';
@@ -20,17 +21,17 @@
 import {ClaimWriter} from './claim-writer.ts';
 import {DeadlineHeap} from './deadline-heap.ts';
 
-/** What a claim book works with. */
+/** Options of a claim registry. */
 export type ClaimBookOptions = {
 	log: PlatformLog;
 	clock: Clock;
 	random: Random;
 	entryId: string;
 	settings: Pick<Settings, 'claims' | 'log'>;
-	/** Least time between two appends, as it is now; by default that of the settings. */
+	/** Returns the current minimum time between two appends; by default `claims.appendEveryMs`. */
 	getPaceMs?(): number;
 	onAppend?(isSuccess: boolean, error?: unknown): void;
-	/** An end could not be kept until the log took it; the request stays listed as open. */
+	/** Called when an end or a release is dropped because the write buffer is full; the request stays listed as open. */
 	onEndDropped?(requestId: string): void;
 };
 
@@ -40,26 +41,26 @@
 	resolve(result: ClaimResult): void;
 };
 
-type OwnClaim = {
+type WonClaim = {
 	claimId: string;
 	wonAtMs: number;
 	wonAtWallMs: number;
 };
 
-const probeEveryMs = 250;
+const probeIntervalMs = 250;
 
-/** Claims request ids for one entry, and knows what all entries claimed. */
+/** Claims request ids for one entry and tracks the claims of all entries. */
 export class ClaimBook implements LogFollower {
 	readonly #options: ClaimBookOptions;
 	readonly #fold = new ClaimFold();
 	readonly #writer: ClaimWriter;
 	readonly #deadlines: DeadlineHeap<PendingClaim>;
 	readonly #pending = new Map<string, PendingClaim>();
-	/** Claims won and not yet ended, by request id. */
-	readonly #own = new Map<string, OwnClaim>();
-	/** Claim ids given back whose release was not read back yet. */
+	/** Claims that this entry won and has not finished, by request id. */
+	readonly #won = new Map<string, WonClaim>();
+	/** Ids of released claims whose release has not been read back from the log. */
 	readonly #releasing = new Set<string>();
-	#floorMs = Number.NEGATIVE_INFINITY;
+	#oldestIdMs = Number.NEGATIVE_INFINITY;
 	#isAfterGap = false;
 	#hasReadEnd = false;
 	#failingSinceMs: number | undefined;
@@ -74,9 +75,9 @@
 			random,
 			entryId,
 			getPaceMs: options.getPaceMs ?? (() => settings.claims.appendEveryMs),
-			isWanted: item => this.#isWanted(item),
+			isWanted: item => this.#shouldRetry(item),
 			onAppend: (isSuccess, error) => {
-				this.#noteLog(isSuccess);
+				this.#recordLogResult(isSuccess);
 				options.onAppend?.(isSuccess, error);
 			},
 		});
@@ -84,43 +85,43 @@
 			clock,
 			isWaiting: pending => this.#pending.has(pending.item.claimId),
 			onDue: pending => {
-				this.#giveUp(pending);
+				this.#abandon(pending);
 			},
 		});
 	}
 
-	/** Claims with no known end. */
+	/** Number of claims without a known end. */
 	get openCount(): number {
 		return this.#fold.openCount;
 	}
 
-	/** Whether the stream was read to its end once. */
+	/** Whether the stream has been read to its end at least once. */
 	get hasReadEnd(): boolean {
 		return this.#hasReadEnd;
 	}
 
-	/** Whether the log has failed for so long that a claim is not worth waiting for. */
+	/** Whether the log has failed for at least `claims.failFastAfterMs`; claims other than probes then fail at once. */
 	get isLogDown(): boolean {
 		const {clock, settings} = this.#options;
 		return this.#failingSinceMs !== undefined && clock.monotonicMs() - this.#failingSinceMs >= settings.claims.failFastAfterMs;
 	}
 
-	/** Ids that may be claimed now. */
+	/** Creation times of the ids that may be claimed now. */
 	get window(): IdWindow {
 		const {clock, settings} = this.#options;
 		const nowMs = clock.now().getTime();
 		return {
-			oldestMs: Math.max(this.#floorMs, nowMs - getIdLifetimeMs(settings)),
+			oldestMs: Math.max(this.#oldestIdMs, nowMs - getIdLifetimeMs(settings)),
 			newestMs: nowMs + settings.claims.maxClockErrorMs,
 		};
 	}
 
-	/** Tells why the id may not be claimed, or undefined when it may. */
+	/** Returns why the id may not be claimed, or undefined if it may. */
 	judge(requestId: string): RefusalReason | undefined {
 		return judgeRequestId(requestId, this.window);
 	}
 
-	/** Claims the id. Only after `isWon` may the request be dispatched, once, by this entry. */
+	/** Claims the id. Only if the result has `isWon` may this entry dispatch the request, once. */
 	async claim(requestId: string, service: string, timeoutMs: number): Promise<ClaimResult> {
 		const id = requestId.toLowerCase();
 		const known = this.#fold.get(id);
@@ -149,39 +150,39 @@
 	}
 
 	/**
-	Tells whether a claim that was won may still be dispatched; to be asked right before the first byte.
-	Guards against an entry that was paused after it won: operators may meanwhile have settled the request by hand.
-	Both clocks are read, because one of them stands still while a machine is suspended.
+	Tells whether the request of a won claim may still be dispatched; to be called right before the first byte is sent.
+	Guards against an entry that was paused after it won: operators may meanwhile have resolved the request by hand.
+	Both clocks are read, because one of them stops while a machine is suspended.
 	*/
 	isDispatchable(requestId: string): boolean {
-		const own = this.#own.get(requestId.toLowerCase());
-		if (!own) {
+		const won = this.#won.get(requestId.toLowerCase());
+		if (!won) {
 			return false;
 		}
 
 		const {clock, settings} = this.#options;
-		const ageMs = Math.max(clock.monotonicMs() - own.wonAtMs, clock.now().getTime() - own.wonAtWallMs);
+		const ageMs = Math.max(clock.monotonicMs() - won.wonAtMs, clock.now().getTime() - won.wonAtWallMs);
 		return ageMs <= getMarginMs(settings);
 	}
 
-	/** Records the end of a claim that this entry won. */
+	/** Records how the request of a claim that this entry won ended. */
 	finish(requestId: string, end: ClaimEnd): void {
 		const id = requestId.toLowerCase();
-		const own = this.#own.get(id);
-		if (!own) {
+		const won = this.#won.get(id);
+		if (!won) {
 			return;
 		}
 
-		this.#own.delete(id);
+		this.#won.delete(id);
 		if (end.state === ClaimState.NotRun) {
-			this.#release(id, own.claimId);
+			this.#release(id, won.claimId);
 			return;
 		}
 
 		this.#writeEnd({
 			type: ClaimItemType.End,
 			requestId: id,
-			claimId: own.claimId,
+			claimId: won.claimId,
 			state: end.state === ClaimState.Done ? ClaimState.Done : ClaimState.Unknown,
 			status: end.status,
 			body: end.body,
@@ -209,15 +210,15 @@
 		};
 	}
 
-	/** Writes claims and ends until the signal aborts. */
+	/** Writes claims, releases and ends until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		await this.#writer.run(signal);
 	}
 
-	/** Gives up what is pending, and writes what is not yet written. */
+	/** Abandons the pending claims and writes all items that are not written yet. */
 	async stop(): Promise<void> {
 		for (const pending of this.#pending.values()) {
-			this.#giveUp(pending);
+			this.#abandon(pending);
 		}
 
 		this.#deadlines.stop();
@@ -228,7 +229,7 @@
 		const record = parseClaimRecord(value);
 		if (this.#isAfterGap) {
 			this.#isAfterGap = false;
-			this.#raiseFloor(record.writtenAtMs + this.#options.settings.claims.maxClockErrorMs);
+			this.#raiseOldestId(record.writtenAtMs + this.#options.settings.claims.maxClockErrorMs);
 		}
 
 		this.#fold.apply(record, (item, known) => {
@@ -237,19 +238,20 @@
 	}
 
 	/**
-	Records before the oldest are gone. Guards against a log that kept less than the settings say: an id made before the
-	oldest record that is left may have been claimed in one that is gone, and would run again.
+	Records expired from the log before they were read. Guards against a log that retains records for less than
+	`log.retentionMs`: an id created before the oldest remaining record may have been claimed in an expired one, and its
+	request would run again.
 	*/
 	onGap(): void {
 		this.#isAfterGap = true;
 	}
 
 	onPage({records, oldestOffset, endOffset}: LogPage): void {
-		this.#noteLog(true);
+		this.#recordLogResult(true);
 		const lastOffset = records.at(-1)?.offset;
 		this.#hasReadEnd ||= lastOffset === undefined || lastOffset + 1 >= endOffset;
 		if (lastOffset === undefined && oldestOffset >= endOffset) {
-			// With nothing left to read there is no oldest record to judge by: the retention of the settings is relied on.
+			// The log is empty, so there is no oldest record to derive a time from: the configured retention is relied on.
 			this.#isAfterGap = false;
 		}
 
@@ -257,19 +259,19 @@
 	}
 
 	onUnavailable(): void {
-		this.#noteLog(false);
+		this.#recordLogResult(false);
 	}
 
 	#dropOld(): void {
 		const {clock, settings} = this.#options;
 		const nowMs = clock.now().getTime();
-		// What was forgotten must not be claimed again, also when the wall clock is set back.
-		this.#raiseFloor(this.#fold.dropBefore(this.window.oldestMs, nowMs - settings.log.retentionMs));
-		this.#raiseFloor(this.#fold.shrinkTo(settings.claims.maxKnown));
+		// Forgotten ids must not become claimable again, even if the wall clock is set back.
+		this.#raiseOldestId(this.#fold.dropBefore(this.window.oldestMs, nowMs - settings.log.retentionMs));
+		this.#raiseOldestId(this.#fold.shrinkTo(settings.claims.maxKnown));
 	}
 
-	#raiseFloor(floorMs: number | undefined): void {
-		this.#floorMs = Math.max(this.#floorMs, floorMs ?? this.#floorMs);
+	#raiseOldestId(oldestIdMs: number | undefined): void {
+		this.#oldestIdMs = Math.max(this.#oldestIdMs, oldestIdMs ?? this.#oldestIdMs);
 	}
 
 	#isWorthTrying(): boolean {
@@ -282,9 +284,9 @@
 			return true;
 		}
 
-		// One claim now and then finds out whether the log takes appends again.
+		// One claim in each probe interval tests whether the log accepts appends again.
 		const nowMs = clock.monotonicMs();
-		if (nowMs - this.#probedAtMs < probeEveryMs) {
+		if (nowMs - this.#probedAtMs < probeIntervalMs) {
 			return false;
 		}
 
@@ -300,11 +302,11 @@
 
 		const pending = item.type === ClaimItemType.Claim ? this.#pending.get(item.claimId) : undefined;
 		if (pending && known) {
-			this.#settle(pending, known);
+			this.#resolvePending(pending, known);
 		}
 	}
 
-	#settle(pending: PendingClaim, known: KnownClaim): void {
+	#resolvePending(pending: PendingClaim, known: KnownClaim): void {
 		const {item, deadlineMs, resolve} = pending;
 		const {clock} = this.#options;
 		if (known.claimId !== item.claimId) {
@@ -314,21 +316,21 @@
 			return;
 		}
 
-		// A paused entry may read its claim long after the caller was due an answer; the timer has not fired yet.
-		// An id that has grown too old since may be forgotten here: the claim that looks first need not be.
+		// An entry that was paused may read its claim long after the deadline, before the deadline timer fires.
+		// An id that has become too old since may have been forgotten here, with an earlier claim of it.
 		if (clock.monotonicMs() > deadlineMs || this.judge(item.requestId) !== undefined) {
-			this.#giveUp(pending);
+			this.#abandon(pending);
 			return;
 		}
 
 		this.#pending.delete(item.claimId);
 		this.#writer.remove(item);
-		this.#own.set(item.requestId, {claimId: item.claimId, wonAtMs: clock.monotonicMs(), wonAtWallMs: clock.now().getTime()});
+		this.#won.set(item.requestId, {claimId: item.claimId, wonAtMs: clock.monotonicMs(), wonAtWallMs: clock.now().getTime()});
 		resolve({isWon: true});
 	}
 
-	/** From here on the claim can never be dispatched by this entry; no other entry dispatches by it. */
-	#giveUp({item, resolve}: PendingClaim): void {
+	/** Abandons a claim: this entry can no longer dispatch the request, and no other entry dispatches by this claim. */
+	#abandon({item, resolve}: PendingClaim): void {
 		this.#pending.delete(item.claimId);
 		if (!this.#writer.remove(item)) {
 			this.#release(item.requestId, item.claimId);
@@ -357,16 +359,16 @@
 			return;
 		}
 
-		// While the log is down for long, ends wait in bounded memory; bodies go first.
+		// While the log is down for long, ends wait in a bounded buffer; bodies are dropped first.
 		const isCrowded = this.#writer.size >= maxPending;
 		this.#writer.add(isCrowded ? {...end, body: undefined, contentType: undefined} : end);
 	}
 
-	#isWanted(item: ClaimItem): boolean {
+	#shouldRetry(item: ClaimItem): boolean {
 		return item.type === ClaimItemType.Claim ? this.#pending.has(item.claimId) : true;
 	}
 
-	#noteLog(isSuccess: boolean): void {
+	#recordLogResult(isSuccess: boolean): void {
 		if (isSuccess) {
 			this.#failingSinceMs = undefined;
 		} else {
--- a/src/requests/claim-fold.ts
+++ b/src/requests/claim-fold.ts
@@ -1,5 +1,5 @@
 /**
-Fold of the claims stream: who holds each request id. Every reader of the same records comes to the same answer.
+Fold of the claims stream: which claim holds each request id. All readers of the same records derive the same state.
 */
 import {ClaimState, type ClaimStatus} from '../types/services.ts';
 import {getRequestIdTimeMs} from '../utils/request-id.ts';
@@ -7,7 +7,7 @@
 	ClaimItemType, type ClaimItem, type ClaimRecord, type EndItem,
 } from './claim-records.ts';
 
-/** What is known of one request id. */
+/** The state of one request id. */
 export type KnownClaim = {
 	requestId: string;
 	claimId: string;
@@ -18,19 +18,19 @@
 	status?: number;
 	body?: string;
 	contentType?: string;
-	/** Claims given back; a late copy of one must not win. */
+	/** Ids of released claims; a delayed duplicate of one must not win. */
 	releasedIds?: string[];
 };
 
 const bucketMs = 60_000;
-/** A claim given back and forgotten again could at worst hold the id; it could not be dispatched. */
+/** A delayed duplicate of a released claim that is no longer listed could at worst hold the id; it could not be dispatched. */
 const maxReleasedIds = 16;
 const maxOpen = 10_000;
 
-/** Claims by request id, in buckets by the time that the ids carry. */
+/** Claims by request id, in buckets by the creation time that the ids contain. */
 export class ClaimFold {
 	readonly #buckets = new Map<number, Map<string, KnownClaim>>();
-	/** Claims with no known end; kept longer than the rest, so that none is lost silently. */
+	/** Claims without a known end; retained longer than the rest, so that none is lost silently. */
 	readonly #open = new Map<string, KnownClaim>();
 	#size = 0;
 
@@ -38,7 +38,7 @@
 		return this.#size;
 	}
 
-	/** Claims with no known end. */
+	/** Number of claims without a known end. */
 	get openCount(): number {
 		return this.#open.size;
 	}
@@ -47,12 +47,12 @@
 		return this.#buckets.get(getBucket(requestId))?.get(requestId) ?? this.#open.get(requestId);
 	}
 
-	/** Claims with no known end, oldest first. */
+	/** Claims without a known end, oldest first. */
 	listOpen(): KnownClaim[] {
 		return [...this.#open.values()].toSorted((a, b) => a.claimedAtMs - b.claimedAtMs);
 	}
 
-	/** Takes one record; `onItem` is told of each item after it took effect. */
+	/** Applies one record; calls `onItem` after each item with the resulting state of its request id. */
 	apply(record: ClaimRecord, onItem?: (item: ClaimItem, known: KnownClaim | undefined) => void): void {
 		for (const item of record.items) {
 			this.#applyItem(item, record);
@@ -60,10 +60,10 @@
 		}
 	}
 
-	/** Takes the end of a claim before it is read back; it cannot change who holds the id. */
+	/** Applies the end of a claim, also before it is read back from the log; it cannot change which claim holds the id. */
 	applyEnd(end: EndItem): void {
 		const known = this.get(end.requestId);
-		// A late answer may still turn unknown into done; done is final.
+		// A late response may change unknown to done; done and not-run are final.
 		if (known?.claimId !== end.claimId || known.state === ClaimState.Done || known.state === ClaimState.NotRun) {
 			return;
 		}
@@ -77,7 +77,7 @@
 		}
 	}
 
-	/** Forgets ids made before the time; open claims are kept until `openOldestMs`. Gives the time as `shrinkTo` does. */
+	/** Forgets ids created before `oldestMs`, and open claims made before `openOldestMs`. Returns a time as `shrinkTo` does. */
 	dropBefore(oldestMs: number, openOldestMs: number): number | undefined {
 		for (const [requestId, {claimedAtMs}] of this.#open) {
 			if (claimedAtMs >= openOldestMs && this.#open.size <= maxOpen) {
@@ -90,7 +90,7 @@
 		return this.#dropBuckets(bucket => (bucket + 1) * bucketMs <= oldestMs);
 	}
 
-	/** Forgets the oldest ids until at most so many are left; gives the time before which ids are forgotten, if any was. */
+	/** Forgets the oldest ids until at most `maxSize` are left. Returns the time before which all ids are forgotten, if any was. */
 	shrinkTo(maxSize: number): number | undefined {
 		return this.#size <= maxSize ? undefined : this.#dropBuckets(() => this.#size > maxSize && this.#buckets.size > 1);
 	}
@@ -131,7 +131,7 @@
 
 	#applyClaim({requestId, claimId, service}: Extract<ClaimItem, {type: ClaimItemType.Claim}>, {entryId, writtenAtMs}: ClaimRecord): void {
 		const known = this.get(requestId);
-		// First in the log wins. An id given back may be claimed again, but never by a late copy of the claim given back.
+		// The first claim in the log wins. A released id may be claimed again, but not by a delayed duplicate of a released claim.
 		if (known && (known.state !== ClaimState.NotRun || known.releasedIds?.includes(claimId))) {
 			return;
 		}
@@ -146,7 +146,7 @@
 	#applyRelease({requestId, claimId}: Extract<ClaimItem, {type: ClaimItemType.Release}>, {entryId, writtenAtMs}: ClaimRecord): void {
 		let known = this.get(requestId);
 		if (!known) {
-			// The claim may still arrive: its append was given up on, and can take effect later.
+			// The claim may still arrive: its append was abandoned, and can take effect later.
 			known = {
 				requestId, claimId, service: '', entryId, claimedAtMs: writtenAtMs, state: ClaimState.NotRun,
 			};
@@ -174,7 +174,7 @@
 	}
 }
 
-/** Gives a known claim the form that callers and operators see. */
+/** Converts a known claim to the form that callers and operators see. */
 export const toStatus = ({requestId, service, state, entryId, claimedAtMs, status, body, contentType}: KnownClaim): ClaimStatus => ({
 	requestId, service, state, entryId, claimedAt: new Date(claimedAtMs).toISOString(), status, body, contentType,
 });
--- a/src/requests/claim-id.ts
+++ b/src/requests/claim-id.ts
@@ -1,35 +1,36 @@
 /**
-Which request ids may be claimed: those whose every earlier claim the log still keeps.
+Decides which request ids may be claimed: those of which the log still contains every earlier claim.
 */
 import {type Settings} from '../core/settings-schema.ts';
 import {RefusalReason} from '../types/requests.ts';
 import {getRequestIdTimeMs} from '../utils/request-id.ts';
 
-/** Times that bound the ids taken. */
+/** Range of the creation times of ids that may be claimed. */
 export type IdWindow = {
-	/** Ids made before it are refused. */
+	/** Ids created before it are refused. */
 	oldestMs: number;
-	/** Ids made after it are refused. */
+	/** Ids created after it are refused. */
 	newestMs: number;
 };
 
-/** Gets how old an id may be: never so old that a claim of it may have lapsed, less the margin. */
+/** Gets the maximum age of an id: at most the retention of the log less the margin, so that no claim of it has expired. */
 export const getIdLifetimeMs = ({claims, log}: Pick<Settings, 'claims' | 'log'>): number =>
 	Math.max(0, Math.min(claims.idLifetimeMs, log.retentionMs - getMarginMs({claims, log})));
 
-/** Gets the part of the retention that is not relied on; a short retention keeps half of itself. */
+/** Gets the part of the retention that is not relied on: the configured margin, at most half of the retention. */
 export const getMarginMs = ({claims, log}: Pick<Settings, 'claims' | 'log'>): number =>
 	Math.min(claims.marginMs, log.retentionMs / 2);
 
 /**
-Tells why the id may not be claimed, or undefined when it may.
-An id that outlives its claim in the log would be run again: an old one at once, one from the future later on.
+Returns why the id may not be claimed, or undefined if it may.
+A request would run again if its id were still accepted after its claim has expired from the log. That may be so now for
+an id that is too old, and later for an id from the future.
 */
 export const judgeRequestId = (requestId: string, {oldestMs, newestMs}: IdWindow): RefusalReason | undefined => {
-	const madeAtMs = getRequestIdTimeMs(requestId);
-	if (madeAtMs === undefined || madeAtMs > newestMs) {
+	const createdAtMs = getRequestIdTimeMs(requestId);
+	if (createdAtMs === undefined || createdAtMs > newestMs) {
 		return RefusalReason.BadRequestId;
 	}
 
-	return madeAtMs < oldestMs ? RefusalReason.RequestIdExpired : undefined;
+	return createdAtMs < oldestMs ? RefusalReason.RequestIdExpired : undefined;
 };
--- a/src/requests/claim-records.ts
+++ b/src/requests/claim-records.ts
@@ -1,5 +1,5 @@
 /**
-Records of the claims stream: what entries say of the non-idempotent requests that they want to run, or ran.
+Records of the claims stream: claims, releases and ends of non-idempotent requests, written by the entries.
 */
 import {z} from 'zod';
 import {ClaimState} from '../types/services.ts';
@@ -37,12 +37,12 @@
 	items: z.array(itemSchema),
 });
 
-/** One item. A claim id is made once and never used again, so a repeated item changes nothing. */
+/** One item. Claim ids are unique, so a repeated item changes nothing. */
 export type ClaimItem = z.infer<typeof itemSchema>;
 /** The end of a claimed request. */
 export type EndItem = Extract<ClaimItem, {type: ClaimItemType.End}>;
 /** A batch of items of one entry. */
 export type ClaimRecord = z.infer<typeof recordSchema>;
 
-/** Checks a record read back. */
+/** Checks a record that was read from the log. */
 export const parseClaimRecord = createParser('read claim record', recordSchema);
--- a/src/requests/claim-start.ts
+++ b/src/requests/claim-start.ts
@@ -1,5 +1,6 @@
 /**
-Finds where a starting reader of claims may begin: at the first record that can still concern an id that is taken.
+Finds the offset at which a starting reader of claims may begin: the first record that can concern an id that is still
+accepted.
 */
 import {type Settings} from '../core/settings-schema.ts';
 import {type Clock} from '../types/clock.ts';
@@ -8,7 +9,7 @@
 import {getIdLifetimeMs, getMarginMs} from './claim-id.ts';
 import {parseClaimRecord} from './claim-records.ts';
 
-/** What the search works with. */
+/** Options of the search. */
 export type StartOptions = {
 	log: PlatformLog;
 	clock: Clock;
@@ -17,11 +18,11 @@
 	signal: AbortSignal;
 };
 
-/** A stretch this short is read rather than searched. */
-const shortStretch = 2000;
+/** A range of at most so many offsets is read instead of searched. */
+const maxScannedOffsets = 2000;
 const retryMs = 200;
 
-/** Finds the offset to begin at; tries until the log answers or the signal aborts. */
+/** Finds the offset to begin at; retries until the log answers or the signal aborts. */
 export const findStartOffset = async (options: StartOptions): Promise<number> => {
 	const {clock, random, signal} = options;
 	while (!signal.aborted) {
@@ -35,7 +36,7 @@
 	return 0;
 };
 
-/** Records are written in nearly the order of their times; the margin covers clock errors and late appends. */
+/** Binary search by write time. Records are nearly in that order; the margin covers clock errors and late appends. */
 const search = async ({log, clock, settings, signal}: StartOptions): Promise<number> => {
 	const oldestMs = clock.now().getTime() - getIdLifetimeMs(settings) - getMarginMs(settings);
 	const first = await log.read(Stream.Claims, 0, {limit: 1, signal});
@@ -45,7 +46,7 @@
 		return 0;
 	}
 
-	while (high - low > shortStretch) {
+	while (high - low > maxScannedOffsets) {
 		const middle = Math.floor((low + high) / 2);
 		const page = await log.read(Stream.Claims, middle, {limit: 1, signal});
 		if (isRecent(page.records[0], oldestMs)) {
@@ -62,7 +63,7 @@
 	try {
 		return record === undefined || parseClaimRecord(record.value).writtenAtMs >= oldestMs;
 	} catch {
-		// A record that cannot be read tells nothing: begin before it.
+		// The write time of an invalid record is unknown: begin before it.
 		return true;
 	}
 };
--- a/src/requests/claim-writer.ts
+++ b/src/requests/claim-writer.ts
@@ -1,20 +1,20 @@
 /**
-Appends items of claims in batches: one append in flight, and a bounded number of appends a second.
+Appends claim items to the log in batches, with one append in flight and a bounded number of appends per second.
 */
 import {type Clock} from '../types/clock.ts';
 import {Stream, type PlatformLog} from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
 import {type ClaimItem, type ClaimRecord} from './claim-records.ts';
 
-/** What the writer works with. */
+/** Options of a claim writer. */
 export type ClaimWriterOptions = {
 	log: PlatformLog;
 	clock: Clock;
 	random: Random;
 	entryId: string;
-	/** Least time between the starts of two appends, as it is now. */
+	/** Returns the current minimum time between the starts of two appends. */
 	getPaceMs(): number;
-	/** Tells whether an item whose append failed is still worth another. */
+	/** Tells whether an item whose append failed is to be appended again. */
 	isWanted(item: ClaimItem): boolean;
 	onAppend?(isSuccess: boolean, error?: unknown): void;
 };
@@ -25,12 +25,12 @@
 const minPauseMs = 20;
 const maxPauseMs = 1000;
 
-/** Writes items of one entry in the order in which they were added. */
+/** Writes the items of one entry in the order in which they were added. */
 export class ClaimWriter {
 	readonly #options: ClaimWriterOptions;
-	/** Waiting items; false until the first append that may have carried the item. */
-	readonly #waiting = new Map<ClaimItem, boolean>();
-	/** Items in the append in flight. */
+	/** Items to be appended; the value is true once a failed append may have written the item. */
+	readonly #queued = new Map<ClaimItem, boolean>();
+	/** Number of items in the append in flight. */
 	#inFlight = 0;
 	#wake: (() => void) | undefined;
 	#lastAppendMs = Number.NEGATIVE_INFINITY;
@@ -39,20 +39,20 @@
 		this.#options = options;
 	}
 
-	/** Items not yet confirmed. */
+	/** Number of items whose append is not confirmed. */
 	get size(): number {
-		return this.#waiting.size + this.#inFlight;
+		return this.#queued.size + this.#inFlight;
 	}
 
 	add(item: ClaimItem): void {
-		this.#waiting.set(item, false);
+		this.#queued.set(item, false);
 		this.#wake?.();
 	}
 
-	/** Takes an item back; false when an append may already have carried it. */
+	/** Removes an item; returns false if an append may already have written it. */
 	remove(item: ClaimItem): boolean {
-		const wasTried = this.#waiting.get(item);
-		this.#waiting.delete(item);
+		const wasTried = this.#queued.get(item);
+		this.#queued.delete(item);
 		return wasTried === false;
 	}
 
@@ -63,8 +63,8 @@
 		while (!signal.aborted) {
 			await this.#waitForItem(signal);
 			await clock.sleep(this.#lastAppendMs + getPaceMs() - clock.monotonicMs(), signal);
-			// During the pause the items may have been taken back.
-			if (signal.aborted || this.#waiting.size === 0) {
+			// The items may have been removed during the pause.
+			if (signal.aborted || this.#queued.size === 0) {
 				continue;
 			}
 
@@ -80,16 +80,16 @@
 		}
 	}
 
-	/** Appends what waits, once; for the shutdown, after `run` has ended: what its last append may have lost waits again. */
+	/** Appends all queued items, including those of a failed last append; for the shutdown, after `run` has ended. */
 	async flush(signal?: AbortSignal): Promise<void> {
-		while (this.#waiting.size > 0) {
+		while (this.#queued.size > 0) {
 			await this.#appendBatch(signal);
 		}
 	}
 
 	async #appendBatch(signal?: AbortSignal): Promise<void> {
 		const {log, clock, random, entryId, isWanted} = this.#options;
-		const batch = this.#takeBatch();
+		const batch = this.#dequeueBatch();
 		this.#lastAppendMs = clock.monotonicMs();
 		const record: ClaimRecord = {
 			id: random.id(), entryId, writtenAtMs: clock.now().getTime(), items: batch,
@@ -98,12 +98,12 @@
 		try {
 			await log.append(Stream.Claims, record, signal);
 		} catch (error) {
-			// The append may have taken effect. Items are idempotent by their claim ids, so all are appended again.
-			const again = batch.filter(item => isWanted(item)).map(item => [item, true] as const);
-			const later = [...this.#waiting];
-			this.#waiting.clear();
-			for (const [item, wasTried] of [...again, ...later]) {
-				this.#waiting.set(item, wasTried);
+			// The append may have taken effect. Items are idempotent by their claim ids, so those still needed are appended again.
+			const retried = batch.filter(item => isWanted(item)).map(item => [item, true] as const);
+			const later = [...this.#queued];
+			this.#queued.clear();
+			for (const [item, wasTried] of [...retried, ...later]) {
+				this.#queued.set(item, wasTried);
 			}
 
 			throw error;
@@ -112,24 +112,24 @@
 		}
 	}
 
-	#takeBatch(): ClaimItem[] {
+	#dequeueBatch(): ClaimItem[] {
 		const batch: ClaimItem[] = [];
 		let bytes = 0;
-		for (const item of this.#waiting.keys()) {
+		for (const item of this.#queued.keys()) {
 			bytes += itemBytes + ('body' in item ? item.body?.length ?? 0 : 0);
 			if (batch.length > 0 && (batch.length >= maxBatchItems || bytes > maxBatchBytes)) {
 				break;
 			}
 
 			batch.push(item);
-			this.#waiting.delete(item);
+			this.#queued.delete(item);
 		}
 
 		return batch;
 	}
 
 	async #waitForItem(signal: AbortSignal): Promise<void> {
-		if (this.#waiting.size > 0 || signal.aborted) {
+		if (this.#queued.size > 0 || signal.aborted) {
 			return;
 		}
 
--- a/src/requests/flap-damper.ts
+++ b/src/requests/flap-damper.ts
@@ -1,5 +1,5 @@
 /**
-Holds down hosts that come and go: each flap adds a penalty that decays with a half-life.
+Holds down hosts that fail and return repeatedly: each flap adds a penalty that decays with a half-life.
 */
 import {type Clock} from '../types/clock.ts';
 
@@ -7,7 +7,7 @@
 export type FlapPolicy = {
 	/** Penalty from which a host is held down; one flap adds one. */
 	holdAt: number;
-	/** Penalty below which it is let back. */
+	/** Penalty below which it is released. */
 	releaseAt: number;
 	halfLifeMs: number;
 };
@@ -16,14 +16,14 @@
 	penalty: number;
 	atMs: number;
 	isHeld: boolean;
-	/** Let back, and not yet trusted: a flap now counts double. */
+	/** Released after a hold-down, with a penalty left: a flap now counts double. */
 	isProbing: boolean;
 };
 
 const maxPenaltyFactor = 4;
-const forgottenPenalty = 0.1;
+const negligiblePenalty = 0.1;
 
-/** Scores the flaps of hosts. */
+/** Tracks the flap penalties of hosts. */
 export class FlapDamper {
 	readonly #scores = new Map<string, Score>();
 	readonly #clock: Clock;
@@ -34,13 +34,13 @@
 		this.#policy = policy;
 	}
 
-	/** Counts an end that was not announced. */
+	/** Counts a failure that the host did not announce. */
 	noteFlap(id: string): void {
 		const score = this.#getDecayed(id) ?? {
 			penalty: 0, atMs: this.#clock.monotonicMs(), isHeld: false, isProbing: false,
 		};
 		const {holdAt} = this.#policy;
-		// Bounded: a host that flapped all night is let back in the morning within a few half-lives.
+		// Bounded, so that a host that flapped for a long time is released within a few half-lives after it becomes stable.
 		score.penalty = Math.min(score.penalty + (score.isProbing ? 2 : 1), holdAt * maxPenaltyFactor);
 		score.isHeld ||= score.penalty >= holdAt;
 		this.#scores.set(id, score);
@@ -51,7 +51,7 @@
 		return this.#scores.size > 0 && (this.#getDecayed(id)?.isHeld ?? false);
 	}
 
-	/** How many hosts are held down. */
+	/** Counts the hosts that are held down. */
 	countHeld(): number {
 		return [...this.#scores.keys()].filter(id => this.isHeldDown(id)).length;
 	}
@@ -70,7 +70,7 @@
 			score.isProbing = true;
 		}
 
-		if (score.penalty < forgottenPenalty) {
+		if (score.penalty < negligiblePenalty) {
 			this.#scores.delete(id);
 			return undefined;
 		}
--- a/src/requests/headers-contract.ts
+++ b/src/requests/headers-contract.ts
@@ -1,11 +1,11 @@
 /**
-What a caller's request asks for, read from its line and headers.
+Reads what a caller asks for from the line and the headers of a request.
 */
 import {type IncomingMessage} from 'node:http';
 import {type Settings} from '../core/settings-schema.ts';
 import {Header, RefusalReason, RequestClass} from '../types/requests.ts';
 
-/** A request as the contract sees it. */
+/** Attributes of a caller's request. */
 export type RequestFacts = {
 	method: string;
 	path: string;
@@ -13,25 +13,25 @@
 	requestClass: RequestClass;
 	callerId: string;
 	deadlineMs: number;
-	/** May be tried again although it may have run. */
+	/** May be retried even if it may have run. */
 	isIdempotent: boolean;
 	/** Id to claim before the request runs; undefined for an idempotent one. */
 	requestId?: string;
-	/** The sender retries itself. */
+	/** The caller retries by itself. */
 	isNoRetry: boolean;
 	hasBody: boolean;
 };
 
 const safeMethods = new Set(['GET', 'HEAD', 'OPTIONS']);
 const idempotentMethods = new Set([...safeMethods, 'PUT', 'DELETE']);
-const otherMethods = new Set(['POST', 'PATCH']);
+const nonIdempotentMethods = new Set(['POST', 'PATCH']);
 const maxCallerIdLength = 128;
-const wholePattern = /^\d{1,9}$/;
+const integerPattern = /^\d{1,9}$/;
 
-/** Reads the facts of a request, or tells why it is refused. */
+/** Reads the attributes of a request, or returns why it is refused. */
 export const readFacts = (request: IncomingMessage, settings: Settings['callers']): RequestFacts | RefusalReason => {
 	const {headers, method = 'GET', url = '/'} = request;
-	if (!url.startsWith('/') || headers.upgrade !== undefined || !(idempotentMethods.has(method) || otherMethods.has(method))) {
+	if (!url.startsWith('/') || headers.upgrade !== undefined || !(idempotentMethods.has(method) || nonIdempotentMethods.has(method))) {
 		return RefusalReason.BadRequest;
 	}
 
@@ -65,13 +65,13 @@
 	};
 };
 
-/** Checks by methods that promise to change nothing twice; `PUT` and `DELETE` with an id ask for at most once. */
+/** Requests of class `check` with an idempotent method may be retried; an id on `PUT` or `DELETE` asks for at most one run. */
 const isRetryable = (method: string, requestClass: RequestClass, hasId: boolean): boolean =>
 	requestClass === RequestClass.Check && (safeMethods.has(method) || (idempotentMethods.has(method) && !hasId));
 
 const readClass = (value: string | string[] | undefined, method: string): RequestClass | undefined => {
 	if (value === undefined) {
-		return otherMethods.has(method) ? RequestClass.Long : RequestClass.Check;
+		return nonIdempotentMethods.has(method) ? RequestClass.Long : RequestClass.Check;
 	}
 
 	return value === RequestClass.Check || value === RequestClass.Long ? value : undefined;
@@ -82,7 +82,7 @@
 		return requestClass === RequestClass.Check ? settings.checkDeadlineMs : settings.longDeadlineMs;
 	}
 
-	return typeof value === 'string' && wholePattern.test(value) ? Number(value) : undefined;
+	return typeof value === 'string' && integerPattern.test(value) ? Number(value) : undefined;
 };
 
 const readCallerId = ({headers, socket}: IncomingMessage): string => {
--- a/src/requests/headers.ts
+++ b/src/requests/headers.ts
@@ -1,5 +1,5 @@
 /**
-Headers that are passed on, in both directions, and those that are not.
+Selects the headers that are forwarded, in both directions.
 */
 import {type IncomingHttpHeaders} from 'node:http';
 import {Header} from '../types/requests.ts';
@@ -8,43 +8,43 @@
 	'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade',
 ]);
 
-/** Of a request: what belongs to one hop, and what this hop writes itself. */
-const notPassedUp = new Set<string>([
+/** Not forwarded with a request: hop-by-hop headers, and those that this hop sets itself. */
+const notForwardedUpstream = new Set<string>([
 	...hopByHop, 'host', 'expect', 'content-length', Header.DeadlineMs, Header.Attempt, Header.NoRetry,
 ]);
 
-/** Of an answer: also what only an entry may say. */
-const notPassedDown = new Set<string>([...hopByHop, Header.Entry, Header.Replayed]);
+/** Not forwarded with a response: hop-by-hop headers, and those that only an entry may set. */
+const notForwardedToCaller = new Set<string>([...hopByHop, Header.Entry, Header.Replayed]);
 
-/** Gets the headers of a request that are passed to the upstream, as a flat list of names and values. */
+/** Gets the headers of a request that are forwarded to the upstream, as a flat list of names and values. */
 export const getPassedUp = (rawHeaders: readonly string[], connection: string | undefined): string[] => {
-	const named = getNamed(connection);
-	const passed: string[] = [];
+	const listed = getListedHopByHop(connection);
+	const forwarded: string[] = [];
 	for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
 		const name = rawHeaders[index]!.toLowerCase();
-		if (!notPassedUp.has(name) && !named?.has(name)) {
-			passed.push(name, rawHeaders[index + 1]!);
+		if (!notForwardedUpstream.has(name) && !listed?.has(name)) {
+			forwarded.push(name, rawHeaders[index + 1]!);
 		}
 	}
 
-	return passed;
+	return forwarded;
 };
 
-/** Gets the headers of an answer that are passed to the caller. */
+/** Gets the headers of a response that are forwarded to the caller. */
 export const getPassedDown = (headers: IncomingHttpHeaders): Record<string, string | string[]> => {
-	const named = getNamed(headers.connection);
-	const passed: Record<string, string | string[]> = {};
+	const listed = getListedHopByHop(headers.connection);
+	const forwarded: Record<string, string | string[]> = {};
 	for (const name in headers) {
-		if (Object.hasOwn(headers, name) && !notPassedDown.has(name) && !named?.has(name)) {
-			passed[name] = headers[name]!;
+		if (Object.hasOwn(headers, name) && !notForwardedToCaller.has(name) && !listed?.has(name)) {
+			forwarded[name] = headers[name]!;
 		}
 	}
 
-	return passed;
+	return forwarded;
 };
 
-/** A sender may name more headers of its hop in `connection`. */
-const getNamed = (connection: string | undefined): Set<string> | undefined => {
+/** Gets the further hop-by-hop headers that the sender lists in `connection`. */
+const getListedHopByHop = (connection: string | undefined): Set<string> | undefined => {
 	if (connection === undefined || connection === 'keep-alive' || connection === 'close') {
 		return undefined;
 	}
@@ -52,7 +52,7 @@
 	return new Set(connection.toLowerCase().split(',').map(name => name.trim()));
 };
 
-/** Tells whether an answer says where its body ends; one that ends with the connection can be cut short unseen. */
+/** Tells whether a response declares where its body ends; one that ends with its connection can be truncated unnoticed. */
 export const isFramed = (method: string, status: number, headers: IncomingHttpHeaders): boolean =>
 	method === 'HEAD' || status === 204 || status === 304
 	|| headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
--- a/src/requests/membership-budget.ts
+++ b/src/requests/membership-budget.ts
@@ -1,11 +1,11 @@
 /**
-Tells hosts when to announce next, so that an entry gets no more announcements than it can take.
+Sets when hosts announce next, so that an entry receives no more announcements than it can process.
 */
 import {type Clock} from '../types/clock.ts';
 
 const windowMs = 1000;
 
-/** Budget of announcements of one entry. */
+/** Rate limit for the announcements that one entry receives. */
 export class AnnouncementBudget {
 	#windowStartMs = Number.NEGATIVE_INFINITY;
 	#count = 0;
@@ -20,8 +20,8 @@
 		this.#perSecond = perSecond;
 	}
 
-	/** Counts an announcement and tells when that host is to announce next. */
-	note(hostsInCare: number): number {
+	/** Counts an announcement and returns the time in ms until its host is to announce next. */
+	note(assignedHosts: number): number {
 		const nowMs = this.#clock.monotonicMs();
 		if (nowMs - this.#windowStartMs >= windowMs) {
 			this.#lastCount = nowMs - this.#windowStartMs >= 2 * windowMs ? 0 : this.#count;
@@ -30,9 +30,9 @@
 		}
 
 		this.#count++;
-		const steadyMs = Math.max(this.#everyMs, hostsInCare / this.#perSecond * 1000);
-		// After the loss of an entry its hosts come here at once: what exceeds the budget is spread over later periods.
+		const regularMs = Math.max(this.#everyMs, assignedHosts / this.#perSecond * 1000);
+		// When another entry fails, its hosts announce here all at once: what exceeds the budget is spread over later periods.
 		const excess = Math.max(this.#count, this.#lastCount) / this.#perSecond;
-		return Math.round(excess > 1 ? steadyMs * excess : steadyMs);
+		return Math.round(excess > 1 ? regularMs * excess : regularMs);
 	}
 }
--- a/src/requests/membership-messages.ts
+++ b/src/requests/membership-messages.ts
@@ -1,5 +1,5 @@
 /**
-What entries tell each other of the hosts in their care.
+Messages in which entries exchange the state of their assigned hosts.
 */
 import {z} from 'zod';
 import {HostState, type UpstreamAnnouncement, type WorkerAnnouncement} from '../types/announcements.ts';
@@ -8,7 +8,7 @@
 /** Announcement of any host. */
 export type HostAnnouncement = UpstreamAnnouncement | WorkerAnnouncement;
 
-/** Kinds of hosts; a prefix of their keys. */
+/** Kinds of hosts; the prefix of their keys. */
 export enum HostKind {
 	Upstream = 'upstream',
 	Worker = 'worker',
@@ -57,23 +57,23 @@
 
 const ownerVersionSchema = z.object({ownerId: z.string().max(128), version: z.number().int().nonnegative(), ageMs: z.number().nonnegative()});
 
-/** Checks a request for news. */
-export const parsePull = createParser('read pull', z.object({
-	/** Sets that the asking entry has, how far, and how long ago it knew their owners to be alive. */
+/** Checks a request for the changes of sets. */
+export const parsePull = createParser('read membership pull', z.object({
+	/** Sets that the requester has: their versions, and how long ago their owners were known to be alive. */
 	known: z.array(ownerVersionSchema).max(1000),
-	/** Hosts in the care of the asked entry that announced themselves to the asking one. */
+	/** Hosts assigned to the receiver that announced themselves to the requester. */
 	refreshed: z.array(z.object({id: z.string().max(160), incarnation: z.number(), leaseMs: z.number().nonnegative()})),
 }));
 
-/** Checks the answer to a request for news. */
-export const parsePullAnswer = createParser('read pull answer', z.object({
+/** Checks the answer to a request for the changes of sets. */
+export const parsePullAnswer = createParser('read membership pull answer', z.object({
 	owners: z.array(ownerVersionSchema.extend({
 		isFull: z.boolean(),
 		changes: z.array(z.object({id: z.string().max(160), announcement: z.union([upstreamSchema, workerSchema]).optional()})),
 	})).max(1000),
 }));
 
-/** A request for news. */
+/** A request for the changes of sets. */
 export type Pull = ReturnType<typeof parsePull>;
-/** The answer to a request for news. */
+/** The answer to a request for the changes of sets. */
 export type PullAnswer = ReturnType<typeof parsePullAnswer>;
--- a/src/requests/membership-sets.ts
+++ b/src/requests/membership-sets.ts
@@ -1,25 +1,25 @@
 /**
-The hosts in the care of one entry as a set with versions: others ask for what changed since the version they have.
+The hosts assigned to one entry as a versioned set: other entries request the changes since the version that they have.
 */
 import {type Announced} from './announcement-book.ts';
 
-/** One change of a set; without an announcement, the host left it. */
+/** One change of a set; without an announcement, the host was removed. */
 export type SetChange<A extends Announced> = {
 	id: string;
 	announcement?: A;
 };
 
-/** Changes of a set since a version. */
+/** The changes of a set since a version. */
 export type SetDelta<A extends Announced> = {
 	version: number;
-	/** The changes are all there is; what they do not name is not in the set. */
+	/** The changes are the complete set: hosts not listed are not in it. */
 	isFull: boolean;
 	changes: Array<SetChange<A>>;
 };
 
 const maxRemoved = 4096;
 
-/** A set of hosts with versions. */
+/** A versioned set of hosts. */
 export class VersionedSet<A extends Announced> {
 	version = 0;
 	readonly hosts = new Map<string, A>();
@@ -28,20 +28,20 @@
 	/** Removals before this version are no longer known. */
 	#completeSince = 0;
 
-	/** Puts a host in, or replaces it. */
+	/** Adds a host, or replaces its announcement. */
 	set(id: string, announcement: A): void {
 		this.hosts.set(id, announcement);
-		this.#note(id);
+		this.#markChanged(id);
 	}
 
-	/** Takes a host out. */
+	/** Removes a host. */
 	remove(id: string): void {
 		if (this.hosts.delete(id)) {
-			this.#note(id);
+			this.#markChanged(id);
 		}
 	}
 
-	/** What changed since the version, or all of it when that is no longer known. */
+	/** Gets the changes since the version, or the complete set if they are no longer known. */
 	getDelta(sinceVersion: number): SetDelta<A> {
 		if (sinceVersion < this.#completeSince || sinceVersion > this.version) {
 			return {version: this.version, isFull: true, changes: [...this.hosts].map(([id, announcement]) => ({id, announcement}))};
@@ -59,7 +59,7 @@
 		return {version: this.version, isFull: false, changes};
 	}
 
-	/** Applies what the set's owner, or another entry that has more of it, told. A delta twice changes nothing. */
+	/** Applies a delta from the set's owner, or from another entry that has a newer version. A repeated delta changes nothing. */
 	apply(delta: SetDelta<A>): void {
 		if (delta.version <= this.version) {
 			return;
@@ -86,14 +86,14 @@
 		this.#trim();
 	}
 
-	#note(id: string): void {
+	#markChanged(id: string): void {
 		this.version++;
 		this.#changedAt.delete(id);
 		this.#changedAt.set(id, this.version);
 		this.#trim();
 	}
 
-	/** Forgets the oldest removals: an entry that missed them gets the whole set. */
+	/** Forgets the oldest removals: an entry that missed them gets the complete set. */
 	#trim(): void {
 		if (this.#changedAt.size - this.hosts.size <= maxRemoved) {
 			return;
--- a/src/requests/membership-state.ts
+++ b/src/requests/membership-state.ts
@@ -1,9 +1,9 @@
 /**
-Which hosts are alive, from what this entry hears itself and what other entries vouch for.
+Which hosts are alive, from the announcements that this entry receives and the attestations of other entries.
 
-Each entry owns the set of hosts in its care, with versions. Entries pull each other's sets: a pull costs one small
-message when nothing changed, and speaks for all hosts of the set at once. An entry passes on the sets of others too
-when the asking one has not reached their owners of late, so a cut between two entries hides no host.
+Each entry owns a versioned set of the hosts assigned to it. Entries pull each other's sets: a pull costs one small
+message when nothing changed, and attests all hosts of the set at once. An entry also passes on the sets of others if
+the requester has not reached their owners recently, so a broken link between two entries hides no host.
 */
 import {HostState} from '../types/announcements.ts';
 import {type Clock} from '../types/clock.ts';
@@ -14,14 +14,14 @@
 } from './membership-messages.ts';
 import {VersionedSet} from './membership-sets.ts';
 
-/** Times of the membership. */
+/** Time limits of the membership. */
 export type MembershipPolicy = {
-	/** How long an owner's word counts after it was last known to be alive. */
+	/** How long an owner's attestations are valid after it was last known to be alive. */
 	voucherLeaseMs: number;
-	/** Longest further time for hosts of a silent owner to announce themselves elsewhere. */
+	/** Maximum additional time for the hosts of an unresponsive owner to announce themselves to another entry. */
 	graceMs: number;
 	forgetAfterMs: number;
-	/** Spreads the grace of hosts, from 0 to 1. */
+	/** Returns a fixed number from 0 to 1 for each host, which spreads the ends of their grace times. */
 	getSpread(id: string): number;
 };
 
@@ -33,15 +33,15 @@
 
 const cacheMs = 50;
 
-/** Hosts as this entry knows them. */
+/** The hosts that this entry knows, and their states. */
 export class MembershipState {
-	readonly #book: AnnouncementBook<HostAnnouncement>;
-	readonly #own = new VersionedSet<HostAnnouncement>();
+	readonly #registry: AnnouncementBook<HostAnnouncement>;
+	readonly #ownSet = new VersionedSet<HostAnnouncement>();
 	readonly #owners = new Map<string, Owner>();
-	/** Hosts to be vouched for by another entry, by the owner's id, until its next pull. */
-	readonly #refreshed = new Map<string, Map<string, {incarnation: number; leaseMs: number}>>();
-	/** Hosts whose leases ended without a word; coming back is a flap. */
-	readonly #lapsed = new Set<string>();
+	/** Leases that the owners of hosts are to extend, by the owner's id, until the next pull from that owner. */
+	readonly #pendingRenewals = new Map<string, Map<string, {incarnation: number; leaseMs: number}>>();
+	/** Hosts whose leases expired without an announced end; their return is a flap. */
+	readonly #expired = new Set<string>();
 	readonly #clock: Clock;
 	readonly #ownerId: string;
 	readonly #policy: MembershipPolicy;
@@ -55,42 +55,42 @@
 		this.#ownerId = ownerId;
 		this.#policy = policy;
 		this.#damper = damper;
-		this.#book = new AnnouncementBook(clock);
+		this.#registry = new AnnouncementBook(clock);
 	}
 
-	/** How many hosts are in the care of this entry. */
+	/** Number of hosts assigned to this entry. */
 	get careCount(): number {
-		return this.#own.hosts.size;
+		return this.#ownSet.hosts.size;
 	}
 
-	/** Takes an announcement that reached this entry. With `isOurs`, this entry cares for the host whoever else does. */
-	hear(id: string, announcement: HostAnnouncement, leaseMs: number, isOurs = false): Taken {
-		this.#noteReturn(id, announcement);
-		const taken = this.#book.take(id, announcement, leaseMs);
-		if (taken === Taken.Stale) {
-			return taken;
+	/** Applies an announcement that this entry received. With `isAssigned`, assigns the host to this entry, whoever else owns it. */
+	hear(id: string, announcement: HostAnnouncement, leaseMs: number, isAssigned = false): Taken {
+		this.#checkForFlap(id, announcement);
+		const outcome = this.#registry.take(id, announcement, leaseMs);
+		if (outcome === Taken.Stale) {
+			return outcome;
 		}
 
-		const isInCare = this.#own.hosts.has(id);
-		if (taken === Taken.Changed || (isOurs && !isInCare)) {
-			this.#care(id, announcement);
-			return taken;
+		const isInOwnSet = this.#ownSet.hosts.has(id);
+		if (outcome === Taken.Changed || (isAssigned && !isInOwnSet)) {
+			this.#assign(id, announcement);
+			return outcome;
 		}
 
-		if (!isInCare) {
+		if (!isInOwnSet) {
 			const ownerId = this.#findOwner(id, announcement.incarnation);
 			if (ownerId === undefined) {
-				this.#care(id, announcement);
+				this.#assign(id, announcement);
 			} else {
-				this.#queueRefresh(ownerId, id, {incarnation: announcement.incarnation, leaseMs});
+				this.#queueRenewal(ownerId, id, {incarnation: announcement.incarnation, leaseMs});
 			}
 		}
 
-		return taken;
+		return outcome;
 	}
 
 	get(id: string): HostAnnouncement | undefined {
-		return this.#book.get(id);
+		return this.#registry.get(id);
 	}
 
 	/** Hosts that may get new work. */
@@ -102,49 +102,49 @@
 		return this.#cachedByKind.get(kind) ?? [];
 	}
 
-	/** All hosts known. */
+	/** All known hosts of the kind. */
 	list(kind: HostKind): HostAnnouncement[] {
-		return this.#book.list().filter(([id]) => id.startsWith(`${kind}/`)).map(([, announcement]) => announcement);
+		return this.#registry.list().filter(([id]) => id.startsWith(`${kind}/`)).map(([, announcement]) => announcement);
 	}
 
 	/** Tells whether the host may get new work. */
 	isAlive(id: string): boolean {
-		const announcement = this.#book.get(id);
+		const announcement = this.#registry.get(id);
 		return announcement?.state === HostState.Alive && !this.#damper.isHeldDown(id)
-			&& (this.#book.isHeard(id) || this.#isVouched(id, announcement.incarnation));
+			&& (this.#registry.isHeard(id) || this.#isAttested(id, announcement.incarnation));
 	}
 
-	/** Creates the request for news from the entry that owns the named set. */
+	/** Creates the request for changes to the entry that owns the given set. */
 	createPull(ownerId: string): Pull {
 		const nowMs = this.#clock.monotonicMs();
-		const refreshed = this.#refreshed.get(ownerId) ?? new Map<string, {incarnation: number; leaseMs: number}>();
-		this.#refreshed.delete(ownerId);
+		const refreshed = this.#pendingRenewals.get(ownerId) ?? new Map<string, {incarnation: number; leaseMs: number}>();
+		this.#pendingRenewals.delete(ownerId);
 		return {
 			known: [
-				// Without its own set here, every answer would bring that set back in full.
-				{ownerId: this.#ownerId, version: this.#own.version, ageMs: 0},
+				// Without this entry's own set in the list, every answer would return that set in full.
+				{ownerId: this.#ownerId, version: this.#ownSet.version, ageMs: 0},
 				...[...this.#owners].map(([knownId, {set, aliveAtMs}]) => ({ownerId: knownId, version: set.version, ageMs: Math.max(0, nowMs - aliveAtMs)})),
 			],
 			refreshed: [...refreshed].map(([id, value]) => ({id, ...value})),
 		};
 	}
 
-	/** Answers a request for news. */
+	/** Answers a request for changes. */
 	servePull({known, refreshed}: Pull): PullAnswer {
 		for (const {id, incarnation, leaseMs} of refreshed) {
-			if (this.#own.hosts.has(id)) {
-				this.#book.refresh(id, incarnation, leaseMs);
+			if (this.#ownSet.hosts.has(id)) {
+				this.#registry.refresh(id, incarnation, leaseMs);
 			}
 		}
 
 		const nowMs = this.#clock.monotonicMs();
 		const asked = new Map(known.map(item => [item.ownerId, item]));
-		const own = {ownerId: this.#ownerId, ageMs: 0, ...this.#own.getDelta(asked.get(this.#ownerId)?.version ?? -1)};
+		const own = {ownerId: this.#ownerId, ageMs: 0, ...this.#ownSet.getDelta(asked.get(this.#ownerId)?.version ?? -1)};
 		const owners: PullAnswer['owners'] = [own];
 		for (const [ownerId, {set, aliveAtMs}] of this.#owners) {
 			const ageMs = nowMs - aliveAtMs;
 			const item = asked.get(ownerId);
-			// Passed on only when it helps: in a healthy installation an answer speaks of its own set alone.
+			// Passed on only if the requester knows less: in a healthy installation an answer contains this entry's own set alone.
 			const isHelpful = ageMs < this.#policy.voucherLeaseMs && (item?.ageMs ?? Number.POSITIVE_INFINITY) > Math.max(ageMs, this.#policy.voucherLeaseMs / 2);
 			if (isHelpful) {
 				owners.push({ownerId, ageMs, ...set.getDelta(item?.version ?? -1)});
@@ -154,7 +154,7 @@
 		return {owners};
 	}
 
-	/** Takes the answer to a request sent at the time given. */
+	/** Applies the answer to a request that was sent at `sentAtMs`. */
 	takeAnswer({owners}: PullAnswer, sentAtMs: number): void {
 		for (const {ownerId, ageMs, ...delta} of owners) {
 			if (ownerId === this.#ownerId) {
@@ -162,39 +162,39 @@
 			}
 
 			const owner = this.#getOwner(ownerId);
-			// Counted from before the request was sent: however long the answer took, it speaks of no earlier time.
+			// Counted from the sending of the request: however long the answer took, its ages refer to no earlier time.
 			owner.aliveAtMs = Math.max(owner.aliveAtMs, sentAtMs - ageMs);
 			const changes = delta.version > owner.set.version ? delta.changes : [];
 			const former = delta.isFull ? [...owner.set.hosts.keys()] : [];
 			owner.set.apply(delta);
 			for (const {id, announcement} of changes) {
-				this.#takeChange(id, announcement);
+				this.#applyChange(id, announcement);
 			}
 
 			for (const id of former) {
 				if (!owner.set.hosts.has(id)) {
-					this.#takeChange(id, undefined);
+					this.#applyChange(id, undefined);
 				}
 			}
 		}
 	}
 
-	/** After a request that got no answer: cares for the hosts that it spoke for. */
+	/** After a request without an answer: assigns the hosts whose leases it was to extend to this entry. */
 	takeFailure({refreshed}: Pull): void {
 		for (const {id} of refreshed) {
-			const announcement = this.#book.get(id);
-			if (announcement && this.#book.isHeard(id)) {
-				this.#care(id, announcement);
+			const announcement = this.#registry.get(id);
+			if (announcement && this.#registry.isHeard(id)) {
+				this.#assign(id, announcement);
 			}
 		}
 	}
 
-	/** Drops what has lapsed. After a pause of this process, silence is not held against the hosts. */
+	/** Removes what has expired. After a pause of this process, expired leases do not count as flaps of the hosts. */
 	expire(wasPaused: boolean): void {
-		for (const id of this.#own.hosts.keys()) {
-			if (!this.#book.isHeard(id)) {
-				this.#own.remove(id);
-				this.#noteLapse(id, wasPaused);
+		for (const id of this.#ownSet.hosts.keys()) {
+			if (!this.#registry.isHeard(id)) {
+				this.#ownSet.remove(id);
+				this.#recordExpiry(id, wasPaused);
 			}
 		}
 
@@ -202,49 +202,49 @@
 		for (const [ownerId, {set, aliveAtMs}] of this.#owners) {
 			if (nowMs - aliveAtMs > this.#policy.forgetAfterMs) {
 				this.#owners.delete(ownerId);
-				this.#refreshed.delete(ownerId);
+				this.#pendingRenewals.delete(ownerId);
 				continue;
 			}
 
 			if (nowMs - aliveAtMs <= this.#policy.voucherLeaseMs) {
 				for (const id of set.hosts.keys()) {
-					this.#book.noteNamed(id);
+					this.#registry.noteNamed(id);
 				}
 			}
 		}
 
-		for (const id of this.#book.forgetOlderThan(this.#policy.forgetAfterMs)) {
-			this.#lapsed.delete(id);
+		for (const id of this.#registry.forgetOlderThan(this.#policy.forgetAfterMs)) {
+			this.#expired.delete(id);
 		}
 
 		this.#cachedUntilMs = Number.NEGATIVE_INFINITY;
 	}
 
-	#takeChange(id: string, announcement: HostAnnouncement | undefined): void {
+	#applyChange(id: string, announcement: HostAnnouncement | undefined): void {
 		if (!announcement) {
-			this.#noteLapse(id, false);
+			this.#recordExpiry(id, false);
 			return;
 		}
 
-		this.#noteReturn(id, announcement);
-		if (this.#book.merge(id, announcement) !== Taken.Stale) {
-			// The host now announces itself to the other entry, which has the newer word.
-			this.#own.remove(id);
+		this.#checkForFlap(id, announcement);
+		if (this.#registry.merge(id, announcement) !== Taken.Stale) {
+			// The host now announces itself to the other entry, which has the newer state.
+			this.#ownSet.remove(id);
 		}
 
 		this.#cachedUntilMs = Number.NEGATIVE_INFINITY;
 	}
 
-	#care(id: string, announcement: HostAnnouncement): void {
-		this.#own.set(id, announcement);
+	#assign(id: string, announcement: HostAnnouncement): void {
+		this.#ownSet.set(id, announcement);
 		this.#cachedUntilMs = Number.NEGATIVE_INFINITY;
 	}
 
-	#queueRefresh(ownerId: string, id: string, value: {incarnation: number; leaseMs: number}): void {
-		let queue = this.#refreshed.get(ownerId);
+	#queueRenewal(ownerId: string, id: string, value: {incarnation: number; leaseMs: number}): void {
+		let queue = this.#pendingRenewals.get(ownerId);
 		if (!queue) {
 			queue = new Map();
-			this.#refreshed.set(ownerId, queue);
+			this.#pendingRenewals.set(ownerId, queue);
 		}
 
 		queue.set(id, value);
@@ -261,7 +261,7 @@
 		return undefined;
 	}
 
-	#isVouched(id: string, incarnation: number): boolean {
+	#isAttested(id: string, incarnation: number): boolean {
 		const {voucherLeaseMs, graceMs, getSpread} = this.#policy;
 		const nowMs = this.#clock.monotonicMs();
 		for (const {set, aliveAtMs} of this.#owners.values()) {
@@ -269,9 +269,9 @@
 				continue;
 			}
 
-			const silentMs = nowMs - aliveAtMs - voucherLeaseMs;
-			// The grace is spread: the hosts of a lost entry must not vanish, or come back, all at once.
-			if (silentMs < 0 || silentMs < graceMs * (1 + getSpread(id)) / 2) {
+			const unattestedMs = nowMs - aliveAtMs - voucherLeaseMs;
+			// Grace times differ: the hosts of a lost entry must not become unavailable, or return, all at once.
+			if (unattestedMs < 0 || unattestedMs < graceMs * (1 + getSpread(id)) / 2) {
 				return true;
 			}
 		}
@@ -279,24 +279,24 @@
 		return false;
 	}
 
-	#noteLapse(id: string, wasPaused: boolean): void {
-		const announcement = this.#book.get(id);
-		if (!wasPaused && announcement?.state === HostState.Alive && !this.#book.isHeard(id) && !this.#isVouched(id, announcement.incarnation)) {
-			this.#lapsed.add(id);
+	#recordExpiry(id: string, wasPaused: boolean): void {
+		const announcement = this.#registry.get(id);
+		if (!wasPaused && announcement?.state === HostState.Alive && !this.#registry.isHeard(id) && !this.#isAttested(id, announcement.incarnation)) {
+			this.#expired.add(id);
 		}
 
 		this.#cachedUntilMs = Number.NEGATIVE_INFINITY;
 	}
 
-	#noteReturn(id: string, next: HostAnnouncement): void {
-		const known = this.#book.get(id);
+	#checkForFlap(id: string, next: HostAnnouncement): void {
+		const known = this.#registry.get(id);
 		if (!known || !isNewer(next, known)) {
 			return;
 		}
 
-		// A restart that was announced by draining first is no flap.
+		// A restart after an announced drain is no flap.
 		const isCrash = next.incarnation > known.incarnation && known.state === HostState.Alive;
-		if ((this.#lapsed.delete(id) || isCrash) && next.state === HostState.Alive) {
+		if ((this.#expired.delete(id) || isCrash) && next.state === HostState.Alive) {
 			this.#damper.noteFlap(id);
 		}
 	}
@@ -313,7 +313,7 @@
 	}
 
 	#refreshCache(): void {
-		this.#cached = this.#book.list().filter(([id]) => this.isAlive(id)).map(([, announcement]) => announcement);
+		this.#cached = this.#registry.list().filter(([id]) => this.isAlive(id)).map(([, announcement]) => announcement);
 		this.#cachedByKind = new Map();
 		for (const announcement of this.#cached) {
 			const kind = 'upstreamId' in announcement ? 'upstream' : 'worker';
--- a/src/requests/slot-asker.ts
+++ b/src/requests/slot-asker.ts
@@ -1,20 +1,20 @@
 /**
-The asking side of slots towards one sponsor: composes messages with what changed, and applies the answers.
+Client side of the slot protocol towards one sponsor: composes messages with the changes, and applies the answers.
 */
 import {type SlotAnswer, type SlotItem, type SlotMessage} from './slot-messages.ts';
 import {type SlotShare} from './slot-share.ts';
 import {type SlotGrant} from './slot-table.ts';
 
-/** A share and what this entry wants of its upstream. */
+/** A share, and how many slots this entry wants of its upstream. */
 export type AskedShare = {
 	upstreamId: string;
 	share: SlotShare;
 	wanted: number;
-	/** Accounts of this entry for the upstream's new sponsor. */
+	/** Grant records of this entry as the former sponsor, for the new one. */
 	grants?: SlotGrant[];
 };
 
-/** A message with what is needed to apply its answer. */
+/** A message, with the state that is needed to apply its answer. */
 export type Asked = {
 	message: SlotMessage;
 	sentAtMs: number;
@@ -25,11 +25,11 @@
 export type Applied = {
 	/** Slots have become free. */
 	hasGrown: boolean;
-	/** Slots are to be reported as given back: at once, since other entries wait for them. */
+	/** A share became smaller; to be reported at once, since other entries wait for the released slots. */
 	hasShrunk: boolean;
 };
 
-/** Messages of one entry to one sponsor; one at a time. */
+/** Messages of one entry to one sponsor, one at a time. */
 export class SlotAsker {
 	#seq = 0;
 	#afterSeq = 0;
@@ -43,16 +43,16 @@
 		this.#sponsorId = sponsorId;
 	}
 
-	/** Composes the next message; undefined when this sponsor is neither asked nor told anything. */
-	compose(asked: AskedShare[], nowMs: number, isLeaving = false): Asked | undefined {
-		if (asked.length === 0 && this.#reported.size === 0) {
+	/** Composes the next message; undefined if there is nothing to request from this sponsor or to report to it. */
+	compose(requested: AskedShare[], nowMs: number, isLeaving = false): Asked | undefined {
+		if (requested.length === 0 && this.#reported.size === 0) {
 			return undefined;
 		}
 
 		const current = new Map<string, SlotItem>();
 		const generations: Asked['generations'] = new Map();
 		const items: SlotItem[] = [];
-		for (const {upstreamId, share, wanted, grants} of asked) {
+		for (const {upstreamId, share, wanted, grants} of requested) {
 			const item = {
 				upstreamId, incarnation: share.incarnation, share: share.share, limit: share.getLimit(), wanted, grants,
 			};
@@ -68,7 +68,7 @@
 			granteeId: this.#granteeId, sponsorId: this.#sponsorId, seq: ++this.#seq, afterSeq: this.#afterSeq, isFull: this.#isFull, isLeaving, items, gone,
 		};
 		this.#reported = current;
-		// Until an answer comes it is not known what the sponsor took; the next message then says it all.
+		// Until an answer arrives, it is unknown whether the sponsor received the message, so the next one is full.
 		this.#isFull = true;
 		return {message, sentAtMs: nowMs, generations};
 	}
@@ -81,20 +81,20 @@
 
 		this.#isFull = false;
 		this.#afterSeq = message.seq;
-		const lapsed = new Set(answer.lapsed);
+		const expired = new Set(answer.lapsed);
 		const shares = new Map(answer.shares.map(item => [item.upstreamId, item]));
 		let hasGrown = false;
 		let hasShrunk = false;
 		for (const [upstreamId, {share, generation}] of generations) {
-			// Another sponsor was told of this share in the meantime: an answer of the former one would add to it.
-			if (lapsed.has(upstreamId) || share.generation !== generation) {
+			// The share has been reported to another sponsor since: the answer of the former one would add slots to it.
+			if (expired.has(upstreamId) || share.generation !== generation) {
 				continue;
 			}
 
 			const wasFree = share.free;
 			const formerShare = share.share;
 			share.share = shares.get(upstreamId)?.share ?? share.share;
-			// Counted from before the message was sent, the sponsor's own count being from its answer.
+			// Counted from the sending of the message; the sponsor counts from its answer, so the lease ends here first.
 			share.leaseEndMs = Math.max(share.leaseEndMs, sentAtMs + leaseMs);
 			hasGrown ||= share.free > wasFree;
 			hasShrunk ||= share.share < formerShare;
--- a/src/requests/slot-messages.ts
+++ b/src/requests/slot-messages.ts
@@ -1,5 +1,5 @@
 /**
-What entries tell the sponsors of upstreams, and what these answer: one message for each pair of entries and period.
+Messages of entries to the sponsors of upstreams, and their answers: one message for each pair of entries and period.
 */
 import {z} from 'zod';
 import {createParser} from '../utils/parser.ts';
@@ -10,13 +10,13 @@
 /** Checks a message to a sponsor. */
 export const parseSlotMessage = createParser('read slot message', z.object({
 	granteeId: z.string().max(128),
-	/** The sponsor meant: one incarnation of an entry. */
+	/** The sponsor addressed: one incarnation of an entry. */
 	sponsorId: z.string().max(128),
 	seq: count,
-	/** Last message that was answered; what is not named has not changed since. */
+	/** Last message that was answered; upstreams not listed have not changed since. */
 	afterSeq: count,
 	isFull: z.boolean(),
-	/** The entry stops: it takes no more slots and is to get none. */
+	/** The entry is shutting down: it takes no more slots and must not be granted any. */
 	isLeaving: z.boolean(),
 	items: z.array(z.object({
 		upstreamId,
@@ -24,7 +24,7 @@
 		share: count,
 		limit: count,
 		wanted: count,
-		/** From the sponsor before: its accounts. */
+		/** From the former sponsor: its grant records. */
 		grants: z.array(z.object({granteeId: z.string().max(128), limit: count})).optional(),
 	})),
 	gone: z.array(upstreamId),
@@ -32,11 +32,11 @@
 
 /** Checks the answer of a sponsor. */
 export const parseSlotAnswer = createParser('read slot answer', z.object({
-	/** Nothing was taken; the next message must be full. */
+	/** The message was not applied; the next one must be full. */
 	isResync: z.boolean(),
 	/** Shares that differ from what was reported. */
 	shares: z.array(z.object({upstreamId, incarnation: count, share: count})),
-	/** Upstreams whose leases were not renewed: not, or no longer, sponsored here. */
+	/** Upstreams whose leases were not renewed, because this sponsor does not, or no longer, sponsor them. */
 	lapsed: z.array(upstreamId),
 }));
 
--- a/src/requests/slot-share.ts
+++ b/src/requests/slot-share.ts
@@ -4,11 +4,11 @@
 import {type Clock} from '../types/clock.ts';
 import {type SlotHold} from '../types/services.ts';
 
-/** How the slots of an upstream are bounded. */
+/** How the use of an upstream's slots is limited. */
 export enum SlotMode {
-	/** A guard beside the upstream admits; the share is only a local bound. */
+	/** A guard next to the upstream admits requests; the share is only a local limit. */
 	Guarded = 'guarded',
-	/** The upstream echoes no sponsor: equal shares of the configured entries. */
+	/** The upstream does not echo a sponsor: each configured entry has an equal share. */
 	Static = 'static',
 	/** Its sponsor grants shares under leases. */
 	Sponsored = 'sponsored',
@@ -20,20 +20,20 @@
 	readonly mode: SlotMode;
 	readonly slots: number;
 	readonly connections: number;
-	/** Sponsor from which the share came or is asked. */
+	/** Sponsor that granted the share, or from which it is requested. */
 	sponsorId = '';
-	/** Grows with each change of the sponsor: answers to earlier questions no longer count. */
+	/** Grows with each change of the sponsor: answers to messages of an earlier generation are ignored. */
 	generation = 0;
 	share = 0;
 	leaseEndMs = Number.NEGATIVE_INFINITY;
 	#peak = 0;
 	#misses = 0;
-	/** Slots held, summed over the time since the period began. */
+	/** Slots held, integrated over the time since the period began. */
 	#heldMs = 0;
 	#accountedMs: number;
 	#periodStartMs: number;
 	#meanHeld = 0;
-	readonly #holdEndsMs = new Set<{endMs: number}>();
+	readonly #holds = new Set<{endMs: number}>();
 	readonly #clock: Clock;
 
 	constructor(clock: Clock, shape: Pick<SlotShare, 'incarnation' | 'mode' | 'slots' | 'connections'>) {
@@ -46,14 +46,14 @@
 		this.#periodStartMs = this.#accountedMs;
 	}
 
-	/** Slots held. */
+	/** Number of slots held. */
 	get held(): number {
-		return this.#holdEndsMs.size;
+		return this.#holds.size;
 	}
 
-	/** Slots that may be taken now. */
+	/** Number of slots that may be taken now. */
 	get free(): number {
-		// A process that was paused past its lease finds it ended here, before it takes anything.
+		// Compared with the clock at each use, so that a process that was paused past its lease takes no slot.
 		return this.#clock.monotonicMs() < this.leaseEndMs ? Math.max(0, this.share - this.held) : 0;
 	}
 
@@ -66,24 +66,24 @@
 
 		this.#account();
 		const hold = {endMs: this.#clock.monotonicMs() + holdMs};
-		this.#holdEndsMs.add(hold);
+		this.#holds.add(hold);
 		this.#peak = Math.max(this.#peak, this.held);
 		return {
 			release: () => {
 				this.#account();
-				if (this.#holdEndsMs.delete(hold)) {
+				if (this.#holds.delete(hold)) {
 					onRelease();
 				}
 			},
 		};
 	}
 
-	/** The most that this entry may be using. */
+	/** Gets the maximum number of slots that this entry may be using. */
 	getLimit(): number {
 		const nowMs = this.#clock.monotonicMs();
 		let bounded = 0;
-		for (const {endMs} of this.#holdEndsMs) {
-			// Past its bound, the sponsor no longer counts it either: an entry back from a pause must not report it.
+		for (const {endMs} of this.#holds) {
+			// A hold past its time limit is no longer counted by the sponsor either: an entry resumed after a pause must not report it.
 			bounded += endMs > nowMs ? 1 : 0;
 		}
 
@@ -91,18 +91,19 @@
 	}
 
 	/**
-	Slots wanted. Ends a period of measurement. While requests of the service wait, the most that was held and this
-	upstream's part of what waits; else the mean of late: a peak asked for at every upstream would keep slots from entries
-	whose requests wait. The rounding differs between the upstreams of a service, from 0 to 1, so that the sum is no more
-	than is in use: rounded up at each of eleven upstreams, the mean kept a tenth of all slots idle.
+	Ends a measurement period and returns the number of slots wanted. While requests of the service wait, or after a request
+	found no slot free, that is the peak of the slots held and what waits for this upstream; else the recent mean, because
+	requesting the peak at every upstream would keep slots from entries whose requests wait. `rounding` differs between the
+	upstreams of a service, from 0 to 1, so that the sum is no more than is in use: rounding the mean up at each of eleven
+	upstreams kept a tenth of all slots idle.
 	*/
-	takeWanted(waiting: number, isShort: boolean, rounding: number): number {
+	takeWanted(waiting: number, hasWaiting: boolean, rounding: number): number {
 		this.#account();
 		const durationMs = this.#accountedMs - this.#periodStartMs;
 		const mean = durationMs > 0 ? this.#heldMs / durationMs : this.held;
 		this.#meanHeld = (this.#meanHeld + mean) / 2;
-		const missed = !isShort && this.#misses > 0 ? 1 : 0;
-		const wanted = isShort || missed > 0 ? this.#peak + waiting + missed : Math.floor(this.#meanHeld + rounding);
+		const missCount = !hasWaiting && this.#misses > 0 ? 1 : 0;
+		const wanted = hasWaiting || missCount > 0 ? this.#peak + waiting + missCount : Math.floor(this.#meanHeld + rounding);
 		this.#peak = this.held;
 		this.#misses = 0;
 		this.#heldMs = 0;
--- a/src/requests/slot-sponsor.ts
+++ b/src/requests/slot-sponsor.ts
@@ -1,5 +1,5 @@
 /**
-The sponsor's side of slots: tables of the upstreams that this entry sponsors, and answers to the other entries.
+Sponsor side of the slot protocol: tables of the upstreams that this entry sponsors, and answers to the other entries.
 */
 import {type Clock} from '../types/clock.ts';
 import {type SlotAnswer, type SlotItem, type SlotMessage} from './slot-messages.ts';
@@ -7,7 +7,7 @@
 import {SlotTable, type SlotGrant, type SlotReport} from './slot-table.ts';
 import {type Sponsorship} from './sponsor-book.ts';
 
-/** How a sponsor works. */
+/** Options of a slot sponsor. */
 export type SlotSponsorOptions = {
 	clock: Clock;
 	ownId: string;
@@ -19,20 +19,20 @@
 
 type Grantee = {
 	lastSeq: number;
-	/** Last report of each upstream. */
+	/** Last report for each upstream. */
 	items: Map<string, SlotItem>;
-	heardAtMs: number;
+	lastMessageAtMs: number;
 };
 
 type Sponsored = {
 	incarnation: number;
 	epoch: number;
-	/** Sponsor whose accounts are still to be taken over. */
+	/** Former sponsor whose grant records have not been adopted yet. */
 	formerSponsorId?: string;
 	table: SlotTable;
 };
 
-/** Tables of the upstreams that one entry sponsors. */
+/** Slot tables of the upstreams that one entry sponsors. */
 export class SlotSponsor {
 	readonly #grantees = new Map<string, Grantee>();
 	readonly #sponsored = new Map<string, Sponsored>();
@@ -50,14 +50,14 @@
 		const isLate = known !== undefined && seq <= known.lastSeq;
 		const isGap = !isFull && known?.lastSeq !== afterSeq;
 		if (isForOther || isLate || isGap) {
-			// A message that was overtaken must not take back what a later one reported.
+			// A message that arrives out of order must not undo what a later one reported.
 			return {isResync: true, shares: [], lapsed: []};
 		}
 
-		const grantee = known ?? {lastSeq: 0, items: new Map<string, SlotItem>(), heardAtMs: 0};
+		const grantee = known ?? {lastSeq: 0, items: new Map<string, SlotItem>(), lastMessageAtMs: 0};
 		this.#grantees.set(granteeId, grantee);
 		grantee.lastSeq = seq;
-		grantee.heardAtMs = this.#options.clock.monotonicMs();
+		grantee.lastMessageAtMs = this.#options.clock.monotonicMs();
 		if (isFull) {
 			grantee.items.clear();
 		}
@@ -73,7 +73,7 @@
 		return this.#grant(granteeId, grantee, message.isLeaving);
 	}
 
-	/** Grants this entry its own share; undefined while it does not sponsor the upstream. */
+	/** Grants this entry a share of its own upstream; undefined while it does not sponsor the upstream. */
 	grantOwn(upstreamId: string, incarnation: number, report: SlotReport): number | undefined {
 		const table = this.#getTable(upstreamId, incarnation);
 		if (!table) {
@@ -84,13 +84,13 @@
 		return table.grant(this.#options.ownId);
 	}
 
-	/** The accounts of an upstream that another entry sponsors now, this one having been the sponsor before. */
+	/** Gets the grant records of an upstream that another entry sponsors now and this entry sponsored before. */
 	getGrants(upstreamId: string, incarnation: number): SlotGrant[] | undefined {
 		const sponsored = this.#sponsored.get(upstreamId);
 		return sponsored?.incarnation === incarnation ? sponsored.table.getGrants() : undefined;
 	}
 
-	/** Upstreams sponsored now, and slots that wait for a former sponsor's grants to end. */
+	/** Counts the upstreams sponsored now, and the slots withheld until a former sponsor's grants have ended. */
 	getTotals(): {sponsored: number; heldBack: number} {
 		let sponsored = 0;
 		let heldBack = 0;
@@ -103,7 +103,7 @@
 		return {sponsored, heldBack};
 	}
 
-	/** Forgets entries and upstreams that are gone. */
+	/** Forgets unknown upstreams, and entries without a message for so long. */
 	forget(isKnown: (upstreamId: string) => boolean, ageMs: number): void {
 		const oldestMs = this.#options.clock.monotonicMs() - ageMs;
 		for (const upstreamId of this.#sponsored.keys()) {
@@ -112,8 +112,8 @@
 			}
 		}
 
-		for (const [granteeId, {heardAtMs}] of this.#grantees) {
-			if (heardAtMs < oldestMs) {
+		for (const [granteeId, {lastMessageAtMs}] of this.#grantees) {
+			if (lastMessageAtMs < oldestMs) {
 				this.#grantees.delete(granteeId);
 			}
 		}
@@ -131,7 +131,7 @@
 			const sponsored = this.#sponsored.get(upstreamId)!;
 			if (item.grants && sponsored.formerSponsorId === granteeId) {
 				table.takeOver(item.grants);
-				// Once: later, these accounts are out of date, and what was given back would be counted again.
+				// Adopted only once: later these records are out of date, and slots released since would be counted again.
 				sponsored.formerSponsorId = undefined;
 			}
 
@@ -164,9 +164,9 @@
 	#createSponsored(upstreamId: string, sponsorship: Sponsorship, known?: Sponsored): Sponsored {
 		const {clock, ownId, leaseMs, maxHoldMs, divide} = this.#options;
 		const {incarnation, epoch, formerSponsorId, isFirst} = sponsorship;
-		// The same sponsor again, with no other in between: its own accounts still hold.
-		const isOwnAgain = formerSponsorId === ownId && known?.incarnation === incarnation;
-		const table = isOwnAgain
+		// This entry was also the last sponsor, with no other in between: its own grant records are still valid.
+		const isSameSponsor = formerSponsorId === ownId && known?.incarnation === incarnation;
+		const table = isSameSponsor
 			? known.table
 			: new SlotTable({
 				clock, leaseMs, maxHoldMs, divide, isAllFree: isFirst, slots: sponsorship.slots, offset: getOffset(upstreamId),
--- a/src/requests/slot-table.ts
+++ b/src/requests/slot-table.ts
@@ -1,18 +1,18 @@
 /**
-The slots of one upstream as its sponsor accounts for them.
+The sponsor's records of who may be using the slots of one upstream.
 
-Each entry counts with the most that it may be using: the larger of what it last reported and what it was sent since.
-The sum never exceeds the capacity. A share thus grows only from slots that were reported as given back, or whose
-lease lapsed and whose last request must have ended. A sponsor that follows another knows at first of no slot: it
-takes over what entries report that they hold, and gets the rest when nobody can be using it any more.
+Each entry is counted with the maximum that it may be using: the larger of the limit that it last reported and the share
+that it was sent since. The sum never exceeds the capacity. So a share grows only by slots that were reported as released,
+or whose lease expired and whose last request must have ended. A sponsor that succeeds another starts with a capacity of
+0: it adds the slots that entries report, and the rest once no entry can be using it any more.
 */
 import {type Clock} from '../types/clock.ts';
 import {type DivideSlots} from './slot-policy.ts';
 
-/** What an entry reports of its share of one upstream. */
+/** What an entry reports about its share of one upstream. */
 export type SlotReport = {
 	share: number;
-	/** The most that it may be using: its share while that may be used, or what it holds when that is more. */
+	/** Maximum number of slots that it may be using: its share while the lease is valid, or the slots held if they are more. */
 	limit: number;
 	wanted: number;
 	/** The entry takes no more slots. */
@@ -25,13 +25,13 @@
 	limit: number;
 };
 
-/** How a table is set up. */
+/** Options of a slot table. */
 export type SlotTableOptions = {
 	clock: Clock;
 	slots: number;
 	leaseMs: number;
 	maxHoldMs: number;
-	/** No entry can hold a slot yet. */
+	/** No entry can hold a slot yet, so all slots may be granted. */
 	isAllFree: boolean;
 	divide: DivideSlots;
 	offset: number;
@@ -44,7 +44,7 @@
 /** Grants of one upstream under one sponsorship. */
 export class SlotTable {
 	#capacity: number;
-	readonly #fullAtMs: number;
+	readonly #fullCapacityAtMs: number;
 	readonly #grantees = new Map<string, Grantee>();
 	readonly #options: SlotTableOptions;
 
@@ -52,15 +52,15 @@
 		this.#options = options;
 		const {clock, slots, leaseMs, maxHoldMs, isAllFree} = options;
 		this.#capacity = isAllFree ? slots : 0;
-		this.#fullAtMs = clock.monotonicMs() + leaseMs + maxHoldMs;
+		this.#fullCapacityAtMs = clock.monotonicMs() + leaseMs + maxHoldMs;
 	}
 
-	/** Slots not yet known to be free of a former sponsor's grants. */
+	/** Slots withheld, since a former sponsor may have granted them. */
 	get heldBack(): number {
 		return this.#options.slots - this.#capacity;
 	}
 
-	/** Sum of what all entries may be using. */
+	/** Sum of the slots that all entries may be using. */
 	get granted(): number {
 		let sum = 0;
 		for (const {limit} of this.#grantees.values()) {
@@ -70,7 +70,7 @@
 		return sum;
 	}
 
-	/** Takes a report; it replaces all that was assumed of that entry. */
+	/** Applies a report, which replaces all that was assumed about that entry. */
 	report(granteeId: string, report: SlotReport): void {
 		const known = this.#grantees.get(granteeId);
 		if (known) {
@@ -81,12 +81,12 @@
 			return;
 		}
 
-		// A former sponsor's grant comes to light: as much of the capacity was in use there.
+		// The entry has a grant of a former sponsor: so many of the withheld slots are now accounted for.
 		this.#capacity = Math.min(this.#options.slots, this.#capacity + report.limit);
 		this.#grantees.set(granteeId, {...report, leaseEndMs: Number.NEGATIVE_INFINITY});
 	}
 
-	/** Renews the entry's lease and tells its new share. */
+	/** Renews the entry's lease and returns its new share. */
 	grant(granteeId: string): number {
 		const {clock, leaseMs} = this.#options;
 		this.expire();
@@ -98,12 +98,12 @@
 		grantee.leaseEndMs = clock.monotonicMs() + leaseMs;
 		const free = Math.max(0, this.#capacity - this.granted);
 		const share = Math.min(this.#getTarget(granteeId), grantee.limit + free);
-		// Counted from the moment it is sent, whether the answer arrives or not.
+		// Counted as soon as it is sent, whether the answer arrives or not.
 		grantee.limit = Math.max(grantee.limit, share);
 		return share;
 	}
 
-	/** Takes over the accounts of the sponsor before: then nothing is unknown. */
+	/** Adopts the grant records of the former sponsor; no slot is withheld from then on. */
 	takeOver(grants: SlotGrant[]): void {
 		const {clock, slots, leaseMs} = this.#options;
 		for (const {granteeId, limit} of grants) {
@@ -117,22 +117,22 @@
 		this.#capacity = slots;
 	}
 
-	/** The accounts, for the next sponsor. Undefined while some slots are unknown to this one. */
+	/** Gets the grant records for the next sponsor; undefined while this one withholds slots. */
 	getGrants(): SlotGrant[] | undefined {
 		this.expire();
 		return this.heldBack > 0 ? undefined : [...this.#grantees].map(([granteeId, {limit}]) => ({granteeId, limit}));
 	}
 
-	/** Frees what nobody can be using any more. */
+	/** Frees the slots that no entry can be using any more. */
 	expire(): void {
 		const {clock, slots, maxHoldMs} = this.#options;
 		const nowMs = clock.monotonicMs();
-		if (nowMs >= this.#fullAtMs) {
+		if (nowMs >= this.#fullCapacityAtMs) {
 			this.#capacity = slots;
 		}
 
 		for (const [granteeId, {leaseEndMs}] of this.#grantees) {
-			// The lease of a silent entry has ended by its own clock too, and with it, the bound on its last request.
+			// The lease of an unresponsive entry has expired by that entry's clock too, and its last request has passed its time limit.
 			if (nowMs >= leaseEndMs + maxHoldMs && leaseEndMs !== Number.NEGATIVE_INFINITY) {
 				this.#grantees.delete(granteeId);
 			}
@@ -142,7 +142,7 @@
 	#getTarget(granteeId: string): number {
 		const {clock, slots, divide, offset} = this.#options;
 		const nowMs = clock.monotonicMs();
-		// In the order of names: every report must lead to the same division, or shares would move for nothing.
+		// Sorted by id: every report must lead to the same division, or shares would move needlessly.
 		const live = [...this.#grantees].filter(([, {leaseEndMs, isLeaving}]) => leaseEndMs > nowMs && !isLeaving).toSorted(([a], [b]) => a < b ? -1 : 1);
 		const lost = [...this.#grantees.values()].reduce((sum, {leaseEndMs, limit, isLeaving}) => leaseEndMs > nowMs && !isLeaving ? sum : sum + limit, 0);
 		const shares = divide(Math.max(0, slots - lost), live.map(([, grantee]) => grantee), offset);
--- a/src/requests/sponsor-book.ts
+++ b/src/requests/sponsor-book.ts
@@ -1,10 +1,10 @@
 /**
-Sponsorships: which upstreams let this entry grant their slots, and until when it may believe so.
+Sponsorships: which upstreams let this entry grant their slots, and until when this entry may rely on it.
 
-The upstream serialises who grants. Each reply carries a term; the upstream echoes the last term it got, and takes
-another sponsor only when, by its own clock, the lock time has passed since it got that reply. An echo of a term thus
-proves that until (the reply was sent + lock time) the upstream has no other sponsor. The proof outlives any delay:
-it counts from the entry's own sending, before the upstream's own counting begins.
+The upstream ensures that it has one sponsor at a time. Each reply to an announcement carries a term; the upstream echoes
+the last term that it received, and accepts another sponsor only after the lock time has passed on its own clock since it
+received that reply. An echoed term thus proves that the upstream has no other sponsor until (send time of the reply +
+lock time). The proof holds whatever the delays: it counts from the sending at this entry, which precedes the receipt.
 */
 import {type AnnouncementReply, type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type Clock} from '../types/clock.ts';
@@ -12,11 +12,11 @@
 /** One sponsorship of this entry. */
 export type Sponsorship = {
 	incarnation: number;
-	/** Term at which it began; another epoch means that another sponsor may have granted in between. */
+	/** Term at which it began; a different epoch means that another sponsor may have granted slots in between. */
 	epoch: number;
 	startedAtMs: number;
 	believedUntilMs: number;
-	/** No entry granted slots of this incarnation before. */
+	/** No entry has granted slots of this incarnation before. */
 	isFirst: boolean;
 	formerSponsorId?: string;
 	slots: number;
@@ -33,17 +33,17 @@
 	incarnation: number;
 	terms: Term[];
 	sponsorship?: Sponsorship;
-	noticedAtMs: number;
+	lastAnnouncedAtMs: number;
 };
 
-/** Part of the lock time that is trusted: clocks of two hosts may run at slightly different rates. */
-const trustedShare = 0.9;
-const keptTerms = 16;
+/** Fraction of the lock time that is relied on: clocks of two hosts may run at slightly different rates. */
+const trustedFraction = 0.9;
+const maxTerms = 16;
 
 /** Gets the sponsor id of one incarnation of an entry. A restarted entry is another sponsor. */
 export const getSponsorId = (processId: string, incarnation: number): string => `${processId}#${incarnation}`;
 
-/** Gets the entry that a sponsor id names. */
+/** Gets the process id of the entry from a sponsor id. */
 export const getSponsorProcess = (sponsorId: string): string => sponsorId.slice(0, sponsorId.lastIndexOf('#'));
 
 /** Sponsorships of one entry. */
@@ -59,10 +59,10 @@
 		this.#lastTerm = 0;
 	}
 
-	/** Takes an announcement that names this entry as sponsor, or none; tells what to reply. */
+	/** Handles an announcement that names this entry as sponsor, or none; returns the fields of the reply. */
 	note(announcement: UpstreamAnnouncement, lockMs: number): Pick<AnnouncementReply, 'sponsorId' | 'sponsorTerm' | 'sponsorLockMs'> {
 		const sponsored = this.#get(announcement);
-		sponsored.noticedAtMs = this.#clock.monotonicMs();
+		sponsored.lastAnnouncedAtMs = this.#clock.monotonicMs();
 		if (announcement.incarnation < sponsored.incarnation) {
 			return {};
 		}
@@ -74,45 +74,45 @@
 
 		const echoed = sponsored.terms.find(({term}) => term === announcement.sponsorTerm);
 		if (!echoed) {
-			// Not a term that is still remembered: nothing new is promised, and the upstream's lock runs out.
+			// The term is no longer remembered: no new term is issued, so the upstream's lock expires.
 			return {sponsorId: this.ownId, sponsorTerm: announcement.sponsorTerm, sponsorLockMs: lockMs};
 		}
 
-		this.#believe(sponsored, echoed, announcement);
+		this.#extend(sponsored, echoed, announcement);
 		const term = this.#issue(sponsored, lockMs, echoed.epoch);
 		return {sponsorId: this.ownId, sponsorTerm: term, sponsorLockMs: lockMs};
 	}
 
-	/** Gets the sponsorship of the upstream while it may be believed. */
+	/** Gets the sponsorship of the upstream while it is valid. */
 	get(upstreamId: string): Sponsorship | undefined {
 		const sponsorship = this.#sponsored.get(upstreamId)?.sponsorship;
 		return sponsorship && sponsorship.believedUntilMs > this.#clock.monotonicMs() ? sponsorship : undefined;
 	}
 
-	/** Ends all sponsorships, so that others can take over without waiting. */
+	/** Ends all sponsorships, so that other entries can become sponsors without waiting. */
 	resign(): void {
 		this.#sponsored.clear();
 	}
 
-	/** Forgets upstreams that have not announced themselves here for long. */
+	/** Forgets upstreams that have not announced themselves here for so long. */
 	forgetOlderThan(ageMs: number): void {
 		const oldestMs = this.#clock.monotonicMs() - ageMs;
-		for (const [upstreamId, {noticedAtMs}] of this.#sponsored) {
-			if (noticedAtMs < oldestMs) {
+		for (const [upstreamId, {lastAnnouncedAtMs}] of this.#sponsored) {
+			if (lastAnnouncedAtMs < oldestMs) {
 				this.#sponsored.delete(upstreamId);
 			}
 		}
 	}
 
-	#believe(sponsored: Sponsored, echoed: Term, announcement: UpstreamAnnouncement): void {
-		const believedUntilMs = echoed.sentAtMs + (echoed.lockMs * trustedShare);
+	#extend(sponsored: Sponsored, echoed: Term, announcement: UpstreamAnnouncement): void {
+		const believedUntilMs = echoed.sentAtMs + (echoed.lockMs * trustedFraction);
 		const known = sponsored.sponsorship;
 		if (known?.epoch === echoed.epoch) {
 			known.believedUntilMs = Math.max(known.believedUntilMs, believedUntilMs);
 			return;
 		}
 
-		// A late duplicate can echo a term of an earlier epoch; it must not end the present one.
+		// A delayed duplicate can echo a term of an earlier epoch; it must not end the current sponsorship.
 		if (known && known.epoch > echoed.epoch) {
 			return;
 		}
@@ -133,7 +133,7 @@
 		sponsored.terms.push({
 			term, epoch: epoch ?? term, sentAtMs: this.#clock.monotonicMs(), lockMs,
 		});
-		if (sponsored.terms.length > keptTerms) {
+		if (sponsored.terms.length > maxTerms) {
 			sponsored.terms.shift();
 		}
 
@@ -143,7 +143,7 @@
 	#get({upstreamId, incarnation}: UpstreamAnnouncement): Sponsored {
 		let sponsored = this.#sponsored.get(upstreamId);
 		if (!sponsored || sponsored.incarnation < incarnation) {
-			sponsored = {incarnation, terms: [], noticedAtMs: 0};
+			sponsored = {incarnation, terms: [], lastAnnouncedAtMs: 0};
 			this.#sponsored.set(upstreamId, sponsored);
 		}
 
