--- a/src/requests/announcement-book.ts
+++ b/src/requests/announcement-book.ts
@@ -125,7 +125,7 @@
 		}
 	}
 
-	/** Forgets hosts that were not seen and had no lease for so long, which bounds the size; returns their ids. */
+	/** Forgets hosts that were not seen and had no valid lease for `ageMs`, which bounds the size; returns their ids. */
 	forgetOlderThan(ageMs: number): string[] {
 		const oldestMs = this.#clock.monotonicMs() - ageMs;
 		const forgotten: string[] = [];
--- a/src/requests/claim-book.ts
+++ b/src/requests/claim-book.ts
@@ -60,7 +60,7 @@
 	readonly #won = new Map<string, WonClaim>();
 	/** Ids of released claims whose release has not been read back from the log. */
 	readonly #releasing = new Set<string>();
-	#oldestIdMs = Number.NEGATIVE_INFINITY;
+	#forgottenBeforeMs = Number.NEGATIVE_INFINITY;
 	#isAfterGap = false;
 	#hasReadEnd = false;
 	#failingSinceMs: number | undefined;
@@ -106,12 +106,12 @@
 		return this.#failingSinceMs !== undefined && clock.monotonicMs() - this.#failingSinceMs >= settings.claims.failFastAfterMs;
 	}
 
-	/** Creation times of the ids that may be claimed now. */
+	/** Range of the creation times of ids that may be claimed now. */
 	get window(): IdWindow {
 		const {clock, settings} = this.#options;
 		const nowMs = clock.now().getTime();
 		return {
-			oldestMs: Math.max(this.#oldestIdMs, nowMs - getIdLifetimeMs(settings)),
+			oldestMs: Math.max(this.#forgottenBeforeMs, nowMs - getIdLifetimeMs(settings)),
 			newestMs: nowMs + settings.claims.maxClockErrorMs,
 		};
 	}
@@ -229,7 +229,7 @@
 		const record = parseClaimRecord(value);
 		if (this.#isAfterGap) {
 			this.#isAfterGap = false;
-			this.#raiseOldestId(record.writtenAtMs + this.#options.settings.claims.maxClockErrorMs);
+			this.#raiseForgottenBefore(record.writtenAtMs + this.#options.settings.claims.maxClockErrorMs);
 		}
 
 		this.#fold.apply(record, (item, known) => {
@@ -266,12 +266,12 @@
 		const {clock, settings} = this.#options;
 		const nowMs = clock.now().getTime();
 		// Forgotten ids must not become claimable again, even if the wall clock is set back.
-		this.#raiseOldestId(this.#fold.dropBefore(this.window.oldestMs, nowMs - settings.log.retentionMs));
-		this.#raiseOldestId(this.#fold.shrinkTo(settings.claims.maxKnown));
+		this.#raiseForgottenBefore(this.#fold.dropBefore(this.window.oldestMs, nowMs - settings.log.retentionMs));
+		this.#raiseForgottenBefore(this.#fold.shrinkTo(settings.claims.maxKnown));
 	}
 
-	#raiseOldestId(oldestIdMs: number | undefined): void {
-		this.#oldestIdMs = Math.max(this.#oldestIdMs, oldestIdMs ?? this.#oldestIdMs);
+	#raiseForgottenBefore(timeMs: number | undefined): void {
+		this.#forgottenBeforeMs = Math.max(this.#forgottenBeforeMs, timeMs ?? this.#forgottenBeforeMs);
 	}
 
 	#isWorthTrying(): boolean {
--- a/src/requests/claim-fold.ts
+++ b/src/requests/claim-fold.ts
@@ -23,7 +23,7 @@
 };
 
 const bucketMs = 60_000;
-/** A delayed duplicate of a released claim that is no longer listed could at worst hold the id; it could not be dispatched. */
+/** A delayed duplicate of a released claim that is no longer listed could hold the id, but its request could not be dispatched. */
 const maxReleasedIds = 16;
 const maxOpen = 10_000;
 
--- a/src/requests/claim-start.ts
+++ b/src/requests/claim-start.ts
@@ -18,7 +18,7 @@
 	signal: AbortSignal;
 };
 
-/** A range of at most so many offsets is read instead of searched. */
+/** A range of at most this many offsets is read instead of searched. */
 const maxScannedOffsets = 2000;
 const retryMs = 200;
 
--- a/src/requests/membership-budget.ts
+++ b/src/requests/membership-budget.ts
@@ -21,7 +21,7 @@
 	}
 
 	/** Counts an announcement and returns the time in ms until its host is to announce next. */
-	note(assignedHosts: number): number {
+	note(monitoredHosts: number): number {
 		const nowMs = this.#clock.monotonicMs();
 		if (nowMs - this.#windowStartMs >= windowMs) {
 			this.#lastCount = nowMs - this.#windowStartMs >= 2 * windowMs ? 0 : this.#count;
@@ -30,7 +30,7 @@
 		}
 
 		this.#count++;
-		const regularMs = Math.max(this.#everyMs, assignedHosts / this.#perSecond * 1000);
+		const regularMs = Math.max(this.#everyMs, monitoredHosts / this.#perSecond * 1000);
 		// When another entry fails, its hosts announce here all at once: what exceeds the budget is spread over later periods.
 		const excess = Math.max(this.#count, this.#lastCount) / this.#perSecond;
 		return Math.round(excess > 1 ? regularMs * excess : regularMs);
--- a/src/requests/membership-messages.ts
+++ b/src/requests/membership-messages.ts
@@ -1,5 +1,5 @@
 /**
-Messages in which entries exchange the state of their assigned hosts.
+Messages in which entries exchange the state of the hosts that they monitor.
 */
 import {z} from 'zod';
 import {HostState, type UpstreamAnnouncement, type WorkerAnnouncement} from '../types/announcements.ts';
@@ -61,7 +61,7 @@
 export const parsePull = createParser('read membership pull', z.object({
 	/** Sets that the requester has: their versions, and how long ago their owners were known to be alive. */
 	known: z.array(ownerVersionSchema).max(1000),
-	/** Hosts assigned to the receiver that announced themselves to the requester. */
+	/** Hosts monitored by the receiver that announced themselves to the requester. */
 	refreshed: z.array(z.object({id: z.string().max(160), incarnation: z.number(), leaseMs: z.number().nonnegative()})),
 }));
 
--- a/src/requests/membership-sets.ts
+++ b/src/requests/membership-sets.ts
@@ -1,5 +1,5 @@
 /**
-The hosts assigned to one entry as a versioned set: other entries request the changes since the version that they have.
+The hosts that one entry monitors, as a versioned set: other entries request the changes since the version that they have.
 */
 import {type Announced} from './announcement-book.ts';
 
--- a/src/requests/membership-state.ts
+++ b/src/requests/membership-state.ts
@@ -1,7 +1,7 @@
 /**
 Which hosts are alive, from the announcements that this entry receives and the attestations of other entries.
 
-Each entry owns a versioned set of the hosts assigned to it. Entries pull each other's sets: a pull costs one small
+Each entry owns a versioned set of the hosts that it monitors. Entries pull each other's sets: a pull costs one small
 message when nothing changed, and attests all hosts of the set at once. An entry also passes on the sets of others if
 the requester has not reached their owners recently, so a broken link between two entries hides no host.
 */
@@ -36,9 +36,9 @@
 /** The hosts that this entry knows, and their states. */
 export class MembershipState {
 	readonly #registry: AnnouncementBook<HostAnnouncement>;
-	readonly #ownSet = new VersionedSet<HostAnnouncement>();
+	readonly #monitored = new VersionedSet<HostAnnouncement>();
 	readonly #owners = new Map<string, Owner>();
-	/** Leases that the owners of hosts are to extend, by the owner's id, until the next pull from that owner. */
+	/** Leases that the entries monitoring the hosts are to extend, by owner id of their set, until the next pull from there. */
 	readonly #pendingRenewals = new Map<string, Map<string, {incarnation: number; leaseMs: number}>>();
 	/** Hosts whose leases expired without an announced end; their return is a flap. */
 	readonly #expired = new Set<string>();
@@ -58,29 +58,29 @@
 		this.#registry = new AnnouncementBook(clock);
 	}
 
-	/** Number of hosts assigned to this entry. */
+	/** Number of hosts that this entry monitors. */
 	get careCount(): number {
-		return this.#ownSet.hosts.size;
+		return this.#monitored.hosts.size;
 	}
 
-	/** Applies an announcement that this entry received. With `isAssigned`, assigns the host to this entry, whoever else owns it. */
-	hear(id: string, announcement: HostAnnouncement, leaseMs: number, isAssigned = false): Taken {
+	/** Applies an announcement that this entry received. With `isMonitoredHere`, this entry monitors the host even if another does. */
+	hear(id: string, announcement: HostAnnouncement, leaseMs: number, isMonitoredHere = false): Taken {
 		this.#checkForFlap(id, announcement);
 		const outcome = this.#registry.take(id, announcement, leaseMs);
 		if (outcome === Taken.Stale) {
 			return outcome;
 		}
 
-		const isInOwnSet = this.#ownSet.hosts.has(id);
-		if (outcome === Taken.Changed || (isAssigned && !isInOwnSet)) {
-			this.#assign(id, announcement);
+		const isMonitored = this.#monitored.hosts.has(id);
+		if (outcome === Taken.Changed || (isMonitoredHere && !isMonitored)) {
+			this.#startMonitoring(id, announcement);
 			return outcome;
 		}
 
-		if (!isInOwnSet) {
+		if (!isMonitored) {
 			const ownerId = this.#findOwner(id, announcement.incarnation);
 			if (ownerId === undefined) {
-				this.#assign(id, announcement);
+				this.#startMonitoring(id, announcement);
 			} else {
 				this.#queueRenewal(ownerId, id, {incarnation: announcement.incarnation, leaseMs});
 			}
@@ -122,7 +122,7 @@
 		return {
 			known: [
 				// Without this entry's own set in the list, every answer would return that set in full.
-				{ownerId: this.#ownerId, version: this.#ownSet.version, ageMs: 0},
+				{ownerId: this.#ownerId, version: this.#monitored.version, ageMs: 0},
 				...[...this.#owners].map(([knownId, {set, aliveAtMs}]) => ({ownerId: knownId, version: set.version, ageMs: Math.max(0, nowMs - aliveAtMs)})),
 			],
 			refreshed: [...refreshed].map(([id, value]) => ({id, ...value})),
@@ -132,14 +132,14 @@
 	/** Answers a request for changes. */
 	servePull({known, refreshed}: Pull): PullAnswer {
 		for (const {id, incarnation, leaseMs} of refreshed) {
-			if (this.#ownSet.hosts.has(id)) {
+			if (this.#monitored.hosts.has(id)) {
 				this.#registry.refresh(id, incarnation, leaseMs);
 			}
 		}
 
 		const nowMs = this.#clock.monotonicMs();
 		const asked = new Map(known.map(item => [item.ownerId, item]));
-		const own = {ownerId: this.#ownerId, ageMs: 0, ...this.#ownSet.getDelta(asked.get(this.#ownerId)?.version ?? -1)};
+		const own = {ownerId: this.#ownerId, ageMs: 0, ...this.#monitored.getDelta(asked.get(this.#ownerId)?.version ?? -1)};
 		const owners: PullAnswer['owners'] = [own];
 		for (const [ownerId, {set, aliveAtMs}] of this.#owners) {
 			const ageMs = nowMs - aliveAtMs;
@@ -179,21 +179,21 @@
 		}
 	}
 
-	/** After a request without an answer: assigns the hosts whose leases it was to extend to this entry. */
+	/** After a request without an answer: this entry monitors the hosts whose leases the request was to extend. */
 	takeFailure({refreshed}: Pull): void {
 		for (const {id} of refreshed) {
 			const announcement = this.#registry.get(id);
 			if (announcement && this.#registry.isHeard(id)) {
-				this.#assign(id, announcement);
+				this.#startMonitoring(id, announcement);
 			}
 		}
 	}
 
 	/** Removes what has expired. After a pause of this process, expired leases do not count as flaps of the hosts. */
 	expire(wasPaused: boolean): void {
-		for (const id of this.#ownSet.hosts.keys()) {
+		for (const id of this.#monitored.hosts.keys()) {
 			if (!this.#registry.isHeard(id)) {
-				this.#ownSet.remove(id);
+				this.#monitored.remove(id);
 				this.#recordExpiry(id, wasPaused);
 			}
 		}
@@ -229,14 +229,14 @@
 		this.#checkForFlap(id, announcement);
 		if (this.#registry.merge(id, announcement) !== Taken.Stale) {
 			// The host now announces itself to the other entry, which has the newer state.
-			this.#ownSet.remove(id);
+			this.#monitored.remove(id);
 		}
 
 		this.#cachedUntilMs = Number.NEGATIVE_INFINITY;
 	}
 
-	#assign(id: string, announcement: HostAnnouncement): void {
-		this.#ownSet.set(id, announcement);
+	#startMonitoring(id: string, announcement: HostAnnouncement): void {
+		this.#monitored.set(id, announcement);
 		this.#cachedUntilMs = Number.NEGATIVE_INFINITY;
 	}
 
--- a/src/requests/slot-sponsor.ts
+++ b/src/requests/slot-sponsor.ts
@@ -103,7 +103,7 @@
 		return {sponsored, heldBack};
 	}
 
-	/** Forgets unknown upstreams, and entries without a message for so long. */
+	/** Forgets unknown upstreams, and entries that sent no message for `ageMs`. */
 	forget(isKnown: (upstreamId: string) => boolean, ageMs: number): void {
 		const oldestMs = this.#options.clock.monotonicMs() - ageMs;
 		for (const upstreamId of this.#sponsored.keys()) {
--- a/src/requests/slot-table.ts
+++ b/src/requests/slot-table.ts
@@ -81,7 +81,7 @@
 			return;
 		}
 
-		// The entry has a grant of a former sponsor: so many of the withheld slots are now accounted for.
+		// The entry has a grant of a former sponsor: the withheld slots that it covers are now accounted for.
 		this.#capacity = Math.min(this.#options.slots, this.#capacity + report.limit);
 		this.#grantees.set(granteeId, {...report, leaseEndMs: Number.NEGATIVE_INFINITY});
 	}
--- a/src/requests/sponsor-book.ts
+++ b/src/requests/sponsor-book.ts
@@ -94,7 +94,7 @@
 		this.#sponsored.clear();
 	}
 
-	/** Forgets upstreams that have not announced themselves here for so long. */
+	/** Forgets upstreams that have not announced themselves here for `ageMs`. */
 	forgetOlderThan(ageMs: number): void {
 		const oldestMs = this.#clock.monotonicMs() - ageMs;
 		for (const [upstreamId, {lastAnnouncedAtMs}] of this.#sponsored) {
--- a/test/claims-world.ts
+++ b/test/claims-world.ts
@@ -1,6 +1,6 @@
 /**
-Several claim books on one log in memory, whose processes can pause, crash and start again, and whose appends can be
-answered by an error and take effect, at once or later.
+Simulates several claim registries on one in-memory log. Their processes can pause, crash and restart; an append can be
+answered by an error and still take effect, at once or later.
 */
 import {followLog} from '../src/core/log-reader.ts';
 import {createSettings} from '../src/core/settings.ts';
@@ -16,14 +16,14 @@
 import {createRequestId} from '../src/utils/request-id.ts';
 import {createRandom} from '../src/utils/seeded-random.ts';
 
-/** Holds back all that a process does while it is paused. */
+/** Defers all actions of a process while it is paused. */
 export class Gate {
 	isPaused = false;
-	readonly #held: Array<() => void> = [];
+	readonly #deferred: Array<() => void> = [];
 
 	pass(action: () => void): void {
 		if (this.isPaused) {
-			this.#held.push(action);
+			this.#deferred.push(action);
 		} else {
 			action();
 		}
@@ -37,7 +37,7 @@
 
 	resume(): void {
 		this.isPaused = false;
-		for (const action of this.#held.splice(0)) {
+		for (const action of this.#deferred.splice(0)) {
 			action();
 		}
 	}
@@ -70,22 +70,22 @@
 	};
 };
 
-/** One try of a caller, and what came of it. */
+/** One attempt of a caller, and its result. */
 export type Try = {
 	requestId: string;
-	told?: 'not-run' | 'in-use';
+	refusal?: 'not-run' | 'in-use';
 	isDispatched: boolean;
-	heldState?: ClaimState;
+	holderState?: ClaimState;
 };
 
-/** What the world is created with. */
+/** Options of the simulation. */
 export type WorldOptions = {
 	seed?: number;
 	retentionMs?: number;
 	claims?: Partial<Settings['claims']>;
 };
 
-/** A log, and processes on it. */
+/** Creates a log, and functions that start processes on it. */
 export const createClaimsWorld = ({seed = 1, retentionMs, claims = {}}: WorldOptions = {}) => {
 	const clock = new ManualClock();
 	const random = createRandom(seed);
@@ -100,7 +100,7 @@
 			return memory.append(stream, value);
 		}
 
-		// Rejected now, in effect later: an append that hung in the platform.
+		// Rejected now and applied later: an append that hung in the platform.
 		clock.setTimer(() => {
 			void memory.append(stream, value).catch(() => undefined);
 		}, late.delayMs * random.next());
@@ -127,27 +127,27 @@
 				}
 			},
 		};
-		const book = new ClaimBook({
+		const registry = new ClaimBook({
 			log, clock: gatedClock, random, entryId, settings,
 		});
 		const follow = async () => {
 			const fromOffset = await findStartOffset({
 				log, clock: gatedClock, random, settings, signal: aborter.signal,
 			});
-			await followLog(book, {
+			await followLog(registry, {
 				log, stream: Stream.Claims, clock: gatedClock, random, fromOffset, signal: aborter.signal,
 			});
 		};
 
 		void follow();
-		void book.run(aborter.signal);
+		void registry.run(aborter.signal);
 		let isDead = false;
 
-		/** A caller's try: claims, and when it won dispatches for so long. */
+		/** One attempt of a caller: claims the id, and if the claim won, dispatches the request, which runs for `runMs`. */
 		const request = async (requestId: string, {timeoutMs = 500, runMs = 50, queueMs = 0} = {}): Promise<Try> => {
 			const attempt: Try = {requestId, isDispatched: false};
 			tries.push(attempt);
-			const result = await book.claim(requestId, 'desk', timeoutMs);
+			const result = await registry.claim(requestId, 'desk', timeoutMs);
 			if (result.isWon && queueMs > 0) {
 				await gatedClock.sleep(queueMs);
 			}
@@ -158,14 +158,14 @@
 			}
 
 			if (!result.isWon) {
-				attempt.told = result.claim ? 'in-use' : 'not-run';
-				attempt.heldState = result.claim?.state;
+				attempt.refusal = result.claim ? 'in-use' : 'not-run';
+				attempt.holderState = result.claim?.state;
 				return attempt;
 			}
 
-			if (!book.isDispatchable(requestId)) {
-				book.finish(requestId, {state: ClaimState.NotRun});
-				attempt.told = 'not-run';
+			if (!registry.isDispatchable(requestId)) {
+				registry.finish(requestId, {state: ClaimState.NotRun});
+				attempt.refusal = 'not-run';
 				return attempt;
 			}
 
@@ -173,14 +173,14 @@
 			dispatches.set(requestId, (dispatches.get(requestId) ?? 0) + 1);
 			await gatedClock.sleep(runMs);
 			if (!isDead) {
-				book.finish(requestId, {state: ClaimState.Done, status: 200});
+				registry.finish(requestId, {state: ClaimState.Done, status: 200});
 			}
 
 			return attempt;
 		};
 
 		return {
-			book,
+			registry,
 			gate,
 			request,
 			crash() {
--- a/test/membership-rest.test.ts
+++ b/test/membership-rest.test.ts
@@ -24,9 +24,9 @@
 	isGuarded: false,
 };
 
-// Two entries exchange news several times a second. Each answer brought the asker's own set back in full,
-// because the asker did not say that it has it: 645 bytes a second for each host at rest.
-test('an answer does not bring back the set of the entry that asks', () => {
+// Two entries exchange changes several times a second. Each answer returned the requester's own set in full, because the
+// requester did not list that set among those it has: 645 bytes per second for each host without any change.
+test('an answer does not return the set of the entry that requests it', () => {
 	const clock = new ManualClock();
 	const [a, b] = [createState(clock, 'a'), createState(clock, 'b')];
 	a.hear('upstream/desk-1', announcement, 60_000);
--- a/test/perf/measure-claims.ts
+++ b/test/perf/measure-claims.ts
@@ -15,7 +15,7 @@
 import {createRequestId} from '../../src/utils/request-id.ts';
 import {createRandom} from '../../src/utils/seeded-random.ts';
 
-type Figures = {
+type Measurements = {
 	answerMs: number;
 	claimsPerSecond: number;
 	appendsPerSecond: number;
@@ -31,7 +31,7 @@
 const msPerSecond = 1000;
 const microseconds = 1000;
 
-/** A log each of whose answers takes as long: half on the way there, half on the way back. */
+/** A log whose calls each take `answerMs`: half before the operation takes effect, half after. */
 const createSlowLog = (memory: MemoryLog, clock: ManualClock, answerMs: number): PlatformLog => ({
 	async append(stream, value) {
 		await clock.sleep(answerMs / 2);
@@ -47,9 +47,9 @@
 	},
 });
 
-const getGapMs = (random: Random, perSecond: number): number => -Math.log(1 - random.next()) * msPerSecond / perSecond;
+const getArrivalGapMs = (random: Random, perSecond: number): number => -Math.log(1 - random.next()) * msPerSecond / perSecond;
 
-const measure = async (answerMs: number, claimsPerSecond: number, seed: number): Promise<Figures> => {
+const measure = async (answerMs: number, claimsPerSecond: number, seed: number): Promise<Measurements> => {
 	const clock = new ManualClock();
 	const random = createRandom(seed);
 	const memory = new MemoryLog(clock, random);
@@ -60,10 +60,10 @@
 	let won = 0;
 	let lost = 0;
 
-	const claimOne = async (book: ClaimBook) => {
+	const claimOne = async (registry: ClaimBook) => {
 		const requestId = createRequestId(clock, random);
 		const startMs = clock.monotonicMs();
-		const {isWon} = await book.claim(requestId, 'desk', 5000);
+		const {isWon} = await registry.claim(requestId, 'desk', 5000);
 		if (!isWon) {
 			lost++;
 			return;
@@ -72,25 +72,25 @@
 		won++;
 		histogram.recordValue(Math.round((clock.monotonicMs() - startMs) * microseconds));
 		await clock.sleep(runMs);
-		book.finish(requestId, {state: ClaimState.Done, status: 200, body: 'x'.repeat(400)});
+		registry.finish(requestId, {state: ClaimState.Done, status: 200, body: 'x'.repeat(400)});
 	};
 
-	const arrive = async (book: ClaimBook) => {
+	const arrive = async (registry: ClaimBook) => {
 		while (!signal.aborted) {
-			await clock.sleep(getGapMs(random, claimsPerSecond / entryCount));
-			void claimOne(book);
+			await clock.sleep(getArrivalGapMs(random, claimsPerSecond / entryCount));
+			void claimOne(registry);
 		}
 	};
 
 	for (let index = 0; index < entryCount; index++) {
-		const book = new ClaimBook({
+		const registry = new ClaimBook({
 			log, clock, random, entryId: `entry-${index}`, settings: createSettings(),
 		});
-		void book.run(signal);
-		void followLog(book, {
+		void registry.run(signal);
+		void followLog(registry, {
 			log, stream: Stream.Claims, clock, random, fromOffset: 0, signal,
 		});
-		void arrive(book);
+		void arrive(registry);
 	}
 
 	await clock.advance(seconds * msPerSecond);
@@ -107,8 +107,8 @@
 	console.log('log answer ms | claims/s | appends/s | added p50 ms | added p99 ms | won | not confirmed');
 	for (const answerMs of [2, 10, 50]) {
 		for (const claimsPerSecond of [100, 300, 1000]) {
-			const figures = await measure(answerMs, claimsPerSecond, seed);
-			const {appendsPerSecond, p50Ms, p99Ms, won, lost} = figures;
+			const measurements = await measure(answerMs, claimsPerSecond, seed);
+			const {appendsPerSecond, p50Ms, p99Ms, won, lost} = measurements;
 			console.log([answerMs, claimsPerSecond, appendsPerSecond.toFixed(0), p50Ms.toFixed(1), p99Ms.toFixed(1), won, lost].join(' | '));
 		}
 	}
