--- a/src/requests/membership-state.ts
+++ b/src/requests/membership-state.ts
@@ -71,13 +71,13 @@
 			return outcome;
 		}
 
-		const isMonitored = this.#monitored.hosts.has(id);
-		if (outcome === Taken.Changed || (isMonitoredHere && !isMonitored)) {
+		const isAlreadyMonitored = this.#monitored.hosts.has(id);
+		if (outcome === Taken.Changed || (isMonitoredHere && !isAlreadyMonitored)) {
 			this.#startMonitoring(id, announcement);
 			return outcome;
 		}
 
-		if (!isMonitored) {
+		if (!isAlreadyMonitored) {
 			const ownerId = this.#findOwner(id, announcement.incarnation);
 			if (ownerId === undefined) {
 				this.#startMonitoring(id, announcement);
