--- a/src/workflows/advice-cache.ts
+++ b/src/workflows/advice-cache.ts
@@ -1,5 +1,5 @@
 /**
-Advice for steps of queues that need it: asked for before a step's turn comes, kept while it is valid.
+Caches placement advice for steps of queues that require it. Advice is requested before a step is ready, and kept while it is valid.
 */
 import {getMessage} from '../core/errors.ts';
 import {type AdviceClient} from '../types/advice.ts';
@@ -9,7 +9,7 @@
 
 /** Options of the cache. */
 export type AdviceCacheOptions = {
-	/** Undefined: the site has no such service. */
+	/** Undefined: the site has no advice service. */
 	client: AdviceClient | undefined;
 	clock: Clock;
 	onAdvice: () => void;
@@ -19,21 +19,21 @@
 type Entry = {
 	/** Tickets by worker, with the end of their validity. */
 	tickets: Map<string, {ticket: string; validUntilMs: number}>;
-	/** Workers that were named once: which of them are good does not change. */
+	/** Workers that were named in a request. Whether a worker is approved for the step does not change, so each is named once. */
 	asked: Set<string>;
 	isAsking: boolean;
 	retryAtMs: number;
 };
 
-/** The service takes one call of a host at a time: more would only wait there. */
+/** The advice service processes one call of a host at a time: further calls would only queue there. */
 const maxCalls = 4;
-/** It takes at most so many workers in a call. */
+/** Limit of the advice service on workers in a call. */
 const maxWorkers = 100;
 const retryMs = 300;
-/** A ticket this close to its end may be too old as the start arrives. */
+/** A ticket with less validity than this may expire before the start arrives. */
 const marginMs = 400;
 
-/** The cache. */
+/** Advice for the steps of one owner's jobs. */
 export class AdviceCache {
 	readonly #options: AdviceCacheOptions;
 	readonly #entries = new Map<LiveStep, Entry>();
@@ -43,15 +43,15 @@
 		this.#options = options;
 	}
 
-	/** Ticket for a task of the step on the worker; undefined when there is none that is valid. */
+	/** Gets a ticket for a task of the step on the worker; undefined: there is none that is valid. */
 	getTicket(step: LiveStep, workerId: string): string | undefined {
 		const ticket = this.#entries.get(step)?.tickets.get(workerId);
 		return ticket && ticket.validUntilMs > this.#options.clock.monotonicMs() + marginMs ? ticket.ticket : undefined;
 	}
 
 	/**
-	Asks for what steps lack, as far as calls are free. Advice is on the way of a step to its first start: steps ask as soon as
-	they are known, those whose turn is now first. Forgets steps of jobs that are over.
+	Requests missing tickets, as far as the limit on concurrent calls allows, and removes steps that ended. Advice delays the
+	first start of a step, so steps request it as soon as they are known; ready steps go first.
 	*/
 	update(openSteps: LiveStep[], workers: Iterable<FleetWorker>): void {
 		this.#prune();
@@ -95,7 +95,7 @@
 		return entry;
 	}
 
-	/** Workers that were never named, and good ones whose ticket has run out. */
+	/** Workers that were never named in a request, and approved ones whose ticket has expired. */
 	#getLacking(step: LiveStep, entry: Entry, workerIds: string[]): string[] {
 		return workerIds.filter(workerId => !entry.asked.has(workerId)
 			|| (entry.tickets.has(workerId) && this.getTicket(step, workerId) === undefined));
--- a/src/workflows/due-occurrences.ts
+++ b/src/workflows/due-occurrences.ts
@@ -1,10 +1,10 @@
 /**
-Occurrences of jobs that are repeated at given times: opens each when it is due.
+Opens the occurrences of repeated jobs when they are due.
 */
 import {type Clock} from '../types/clock.ts';
 import {type LiveModel, type LiveWorkflow} from './live-model.ts';
 
-/** The occurrences that are still to come. */
+/** Schedule of future occurrences. */
 export class DueOccurrences {
 	readonly #model: LiveModel;
 	readonly #clock: Clock;
@@ -15,7 +15,7 @@
 		this.#clock = clock;
 	}
 
-	/** Opens what is due of the job, and keeps the time of what comes next. */
+	/** Opens the job's due occurrences, and schedules the next one. */
 	schedule(workflow: LiveWorkflow): void {
 		const dueAtMs = this.#model.openDue(workflow, this.#clock.now().getTime(), this.#clock.monotonicMs());
 		if (dueAtMs !== undefined) {
@@ -23,7 +23,7 @@
 		}
 	}
 
-	/** Opens what has come due since; to be called every now and then. */
+	/** Opens occurrences that have become due; to be called periodically. */
 	open(): void {
 		const wallMs = this.#clock.now().getTime();
 		const due = this.#scheduled.filter(({dueAtMs}) => dueAtMs <= wallMs);
--- a/src/workflows/evacuations.ts
+++ b/src/workflows/evacuations.ts
@@ -3,7 +3,7 @@
 */
 import {type Evacuations} from '../types/site.ts';
 
-/** The fold. Offsets decide, so it never goes back. */
+/** Current evacuations. Records up to the offset already applied are ignored. */
 export class EvacuationFold {
 	#current: Evacuations = {asOf: -1, failureDomains: []};
 
@@ -11,7 +11,7 @@
 		return this.#current;
 	}
 
-	/** Takes one request, or its removal. */
+	/** Applies the record of a request or of its removal. */
 	take(failureDomain: string, isRequested: boolean, offset: number): void {
 		if (offset <= this.#current.asOf) {
 			return;
@@ -21,7 +21,7 @@
 		this.#current = {asOf: offset, failureDomains: isRequested ? [...others, failureDomain] : others};
 	}
 
-	/** Takes all requests in force: a removal whose record is gone shows only by what is missing. */
+	/** Replaces all requests by those in force at an offset: a removal may be visible only by the absence of its request, once its record has been deleted. */
 	takeAll(failureDomains: string[], endOffset: number): void {
 		if (endOffset > this.#current.asOf) {
 			this.#current = {asOf: endOffset - 1, failureDomains};
--- a/src/workflows/fill-harm.ts
+++ b/src/workflows/fill-harm.ts
@@ -1,60 +1,60 @@
 /**
-What tasks that fill do to the load of tasks that serve, learned by pairs of images from what workers report.
+Model of the load that best-effort tasks add to serving tasks, learned for pairs of images from workers' reports.
 */
 import {RunPhase, type LiveRun} from './live-model.ts';
 import {PairEffects} from './pair-effects.ts';
 import {type HarmPair} from './records.ts';
 import {getLoadAt, saturatedLoad, ServingLoads} from './serving-load.ts';
 
-/** A serving task beside which others may fill. */
+/** A serving task beside which best-effort tasks may run. */
 export type Server = {
 	image: string;
-	/** Tasks of one job serve the same users: their load rises and falls together. */
+	/** Tasks of one job serve the same users, so that their loads change together. */
 	job: string;
-	/** Tail latency over its target, as last reported; 0 before the first report. */
+	/** Tail latency divided by its target, as last reported; 0 before the first report. */
 	ratio: number;
-	/** Since when it is over its target on end; undefined: it is not. */
+	/** Start of the time in which it has exceeded its target continuously; undefined: it does not. */
 	overSinceMs?: number;
-	/** The same but for single figures. */
+	/** The same, not counting single readings below the target. */
 	mostlyOverSinceMs?: number;
 };
 
-/** Tasks of one image that fill on one worker. */
+/** Best-effort tasks of one image on one worker. */
 export type Filler = {
 	image: string;
-	/** Share of the worker's processors that they ask for at full speed. */
+	/** Share of the worker's CPU that they use at full speed. */
 	share: number;
-	/** Share of the worker's processors that they used over the last half second. */
+	/** Share of the worker's CPU that they used over the last half second. */
 	usedShare: number;
-	/** Most that they used over the last second or so: a tail falls back as long after its cause is gone. */
+	/** Peak of `usedShare` over the time that a tail takes to fall after its cause has stopped, about 1.3 s. */
 	recentShare: number;
-	/** Share of their speed that they were last told to work at, 0 to 100. */
+	/** Pace that was last set, 0 to 100 percent of full speed. */
 	percent: number;
 	sinceChangeMs: number;
 };
 
-/** Effects are recorded for a tenth of a worker: about one task. */
+/** Effects are stored for a tenth of a worker's CPU, which is about one task. */
 const recordedShare = 0.1;
-/** What was learned has faded by then; images come and go, and what is handed on must not grow with all that ever were. */
+/** Images that were not observed for this long are removed: what was learned has faded, and the record for the next owner must not grow with every image ever seen. */
 const forgetMs = 300_000;
-// A pair that was not seen yet is taken for somewhat harmful: one task shows what it does before more follow.
+// An unknown pair is assumed somewhat harmful: the first task shows its effect before more follow.
 const cautionDeviations = 0.5;
-/** Half of the doubt about a pair that was never seen. */
+/** An effect is known at or below this deviation, which is half that of a pair never observed. */
 const knownDeviation = 1;
-/** Tails come in whole milliseconds, half a second late, and are rough. */
+/** Readings of tail latency are whole milliseconds, half a second late, and noisy. */
 const reportVariance = 0.03 ** 2;
 
-/** Learned harm. */
+/** Learned interference between images. */
 export class FillHarm {
 	readonly #effects = new PairEffects();
 	readonly #loads = new ServingLoads();
-	/** Images that were measured beside each other, with the last time. */
+	/** Images that were observed beside each other, with the last time. */
 	readonly #servers = new Map<string, number>();
 	readonly #fillers = new Map<string, number>();
-	/** Effects that were asked for since the last report, by server and filler: each scheduling cycle asks thousands of times. */
+	/** Effects requested since the last report, by serving and best-effort image: a scheduling cycle requests thousands. */
 	readonly #knownEffects = new Map<string, Map<string, number>>();
 
-	/** Takes what serving tasks of a worker report while the others fill. */
+	/** Learns from the reports of one worker's serving tasks and the use of its best-effort tasks. */
 	note(servers: Server[], fillers: Filler[], nowMs: number): void {
 		this.#knownEffects.clear();
 		this.#effects.fade(nowMs);
@@ -72,7 +72,7 @@
 		}
 	}
 
-	/** What was learned so far, for another owner. */
+	/** Gets the learned effects for the next owner. */
 	getPairs(): HarmPair[] {
 		const pairs: HarmPair[] = [];
 		for (const server of this.#servers.keys()) {
@@ -89,7 +89,7 @@
 		return pairs;
 	}
 
-	/** Takes what an earlier owner has learned: without it, each pair would do its harm once more to be known. */
+	/** Restores effects that an earlier owner learned; otherwise each pair would disturb users once more before it is known. */
 	restore(pairs: HarmPair[], nowMs: number): void {
 		this.#knownEffects.clear();
 		for (const {server, filler, mean, deviation} of pairs) {
@@ -99,7 +99,7 @@
 		}
 	}
 
-	/** Load that the image adds to the server's, for a whole worker of its tasks. */
+	/** Load that the best-effort image would add to a serving task if it used all of a worker's CPU. */
 	getEffect(server: string, filler: string): number {
 		let effects = this.#knownEffects.get(server);
 		if (!effects) {
@@ -116,24 +116,24 @@
 		return effect;
 	}
 
-	/** Whether it was measured of late what the image does to the server's. */
+	/** Whether the effect was observed recently enough to be relied on. */
 	isKnown(server: string, filler: string): boolean {
 		return this.#effects.isSeen(server, filler) && this.#effects.get(server, filler).deviation <= knownDeviation;
 	}
 
-	/** Load of a server by itself. */
+	/** Load of a serving job without interference. */
 	getLoad(job: string): number {
 		return this.#loads.get(job);
 	}
 
-	/** The same with what it may rise, at most by the rise given. */
+	/** The same, plus the expected rise, which is at most `mostRise`. */
 	getRisenLoad(job: string, mostRise: number): number {
 		return this.#loads.get(job) + this.#loads.getRise(job, mostRise);
 	}
 
 	/**
-	What was used shortly before explains a tail that is still falling: such a report is passed over. A tail that is shorter
-	than what works now explains, or longer than all that worked shortly before does, teaches.
+	Learns from one report, unless recent use explains a tail that is still falling. A tail below what current use explains,
+	or above what all recent use explains, is learned from.
 	*/
 	#noteOne({image, job, ratio}: Server, fillers: Filler[], nowMs: number): void {
 		const load = getLoadAt(ratio);
@@ -197,7 +197,7 @@
 
 const round = (value: number): number => Math.round(value * 1000) / 1000;
 
-/** Serving tasks among the runs of a worker, with what was last reported of them. */
+/** Gets the serving tasks among the runs of a worker, with their last report. */
 export const getServers = (runs: Iterable<LiveRun>): Server[] => {
 	const servers: Server[] = [];
 	for (const {phase, percent, recent, overSinceMs, mostlyOverSinceMs, task: {step: {spec, servingName}}} of runs) {
@@ -212,10 +212,10 @@
 	return servers;
 };
 
-/** Pace of each image that fills on a worker. */
+/** Pace of each best-effort image on a worker. */
 export type Paces = Map<string, {percent: number; changedAtMs: number}>;
 
-/** Tasks that fill among the runs of a worker, by image. */
+/** Gets the best-effort tasks among the runs of a worker, by image. */
 export const getFillers = (runs: Iterable<LiveRun>, paces: Paces, {milliCpu, nowMs}: {milliCpu: number; nowMs: number}): Filler[] => {
 	const fillers = new Map<string, Filler>();
 	for (const {phase, recent, task: {step: {spec}}} of runs) {
--- a/src/workflows/harm-pacing.ts
+++ b/src/workflows/harm-pacing.ts
@@ -1,35 +1,35 @@
 /**
-How fast tasks that fill may work beside tasks that serve: as fast as keeps each serving task below its target, by what
-is known of its load and of what each image adds to it. The most harmful image slows down first, and no more than needed.
+Computes how fast best-effort tasks may run beside serving tasks: as fast as keeps each serving task below its target, by
+its estimated load and the load that each image adds. The most harmful image slows down first, and no more than needed.
 */
 import {getLoadAt} from './serving-load.ts';
 
-/** Load of a serving task by itself. */
+/** Load of a serving task without interference. */
 export type ServingTask = {
 	image: string;
 	load: number;
 };
 
-/** Tasks of one image that want to fill: their share of the worker's processors at full speed. */
+/** Best-effort tasks of one image: the share of the worker's CPU that they use at full speed. */
 export type FillDemand = {
 	image: string;
 	share: number;
 };
 
-/** Load that a whole worker of the filling image adds to the server's. */
+/** Gets the load that the best-effort image would add to the serving image if it used all of a worker's CPU. */
 export type GetEffect = (server: string, filler: string) => number;
 
-/** Serving tasks are kept below this share of their target: reports are late, and loads rise meanwhile. */
+/** Serving tasks are kept below this share of their target, because loads rise until the next report arrives. */
 const aimRatio = 0.9;
 const maxLoad = getLoadAt(aimRatio);
-/** Images that add less than this for a whole worker are not worth slowing down. */
+/** Images whose effect is below this are not slowed down. */
 const negligibleEffect = 0.05;
-/** Load that is not worth an order; what is left of sums of fractions is far less. */
+/** Excess load that is not worth an order; well above rounding errors. */
 const tolerance = 0.005;
-/** Slower than this is as good as stopped. */
+/** A lower speed is replaced by 0. */
 const minSpeed = 0.1;
 
-/** Speed of each demand, 0 to 1, in their order. */
+/** Computes the speed of each demand, 0 to 1, in the order of `demands`. */
 export const planSpeeds = (servers: ServingTask[], demands: FillDemand[], getEffect: GetEffect): number[] => {
 	const speeds = demands.map(() => 1);
 	const effects = demands.map(() => 0);
@@ -49,7 +49,7 @@
 	return speeds;
 };
 
-/** Takes the excess off, the most harmful image first. */
+/** Lowers speeds until the excess load is gone, starting with the most harmful image. */
 const slowDown = (speeds: number[], demands: FillDemand[], {effects, excess}: {effects: number[]; excess: number}): void => {
 	let leftExcess = excess;
 	const order = [...effects.keys()].filter(index => effects[index]! > 0).toSorted((a, b) => effects[b]! - effects[a]!);
@@ -67,7 +67,7 @@
 	}
 };
 
-/** Processors' share that is asked for at full speed. */
+/** Share of the CPU that the demands use at full speed. */
 export const getAskedShare = (demands: FillDemand[]): number => {
 	let sum = 0;
 	for (const {share} of demands) {
@@ -77,7 +77,7 @@
 	return sum;
 };
 
-/** Processors' share at work under the speeds. */
+/** Share of the CPU that the demands use at the given speeds. */
 export const getWorkingShare = (demands: FillDemand[], speeds: number[]): number => {
 	let sum = 0;
 	for (const [index, {share}] of demands.entries()) {
--- a/src/workflows/open-workers.ts
+++ b/src/workflows/open-workers.ts
@@ -1,21 +1,21 @@
 /**
-Which workers may be given something: those that are heard, do not drain, are not evacuated, and do not fail what others do
-well.
+Selects the workers that may get new tasks: they are reachable, do not drain, are not evacuated, and do not fail tasks that
+succeed elsewhere.
 */
 import {type FleetWorker} from './fleet-view.ts';
 import {Mechanism, type Policy} from './policy.ts';
 
-/** An agent that was not heard for so long gets no orders. */
+/** An agent without a reply for this long gets no orders. */
 const reachableMs = 1500;
 
 const isReached = ({isListed, isAnswering, silentSinceMs, heardAtMs, lostSession, blockedUntilMs}: FleetWorker, nowMs: number): boolean =>
 	isListed && isAnswering && silentSinceMs === undefined && nowMs - heardAtMs < reachableMs && lostSession === undefined && blockedUntilMs <= nowMs;
 
-/** Whether the worker failed what others did well, and is held down, or has its one task already that shows whether it recovered. */
+/** Whether the worker is held down because it failed tasks that succeed elsewhere, or already runs the one task that probes its recovery. */
 const isHeldDown = ({health: {isHeld, isProbing}, runs}: FleetWorker): boolean =>
 	isHeld || (isProbing && [...runs].some(run => !run.task.step.spec.isLasting));
 
-/** What workers are judged by. */
+/** Criteria for eligible workers. */
 export type OpenTerms = {
 	nowMs: number;
 	policy: Policy;
@@ -23,7 +23,7 @@
 	evacuated: readonly string[];
 };
 
-/** Gets the workers that may be given something. */
+/** Gets the workers that may get new tasks. */
 export const getOpenWorkers = (workers: Iterable<FleetWorker>, {nowMs, policy, evacuated}: OpenTerms): FleetWorker[] =>
 	[...workers].filter(worker => worker.report !== undefined && worker.report.milliCpu > 0 && !worker.report.isDraining
 		&& !evacuated.includes(worker.report.failureDomain) && isReached(worker, nowMs)
--- a/src/workflows/pace-keeper.ts
+++ b/src/workflows/pace-keeper.ts
@@ -1,5 +1,6 @@
 /**
-Keeps the paces of the tasks that fill beside serving tasks: learns from each state of an agent, decides, and orders.
+Controls the paces of best-effort tasks on workers with serving tasks: updates the interference model from each agent
+state, sets a pace per image, and sends the orders.
 */
 import {type Clock} from '../types/clock.ts';
 import {OrderType, type Order} from '../types/fleet.ts';
@@ -12,31 +13,31 @@
 import {RunPhase, type LiveRun} from './live-model.ts';
 import {getLoadAt} from './serving-load.ts';
 
-/** Figures of a worker are of the last half second: a report sooner than this tells little that is new. */
+/** Usage and tail latency cover the last half second: reports at shorter intervals add little information. */
 const learnEveryMs = 400;
-/** A tail that was six times its target is back below it this long after its cause was stopped. */
+/** Time in which a tail latency of six times its target falls below the target again after its cause has stopped. */
 const fallMs = 1300;
-/** Loads of serving tasks rise by up to so much until a report tells, and a pace shows. */
+/** Load of serving tasks may rise by this much before it is reported and a new pace takes effect. */
 const riseMargin = 0.04;
-/** Paces are told in steps; a smaller change is not worth an order. */
+/** Paces are multiples of this percentage; a smaller change is not worth an order. */
 const paceStep = 5;
-/** Less than this is not given back at a time, and not sooner than a pace shows. */
+/** A pace is raised by at least this much, and no sooner than the last change has taken effect. */
 const minRaise = 15;
 const settleMs = 500;
 const whole = 100;
 /**
-A serving task that is over its target for so long on end is left alone with what it needs, whatever is known of its
-neighbours: what is known may be wrong. Users bear it for some seconds, and a tail falls for a while after a stop.
+Best-effort tasks are stopped beside a serving task that has exceeded its target continuously for this long, whatever
+the model predicts, because it may be wrong. Users tolerate some seconds, and the tail takes time to fall after a stop.
 */
 const stopAfterMs = 1500;
-/** The same with single figures below the target: what users bear, less the time that a tail takes to fall, and a report. */
+/** The same, not counting single readings below the target: the time that users tolerate, less the time that the tail takes to fall and one report interval. */
 const stopMostlyAfterMs = 2400;
-/** A tail that stayed below its target for so long is back: workers tell figures of the last half second. */
+/** A tail that stayed below its target for this long has recovered: readings cover the last half second. */
 const backAfterMs = 600;
 
 const getPace = (worker: FleetWorker, run: LiveRun): number => worker.paces.get(run.task.step.spec.image ?? '')?.percent ?? whole;
 
-/** Load of each serving task by itself: what is known of its job, or what its own tail tells if that is more. */
+/** Estimates the load of each serving task on its own: the estimate for its job, or the load that its tail implies if that is higher. */
 const getServingTasks = (servers: Server[], fillers: Filler[], harm: FillHarm): ServingTask[] => servers.map(({image, job, ratio}) => {
 	const load = harm.getRisenLoad(job, riseMargin);
 	let measured = getLoadAt(ratio);
@@ -47,12 +48,12 @@
 	return {image, load: Math.max(load, measured)};
 });
 
-/** Whether a serving task has been over its target for so long that nothing may fill beside it. */
+/** Whether a serving task has exceeded its target for so long that best-effort tasks must stop. */
 const mustStopFilling = (servers: Server[], nowMs: number): boolean =>
 	servers.some(({overSinceMs, mostlyOverSinceMs}) => overSinceMs !== undefined
 		&& (nowMs - overSinceMs >= stopAfterMs || nowMs - (mostlyOverSinceMs ?? nowMs) >= stopMostlyAfterMs));
 
-/** Decides the pace of each image on one worker; images that keep theirs are left out. */
+/** Decides the pace of each image on one worker; images whose pace stays the same are left out. */
 export const decidePaces = (servers: Server[], fillers: Filler[], harm: FillHarm, isStopped = false): Map<string, number> => {
 	if (isStopped) {
 		return new Map(fillers.filter(({percent}) => percent > 0).map(({image}) => [image, 0]));
@@ -71,7 +72,7 @@
 	return paces;
 };
 
-/** The keeper. */
+/** Sets and sends the paces of one owner's workers. */
 export class PaceKeeper {
 	readonly #harm: FillHarm;
 	readonly #links: AgentLinks;
@@ -85,9 +86,9 @@
 		this.#note = note;
 	}
 
-	/** Takes a worker's newest state. */
+	/** Processes the newest state of a worker. */
 	take(worker: FleetWorker): void {
-		// With no processors there are no shares to learn from.
+		// Without CPU capacity, shares are undefined.
 		if (!worker.report || worker.report.milliCpu === 0) {
 			return;
 		}
@@ -130,14 +131,14 @@
 		const reply = await this.#links.order(worker, orders);
 		for (const [index, run] of runs.entries()) {
 			if (!reply?.answers[index]?.isDone) {
-				// Told again with the next state of the agent.
+				// Sent again with the agent's next state.
 				run.pacePercent = undefined;
 			}
 		}
 	}
 }
 
-/** Workers tell a rough figure: a single one below the target does not tell that the tail is back. */
+/** Updates since when serving tasks exceed their targets. Readings are noisy: a single one below the target does not mean that the tail has recovered. */
 const noteOver = (runs: Iterable<LiveRun>, nowMs: number): void => {
 	for (const run of runs) {
 		const {targetMs} = run.task.step.spec;
@@ -156,7 +157,7 @@
 	}
 };
 
-/** An image of which nothing is left on the worker begins anew there: its old pace would keep it away for good. */
+/** Resets the pace of images without tasks on the worker: placement would otherwise avoid the worker for good. */
 const forgetPaces = (worker: FleetWorker, fillers: Filler[]): void => {
 	for (const image of worker.paces.keys()) {
 		if (!fillers.some(filler => filler.image === image)) {
@@ -165,7 +166,7 @@
 	}
 };
 
-/** Notes what the images use; gives them with the most of the last second, also those of which nothing is left. */
+/** Records the CPU use of each image, and returns the images with their peak over `fallMs`, including those without tasks left. */
 const noteUse = (worker: FleetWorker, fillers: Filler[], nowMs: number): Filler[] => {
 	const used = new Map(fillers.map(({image, usedShare}) => [image, usedShare]));
 	worker.fillUses = [...worker.fillUses.filter(({atMs}) => nowMs - atMs <= fallMs), {atMs: nowMs, used}];
--- a/src/workflows/pair-effects.ts
+++ b/src/workflows/pair-effects.ts
@@ -1,34 +1,34 @@
 /**
-What images that fill add to the load of images that serve, learned by pairs: a Kalman filter that keeps the diagonal alone. Effects
-are loads that a whole worker of the filling image adds.
+Effects of best-effort images on serving images, learned per pair by a Kalman filter with a diagonal covariance. An effect is the load
+that a best-effort image would add if it used all of a worker's CPU.
 */
 
-/** Effect of a pair, and how far it may be off. */
+/** Estimated effect of a pair, with its standard deviation. */
 export type Effect = {mean: number; deviation: number};
 
-/** Share of a worker's processors that one image used. */
+/** Share of a worker's CPU that one image used. */
 export type UsedShare = {image: string; share: number};
 
 type Pair = {mean: number; variance: number};
 
 const priorMean = 0.2;
 const priorVariance = 2 ** 2;
-/** Harm changes within seconds: what was learned fades. */
+/** Interference changes within seconds, so that the certainty of what was learned decays. */
 const halfLifeMs = 60_000;
 const fadeEveryMs = 3000;
-/** How fast the mean of an image over all that it stands beside follows its pairs. */
+/** Rate at which an image's mean effect over all serving images follows its pairs. */
 const usualRate = 0.05;
-/** One wild report moves an effect no more than so many deviations would. */
+/** Limits how far one outlier moves an effect, in standard deviations. */
 const clipDeviations = 3;
 
 /** Learned effects. */
 export class PairEffects {
 	readonly #servers = new Map<string, Map<string, Pair>>();
-	/** Mean effect of an image, for pairs that were not seen. */
+	/** Mean effect of an image over all serving images, the prior of unknown pairs. */
 	readonly #usual = new Map<string, number>();
 	#fadedAtMs: number | undefined;
 
-	/** Effect of a pair; of one that was not seen, what the image does to others. */
+	/** Gets the effect of a pair; of an unknown pair, the image's mean effect on others. */
 	get(server: string, filler: string): Effect {
 		const pair = this.#servers.get(server)?.get(filler);
 		return pair
@@ -36,19 +36,19 @@
 			: {mean: this.#usual.get(filler) ?? priorMean, deviation: Math.sqrt(priorVariance)};
 	}
 
-	/** Whether something was learned of the pair. */
+	/** Whether the pair was observed. */
 	isSeen(server: string, filler: string): boolean {
 		return this.#servers.get(server)?.has(filler) ?? false;
 	}
 
-	/** Takes what another process has learned. */
+	/** Sets an effect that another process learned. */
 	set(server: string, filler: string, {mean, deviation}: Effect): void {
 		this.#open(server).set(filler, {mean, variance: Math.min(priorVariance, deviation ** 2)});
 	}
 
 	/**
-	Learns from the load that was added to a server by all that filled beside it. `otherVariance`: how far it may be off for other reasons than
-	the effects, the load of the server itself and the report.
+	Learns from the load that all best-effort tasks on a worker together added to a serving task. `otherVariance` is the variance of `added`
+	from other sources: the task's own load and the noise of the report.
 	*/
 	learn(server: string, used: UsedShare[], added: number, otherVariance: number): void {
 		const pairs = this.#open(server);
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Lets what was learned fade. */
+	/** Moves variances towards the prior, by the time since the last call. */
 	fade(nowMs: number): void {
 		this.#fadedAtMs ??= nowMs;
 		const passedMs = nowMs - this.#fadedAtMs;
@@ -93,7 +93,7 @@
 		}
 	}
 
-	/** Forgets an image that fills. */
+	/** Removes a best-effort image. */
 	forgetFiller(filler: string): void {
 		this.#usual.delete(filler);
 		for (const pairs of this.#servers.values()) {
@@ -101,7 +101,7 @@
 		}
 	}
 
-	/** Forgets an image that serves. */
+	/** Removes a serving image. */
 	forgetServer(server: string): void {
 		this.#servers.delete(server);
 	}
--- a/src/workflows/placement-candidates.ts
+++ b/src/workflows/placement-candidates.ts
@@ -1,5 +1,5 @@
 /**
-Workers as a scheduling cycle sees them: what is free and what runs there, with what the cycle has decided so far.
+Workers as a scheduling cycle sees them: free capacity and active runs, including what the cycle has assigned so far.
 */
 import {type Capacity} from '../types/fleet.ts';
 import {type WorkflowStep} from '../types/workflows.ts';
@@ -15,22 +15,22 @@
 	worker: FleetWorker;
 	free: Capacity;
 	rack: string | undefined;
-	/** Tasks here of each step that bounds them, by step. */
+	/** Number of tasks on the worker, for steps that limit it. */
 	ofStep: Map<LiveStep, number>;
-	/** Share of the processors that is left to tasks that fill, and what they ask for. */
+	/** Share of the CPU available to best-effort tasks, and what those on the worker request. */
 	unusedShare: number;
 	demands: FillDemand[];
-	/** One for each job that serves here: its tasks have one load. */
+	/** One entry for each serving job on the worker: its tasks have the same load. */
 	servers: ServingTask[];
-	/** Share at work of what fills there, and what one task more of an image and size would get: as far as asked since the last change. */
+	/** Cached share of the CPU at work for best-effort tasks, and gain from one more task by image and size. Cleared by an assignment. */
 	filledShare: number | undefined;
 	fillSpeeds: Map<string, number>;
 };
 
-/** Waves raise the load of serving tasks by up to so much in the time that a task that fills takes. */
+/** Load of serving tasks may rise by this much while a best-effort task runs. */
 const waveMargin = 0.08;
 
-/** Takes a worker as it is. */
+/** Creates the candidate for the current state of a worker. */
 export const createCandidate = (worker: FleetWorker, harm: FillHarm): Candidate => {
 	const ofStep = new Map<LiveStep, number>();
 	for (const {task: {step}} of worker.runs) {
@@ -58,7 +58,7 @@
 	return [...jobs].map(([job, image]) => ({image, load: harm.getRisenLoad(job, waveMargin)}));
 };
 
-/** A serving task uses its processors in the measure of its load, any other task all of them. */
+/** Serving tasks use their CPU in proportion to their load, other tasks all of it. */
 const getUnusedShare = ({report, runs}: FleetWorker, harm: FillHarm): number => {
 	let usedMilliCpu = 0;
 	for (const {task: {step: {spec, servingName}}} of runs) {
@@ -68,7 +68,7 @@
 	return 1 - (usedMilliCpu / report!.milliCpu);
 };
 
-/** Processors that nothing but filling tasks uses, in thousandths of a core. */
+/** CPU used by no task other than best-effort tasks, in thousandths of a core. */
 export const getSpareMilliCpu = (candidates: Candidate[]): number => {
 	let spareMilliCpu = 0;
 	for (const {unusedShare, worker: {report}} of candidates) {
@@ -78,7 +78,7 @@
 	return spareMilliCpu;
 };
 
-/** Notes that a task starts there. */
+/** Books the capacity of a task that starts on the worker. */
 export const take = (candidate: Candidate, {step}: LiveTask, harm: FillHarm): void => {
 	const {spec} = step;
 	const {milliCpu} = candidate.worker.report!;
@@ -89,7 +89,7 @@
 	candidate.filledShare = undefined;
 	candidate.fillSpeeds.clear();
 	if (candidate.worker.health.isProbing) {
-		// One task shows whether the worker has recovered.
+		// A single task shows whether the worker has recovered.
 		candidate.free.milliCpu = -1;
 	}
 
@@ -104,7 +104,7 @@
 	}
 };
 
-/** Demands with one task more. */
+/** Adds the demand of one more task. */
 export const addDemand = (demands: FillDemand[], spec: WorkflowStep, milliCpu: number): FillDemand[] => {
 	const image = spec.image ?? '';
 	const share = spec.milliCpu / milliCpu;
--- a/src/workflows/placement.ts
+++ b/src/workflows/placement.ts
@@ -1,5 +1,5 @@
 /**
-Decides which waiting tasks start now, and where. Pure: it is given the tasks, the workers and the time.
+Decides which waiting tasks start now, and on which workers. Pure: tasks, workers and the time are arguments.
 */
 import {type FleetWorker} from './fleet-view.ts';
 import {type FillHarm} from './fill-harm.ts';
@@ -15,37 +15,37 @@
 import {type RankTask} from './task-order.ts';
 import {Trials} from './trials.ts';
 
-/** A start that was decided. */
+/** A decision to start a task on a worker. */
 export type Start = {
 	task: LiveTask;
 	worker: FleetWorker;
 };
 
-/** What is decided with. */
+/** Input of a placement. */
 export type PlacementInput = {
 	waiting: Iterable<LiveTask>;
 	workers: Iterable<FleetWorker>;
 	nowMs: number;
-	/** In how long starts of the next cycle may begin: what ends before leaves its job idle until then. */
+	/** Delay until starts of the next cycle may begin: a job whose last run ends sooner is idle until then. */
 	nextStartMs: number;
 	harm: FillHarm;
-	/** In which order tasks are served, given the processors that nothing else uses, in thousandths of a core. */
+	/** Creates the order in which tasks are placed, given the spare CPU in thousandths of a core. */
 	createRank: (spareMilliCpu: number) => RankTask;
 	/** Whether a queue's policy lets the step run on the worker. */
 	isAllowed: IsAllowed;
 	policy: Policy;
 };
 
-/** What was decided in a cycle. */
+/** Result of a placement. */
 export type PlacementResult = {
 	starts: Start[];
-	/** Tasks that wait on, by reason. */
+	/** Number of tasks that were not placed, by reason. */
 	waits: Map<WaitReason, number>;
-	/** Processors that nothing but filling tasks uses, in thousandths of a core. */
+	/** CPU used by no task other than best-effort tasks, in thousandths of a core. */
 	spareMilliCpu: number;
 };
 
-/** Decides starts, most urgent first. */
+/** Decides which tasks start, in order of rank. */
 export const place = ({waiting, workers, nowMs, nextStartMs, harm, createRank, isAllowed, policy}: PlacementInput): PlacementResult => {
 	const tasks = [...waiting];
 	const waits = new Map<WaitReason, number>();
@@ -70,11 +70,11 @@
 
 		const isIdleStart = policy[Mechanism.IdleStart] && !started.has(step.workflow) && isStarving(step, waitingTasks, {nowMs, nextStartMs});
 		for (const [index, task] of waitingTasks.entries()) {
-			// A job that starves starts one task where it disturbs.
+			// A starved job starts one task even where it disturbs serving tasks.
 			const places = findPlaces(step, isIdleStart && !started.has(step.workflow));
 			const candidate = places.take(task);
 			if (!candidate) {
-				// A step of which one task found no place has none for its equals either.
+				// If one task of a step finds no worker, no other task of the step does.
 				const reason = places.getWaitReason();
 				waits.set(reason, (waits.get(reason) ?? 0) + waitingTasks.length - index);
 				break;
@@ -88,7 +88,7 @@
 	return {starts, waits, spareMilliCpu};
 };
 
-/** Groups tasks by step, most urgent first: tasks of a step have one rank. */
+/** Groups tasks by step and orders the steps by rank; all tasks of a step have the same rank. */
 const rankSteps = (tasks: LiveTask[], rank: RankTask): Array<[LiveStep, LiveTask[]]> => {
 	const groups = new Map<LiveStep, LiveTask[]>();
 	for (const task of tasks) {
@@ -104,7 +104,7 @@
 	return [...groups].toSorted(([a], [b]) => ranks.get(a)! - ranks.get(b)!);
 };
 
-/** Tasks of a step come one after the other: its places are kept until another step's turn changes what is free. */
+/** Creates a lookup that reuses the worker costs of a step until the next step is placed, which changes the free capacity. */
 const createPlacesFinder = (candidates: Candidate[], terms: PlaceTerms): ((step: LiveStep, mustRun: boolean) => StepPlaces) => {
 	let last: {step: LiveStep; mustRun: boolean; places: StepPlaces} | undefined;
 	return (step, mustRun) => {
@@ -117,12 +117,13 @@
 };
 
 /**
-A job of which nothing runs waits at most so long for a place where it disturbs nobody. Where serving tasks are on every
-worker there may never be one, and callers would wait for ever beside free room; the paces then decide what it gets.
+A job without an active run waits at most this long for a worker where its tasks disturb nobody. If all workers run
+serving tasks, there may never be such a worker, and the job would never start although CPU is idle. The pace
+controller then limits what the task uses.
 */
 const maxWaitMs = 1500;
 
-/** Whether tasks that fill ask for more processors than are free on workers where nobody serves. */
+/** Whether waiting best-effort tasks request more CPU than is free on workers without serving tasks. */
 const isUnservedShort = (tasks: LiveTask[], candidates: Candidate[]): boolean => {
 	let askedMilliCpu = 0;
 	for (const {step: {spec}} of tasks) {
@@ -143,11 +144,11 @@
 	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxWaitMs) && isIdleWithin(workflow, nextStartMs, nowMs);
 
 /**
-Creates the question whether a task would find a place on a worker that it does not avoid. The workers are looked at once,
-for all tasks that are asked about: each look takes about as long as a scheduling cycle.
+Creates a check whether a task would find a worker among those that it does not avoid. The workers are scanned once
+for all tasks that are checked, because a scan takes about as long as a scheduling cycle.
 */
 export const createPlaceFinder = (workers: Iterable<FleetWorker>, {harm, isAllowed, policy}: Pick<PlacementInput, 'harm' | 'isAllowed' | 'policy'>): ((task: LiveTask) => boolean) => {
-	// Whether there is a place does not depend on which one would be best.
+	// The result does not depend on the cost of the workers, so rank and shortage of free CPU are left out.
 	const known = new Map<LiveStep, StepPlaces>();
 	let candidates: Candidate[] | undefined;
 	let trials: Trials | undefined;
@@ -162,7 +163,7 @@
 	};
 };
 
-/** All members or none; on one rack if the step asks for it and one has the room. */
+/** Starts all members of a gang or none; on one rack if the step asks for it and a rack has the capacity. */
 const placeGang = (step: LiveStep, candidates: Candidate[], terms: PlaceTerms): Start[] => {
 	if (step.tasks.some(task => task.runs.length > 0)) {
 		return [];
--- a/src/workflows/policy.ts
+++ b/src/workflows/policy.ts
@@ -1,44 +1,44 @@
 /**
-Mechanisms of the owner's decisions, each of which can be left out of a build for trials to measure what it is worth. What
-ships has all of them; guards of what must always hold are none of these.
+Mechanisms of the owner's decisions. A build for experiments can leave each of them out to measure its benefit; production
+builds have all. Safety checks are not among them.
 */
 
 /** One mechanism. */
 export enum Mechanism {
 	/** Run times learned from runs; without it, callers' estimates. */
 	RunTimes = 'run-times',
-	/** Order by value in prospect for each core-second left; without it, by the least time to spare. */
+	/** Order by expected value per remaining core-second; without it, by least slack. */
 	ValueOrder = 'value-order',
-	/** Room where nobody serves is kept for images that would disturb elsewhere. */
+	/** Workers without serving tasks are reserved, while short, for images that would disturb serving tasks elsewhere. */
 	UnservedRoom = 'unserved-room',
-	/** Serving tasks of one image go together. */
+	/** Serving tasks of one image are colocated. */
 	ServerGroups = 'server-groups',
-	/** A job of which nothing runs starts one task where it disturbs. */
+	/** A job without an active run starts one task even where it disturbs serving tasks. */
 	IdleStart = 'idle-start',
-	/** A task that fills waits for a place where it gets most of its speed; without it, any place with room. */
+	/** A best-effort task waits for a worker where it gets most of its speed; without it, any worker with capacity. */
 	FillWait = 'fill-wait',
-	/** An image whose harm is not known is tried on few workers at once. */
+	/** An image whose interference is unknown runs on few workers at the same time. */
 	FewTrials = 'few-trials',
-	/** Serving tasks stand close together, so that other workers are left to what fills. */
+	/** Serving tasks are packed onto few workers, which leaves other workers to best-effort tasks. */
 	ServerCompany = 'server-company',
-	/** Runs that stand still are moved, or get a copy. */
+	/** Stalled runs are moved, or get a copy. */
 	StallMoves = 'stall-moves',
-	/** Runs that fill and are held at no pace are moved. */
+	/** Best-effort runs whose pace is at or near 0 are moved. */
 	HeldMoves = 'held-moves',
-	/** Runs that a draining worker would lose are moved. */
+	/** Runs that would not end before their draining worker stops are moved. */
 	DrainMoves = 'drain-moves',
-	/** Harm that earlier owners learned is taken over. */
+	/** Interference that earlier owners learned is restored. */
 	HarmHandover = 'harm-handover',
-	/** How far runs are is kept in the stream. */
+	/** Checkpoints of active runs are kept in the stream. */
 	SavedRuns = 'saved-runs',
-	/** Workers that fail what others do well are held down and probed. */
+	/** Workers that fail tasks which succeed elsewhere are held down and probed. */
 	WorkerHealth = 'worker-health',
 }
 
-/** Which mechanisms are in use. */
+/** Which mechanisms are enabled. */
 export type Policy = Record<Mechanism, boolean>;
 
-/** Creates the policy with all mechanisms but those named, separated by commas. */
+/** Creates the policy with all mechanisms except those in the comma-separated list. */
 export const createPolicy = (leftOut = ''): Policy => {
 	const names = new Set(leftOut.split(','));
 	return Object.fromEntries(Object.values(Mechanism).map(mechanism => [mechanism, !names.has(mechanism)])) as Policy;
--- a/src/workflows/quarantine.ts
+++ b/src/workflows/quarantine.ts
@@ -1,6 +1,6 @@
 /**
-Keeps tasks under which workers have crashed apart: from each other, and from tasks that start meanwhile. So a further crash
-names its culprit, takes little along, and suspects never hold more than a share of the workers at a time.
+Isolates tasks whose workers have crashed: from each other, and from tasks that start at the same time. A further crash then
+identifies its culprit and ends few other runs, and suspects never hold more than a share of the workers.
 */
 import {getQuarantineMs, isSuspect} from './crash-blame.ts';
 import {
@@ -13,40 +13,40 @@
 
 /** Options of the quarantine. */
 export type QuarantineOptions = {
-	/** All workers by host, also those that are not open. */
+	/** All workers by host, also those that are not eligible. */
 	workers: ReadonlyMap<string, FleetWorker>;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** What a cycle decides with. */
+/** Input of a scheduling cycle. */
 export type QuarantineCycle = {
 	waiting: LiveTask[];
-	/** Workers that may be given something. */
+	/** Workers that may get new tasks. */
 	open: FleetWorker[];
 	nowMs: number;
 	/** Places the tasks of one unit on the workers, all or none. */
 	place: (tasks: LiveTask[], workers: FleetWorker[]) => Start[];
 };
 
-/** What is left to ordinary placement, and what starts in quarantine. */
+/** Starts of suspects, and the tasks and workers that remain for ordinary placement. */
 export type QuarantineResult = {
 	starts: Start[];
 	waiting: LiveTask[];
 	open: FleetWorker[];
 };
 
-/** Share of the workers that suspects may hold at a time, with those that are away. */
+/** Share of the workers that may be held by suspects or unresponsive at the same time. */
 const maxHeldShare = 0.1;
-/** No suspect starts beside a run that is younger than this: a crash would name two. */
+/** No suspect starts beside a run younger than this: after a crash, both would be suspects. */
 const quietMs = 500;
-/** Beyond the time that a run has to live: its agent tells within this that the worker fell silent. */
+/** Added to the quarantine of a run: the agent reports a silent worker within this time. */
 const tellMs = 150;
-/** A suspect with several crashes waits so long for a worker that has not crashed under it. */
+/** A suspect with several crashes waits this long for a worker that has not crashed while running it. */
 const otherHostMs = 10_000;
-/** Workers with least to lose that are tried for a suspect one by one, before any that takes it. */
+/** Number of least loaded workers that are tried individually for a suspect, before all are tried together. */
 const maxTries = 4;
 
-/** Whether the next run of the task has to be kept apart. */
+/** Whether the next run of the task must be isolated. */
 export const isKeptApart = ({crashes, clearedRun}: LiveTask): boolean => crashes.some(({run}) => run > clearedRun) && isSuspect(crashes);
 
 /** The quarantine of one owner. */
@@ -54,21 +54,21 @@
 	readonly #options: QuarantineOptions;
 	/** Suspects that are not cleared yet: tasks, or the first task of a gang. */
 	readonly #suspects = new Set<LiveTask>();
-	/** Workers that are kept for a suspect until nothing on them is young. */
+	/** Workers reserved for a suspect until all runs on them are old enough. */
 	readonly #reserved = new Map<LiveTask, FleetWorker[]>();
-	/** Hosts of workers on which nothing else starts. */
+	/** Hosts of workers that accept no other tasks. */
 	#closed = new Set<string>();
 
 	constructor(options: QuarantineOptions) {
 		this.#options = options;
 	}
 
-	/** Whether nothing but a suspect may start on the worker. */
+	/** Whether only a suspect may start on the worker. */
 	isClosed({host}: FleetWorker): boolean {
 		return this.#closed.has(host);
 	}
 
-	/** Starts suspects, and gives what is left for ordinary placement. */
+	/** Starts suspects, and returns what remains for ordinary placement. */
 	arrange(cycle: QuarantineCycle): QuarantineResult {
 		for (const task of cycle.waiting) {
 			if (isKeptApart(task)) {
@@ -90,7 +90,7 @@
 		};
 	}
 
-	/** Lets go of suspects that are over, or of which a run has lived. */
+	/** Removes suspects that have ended, or whose run has survived its quarantine. */
 	#release({waiting, open, nowMs}: QuarantineCycle): void {
 		const waitingTasks = new Set(waiting);
 		for (const suspect of this.#suspects) {
@@ -130,7 +130,7 @@
 		}
 	}
 
-	/** Workers that suspects may still take. */
+	/** Number of workers that suspects may still take. */
 	#countFree(): number {
 		const {workers} = this.#options;
 		let held = this.#closed.size;
@@ -169,7 +169,7 @@
 		return starts;
 	}
 
-	/** Suspects that wait, those first that are most likely innocent: few crashes, and their like have succeeded. */
+	/** Waiting suspects, those most likely innocent first: with few crashes, then with many tasks of the same step done. */
 	#getNext({waiting}: QuarantineCycle): LiveTask[] {
 		const waitingTasks = new Set(waiting);
 		return [...this.#suspects]
@@ -184,7 +184,7 @@
 		}
 	}
 
-	/** Workers with room for the suspect: those that have not crashed under it first, then where a crash takes least along. */
+	/** Workers with capacity for the suspect: first those that have not crashed while running it, then by least load, which a crash would end. */
 	#getCandidates({step: {spec}, crashes, waitsSinceMs}: LiveTask, open: FleetWorker[], nowMs: number): FleetWorker[] {
 		const hasCrashed = ({host}: FleetWorker): boolean => crashes.some(crash => crash.host === host);
 		const mustBeOther = crashes.length > 1 && nowMs - waitsSinceMs < otherHostMs
@@ -196,7 +196,7 @@
 			.map(({worker}) => worker);
 	}
 
-	/** Workers among the candidates on which the unit would be placed now. */
+	/** Chooses workers among the candidates on which the unit can be placed now. */
 	#choose(suspect: LiveTask, candidates: FleetWorker[], {most, place}: {most: number; place: QuarantineCycle['place']}): FleetWorker[] {
 		const unit = getUnit(suspect);
 		if (unit.length === 1) {
@@ -207,7 +207,7 @@
 		for (let count = 1; count < 2 * candidates.length; count *= 2) {
 			const workers = [...new Set(place(unit, candidates.slice(0, count)).map(({worker}) => worker))];
 			if (workers.length > 0) {
-				// A gang that needs more workers than the share has them when no other suspect holds any.
+				// A gang that needs more workers than the limit gets them when no other suspect holds any.
 				return workers.length <= most || this.#closed.size === 0 ? workers : [];
 			}
 		}
@@ -218,7 +218,7 @@
 
 const getOpenShare = ({step: {remaining, spec}}: LiveTask): number => remaining / spec.count;
 
-/** Processors at work that a crash would take along. */
+/** CPU requested by the active runs, which a crash would end. */
 const getLoad = ({runs}: FleetWorker): number => {
 	let milliCpu = 0;
 	for (const {task: {step: {spec}}} of runs) {
--- a/src/workflows/queues.ts
+++ b/src/workflows/queues.ts
@@ -1,9 +1,9 @@
 /**
-Which queue a request of a caller is for.
+Finds the queue for a caller's request.
 */
 import {type QueueConfig} from '../types/site.ts';
 
-/** Gets the queue of the host with the longest prefix that the path begins with. */
+/** Gets the queue of the host with the longest prefix of the path. */
 export const findQueue = (queues: QueueConfig[], host: string, path: string): QueueConfig | undefined => {
 	let found: QueueConfig | undefined;
 	for (const queue of queues) {
--- a/src/workflows/relocation.ts
+++ b/src/workflows/relocation.ts
@@ -1,37 +1,37 @@
 /**
-Which runs are stopped so that their tasks go on elsewhere: those that stand still, those that would be lost with a worker
-that drains, and those that fill and may not work where they are. Of a step that allows copies, a second run starts beside the one that stands still.
+Chooses runs to stop so that their tasks restart on other workers: stalled runs, runs that would be lost with a draining worker,
+and best-effort runs that are paced to almost nothing. A step that allows copies gets a second run beside the stalled one instead.
 */
 import {type FleetWorker} from './fleet-view.ts';
 import {RunPhase, type LiveRun, type LiveTask} from './live-model.ts';
 import {Mechanism, type Policy} from './policy.ts';
 import {isStalled} from './stalls.ts';
 
-/** What is decided with. */
+/** Input of the choice. */
 export type RelocationInput = {
 	workers: Iterable<FleetWorker>;
 	nowMs: number;
-	/** Whether a worker with room for the task is open, other than those that it avoids. */
+	/** Whether an eligible worker that the task does not avoid has capacity for it. */
 	hasPlace: (task: LiveTask) => boolean;
 	policy: Policy;
 };
 
-/** A task that fills and was held at this pace or below does not move on. */
+/** A best-effort run whose pace is at or below this makes no useful progress. */
 const heldPercent = 10;
-/** Harm shows within a second and may pass; a stop costs work that was not saved, and the time to restore. */
+/** Interference shows within a second and may pass; a stop loses unsaved work and costs the time to restore a checkpoint. */
 const heldMs = 1200;
-/** From here on the speed so far tells more than the caller's estimate. */
+/** From this progress on, the speed so far predicts the remaining time better than the caller's estimate. */
 const knownFromPercent = 20;
-/** States come every half second at the least. */
+/** Agents send their state at least every half second. */
 const heardMs = 800;
-/** Stops in one look at the fleet: each changes what the others would find. */
+/** Limit of stops per scan of the fleet: each stop changes the capacity that the others would find. */
 const maxMoves = 4;
 
-/** Chooses runs to stop. Each task is told to avoid the worker that it leaves. */
+/** Chooses runs to stop, and marks the workers that they leave as avoided by their tasks. */
 export const chooseMoves = ({workers, nowMs, hasPlace, policy}: RelocationInput): Array<{worker: FleetWorker; run: LiveRun}> => {
 	const moves: Array<{worker: FleetWorker; run: LiveRun}> = [];
 	for (const worker of workers) {
-		// What is not heard says nothing about progress.
+		// Without a recent state, missing progress does not mean that a run has stalled.
 		if (worker.silentSinceMs !== undefined || !worker.isAnswering || nowMs - worker.heardAtMs > heardMs) {
 			continue;
 		}
@@ -66,8 +66,8 @@
 };
 
 /**
-Whether the run would be lost with a worker that drains. A lasting task is better moved at once than cut off; any other
-stays if it can still end there.
+Whether the run would be lost when its draining worker stops. A long-running task moves at once rather than be cut off; any
+other task stays if it can end in the remaining time.
 */
 const isLosing = (worker: FleetWorker, {phase, percent, sentAtMs, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
 	if (phase !== RunPhase.Running || !worker.report?.isDraining) {
@@ -79,6 +79,6 @@
 	return spec.isLasting || remainingMs > (worker.report.remainingMs ?? 0);
 };
 
-/** Whether a second run of the task may start: of a step that allows copies, while all others stand still. */
+/** Whether a second run of the task may start: its step allows copies, and its only run has stalled. */
 export const wantsCopy = ({step: {spec}, runs}: LiveTask, nowMs: number): boolean =>
 	spec.isSpeculative && runs.length === 1 && isStalled(runs[0]!, nowMs);
--- a/src/workflows/run-times.ts
+++ b/src/workflows/run-times.ts
@@ -1,31 +1,30 @@
 /**
-How long tasks run, learned from those that ran: callers' estimates are off by more than their jobs differ from each other.
-
-Times are compared in logarithms, where an estimate that is off by a factor errs alike in both directions. Each estimate is
-weighed against the mean of its queue by how far either has been off so far. Tasks of one step hardly differ: once one of
-them is measured, nothing else counts.
+Predicts how long tasks run, learned from earlier runs: callers' estimates vary by more than the jobs themselves.
+Times are compared as logarithms, in which an estimate that is wrong by a factor has the same error in both directions.
+Each estimate is combined with the mean of its queue, weighted by the variance of both so far. Tasks of one step hardly
+differ: once one of them has been measured, only measurements of the step count.
 */
 import {type LiveRun, type LiveStep} from './live-model.ts';
 
-/** What a queue's steps took, and how far their estimates were off; both in logarithms. */
+/** Run times of a queue's steps, and the errors of their estimates; both as logarithms. */
 type QueueTimes = {
-	/** Steps measured. */
+	/** Number of measured steps. */
 	count: number;
 	mean: number;
-	/** Sum of squared distances from the mean. */
+	/** Sum of squared deviations from the mean. */
 	spread: number;
 	meanError: number;
 	errorSpread: number;
 };
 
-/** In logarithms, before steps were seen: jobs of a queue differ by half of themselves, and callers' estimates are rough. */
+/** Prior variances of logarithms: jobs of a queue differ by half of their run time, and callers' estimates are rougher. */
 const assumedVariance = 0.5 ** 2;
 const assumedErrorVariance = 0.9 ** 2;
-/** Assumed variances count like this many steps. */
+/** Prior variances count as this many steps. */
 const assumedSteps = 4;
-/** Without so many steps the mean of a queue says too little. */
+/** With fewer steps, the mean of a queue is not used. */
 const minSteps = 3;
-/** From here on, the progress of a run tells how long it takes in all. */
+/** From this progress on, the speed of an active run predicts its total time. */
 const minProgressPercent = 25;
 const minTaskMs = 20;
 const whole = 100;
@@ -36,12 +35,12 @@
 	readonly #queues = new Map<string, QueueTimes>();
 	readonly #steps = new WeakMap<LiveStep, {count: number; sum: number}>();
 
-	/** Without learning, estimates are taken as they are. */
+	/** Without learning, callers' estimates are used unchanged. */
 	constructor(isLearning = true) {
 		this.#isLearning = isLearning;
 	}
 
-	/** Time of a task of the step at full speed. */
+	/** Predicts the run time of a task of the step at full speed. */
 	getTaskMs(step: LiveStep): number {
 		const measured = this.#steps.get(step);
 		if (measured) {
@@ -64,7 +63,7 @@
 		return Math.exp((weight * (Math.log(estimateMs) - times.meanError)) + ((1 - weight) * times.mean));
 	}
 
-	/** Learns from a run that came to its end, or far enough to tell. */
+	/** Learns from a run that ended, or that progressed far enough. */
 	note(run: LiveRun, {isDone}: {isDone: boolean}): void {
 		const {task: {step}, percent, basePercent, workedMs} = run;
 		const donePercent = (isDone ? whole : percent) - basePercent;
--- a/src/workflows/scheduling-cycles.ts
+++ b/src/workflows/scheduling-cycles.ts
@@ -1,5 +1,5 @@
 /**
-Scheduling cycles: gather what has changed, decide starts in order, and tell what keeps the others waiting.
+Scheduling cycles: batch changes, decide starts in order of rank, and log why other tasks wait.
 */
 import {type Clock} from '../types/clock.ts';
 import {DutyCycle} from '../utils/duty-cycle.ts';
@@ -16,7 +16,7 @@
 import {type IsAllowed, type WaitReason} from './step-places.ts';
 import {createRank, getRemainder, type Remainder} from './task-order.ts';
 
-/** What cycles are decided with. */
+/** Options of the cycles. */
 export type SchedulingCyclesOptions = {
 	clock: Clock;
 	signal: AbortSignal;
@@ -29,28 +29,28 @@
 	quarantine: Quarantine;
 	/** Tasks that may start now. */
 	getWaiting: (nowMs: number) => Iterable<LiveTask>;
-	/** Workers that may be given something. */
+	/** Workers that may get new tasks. */
 	getWorkers: (nowMs: number) => FleetWorker[];
-	/** Runs that are out on any worker. */
+	/** Active runs on all workers. */
 	getRuns: () => LiveRun[];
-	/** How long a start takes to be delivered. */
+	/** Delay between a decision and the delivery of a start. */
 	getLeadMs: () => number;
 	onStarts: (starts: Start[]) => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Changes gather for so long before a cycle. */
+/** Changes are batched for this long before a cycle. */
 const cycleDelayMs = 4;
 /** Caps scheduling at a quarter of the thread so that replies are still handled. */
 const cycleRestFactor = 3;
-/** A longer gap than this, as after a freeze, says nothing of the next one. */
+/** A longer gap, as after a suspended process, does not predict the next one. */
 const maxGapMs = 1000;
-/** What is left of jobs changes by the second; cycles come many times a second. */
+/** Remaining work changes within seconds, while cycles run many times a second. */
 const remainderEveryMs = 100;
-/** What waits is told this often at most. */
+/** Interval of the log line on waiting tasks. */
 const noteEveryMs = 1000;
 
-/** The cycles of one owner. */
+/** The scheduling cycles of one owner. */
 export class SchedulingCycles {
 	readonly #options: SchedulingCyclesOptions;
 	readonly #dutyCycle: DutyCycle;
--- a/src/workflows/serving-load.ts
+++ b/src/workflows/serving-load.ts
@@ -1,35 +1,34 @@
 /**
-The load of serving tasks, as their tail latency tells it.
-
-Near the target a tail grows with 1 / (1 - load). What neighbours add to the load is a sum, what they add to the tail is not:
-decisions are made in load.
+Load of serving tasks, derived from their tail latency.
+Near the target, tail latency grows with 1 / (1 - load). Effects of neighbours add up in load but not in latency, so that
+decisions are made in terms of load.
 */
 
 /**
-Share of its target that a tail has at rest. Another share scales all loads alike and shifts where they begin; which tails are
-above their targets stays the same.
+Tail latency of an idle task, as a share of its target. Another value scales all loads alike and shifts their origin; which tails
+exceed their targets does not change.
 */
 const restRatio = 1 / 6;
 
-/** Load at a ratio of tail latency to target. */
+/** Gets the load that a ratio of tail latency to target implies. */
 export const getLoadAt = (ratio: number): number => ratio <= restRatio ? 0 : 1 - (restRatio / ratio);
 
-/** At this load and above, the tail says only that there is too much. */
+/** From this load on, the tail shows only that the task is overloaded. */
 export const saturatedLoad = 0.95;
 
-/** Before a job was heard. */
+/** Assumed for a job without reports. */
 const unknownLoad = 0.5;
 const unknownVariance = 0.2 ** 2;
-/** How fast loads rise and fall. */
+/** Growth of the variance: how fast loads change. */
 const driftVariancePerS = 0.12 ** 2;
-/** Tails come in whole milliseconds and are rough: most reports lie within this of the load of their job. */
+/** Readings are whole milliseconds and noisy: most imply a load within this distance of the job's load. */
 const noiseVariance = 0.06 ** 2;
 const msPerS = 1000;
-/** A load that fell by so much from its highest has gone through the top of a wave. */
+/** A load that fell this far below its peak has passed the crest of a wave. */
 const turnedBy = 0.1;
-/** Estimates are off by so much, and one wave may go higher than the last. */
+/** Tolerance for estimation errors, and for a wave that exceeds the last. */
 const peakSlack = 0.02;
-/** A job that was not heard for so long is over, or somebody else's. */
+/** A job without reports for this long has ended, or another owner runs it. */
 const forgetMs = 60_000;
 
 type JobLoad = {
@@ -38,13 +37,13 @@
 	atMs: number;
 	/** Highest load so far. */
 	peak: number;
-	/** Whether the load has fallen from that peak, and not gone beyond it since: it is known how far its waves go. */
+	/** Whether the load has fallen from that peak and not exceeded it since: the height of its waves is known. */
 	hasTurned: boolean;
 };
 
 const getDrifted = ({variance, atMs}: JobLoad, nowMs: number): number => variance + (driftVariancePerS * (nowMs - atMs) / msPerS);
 
-/** What a task reports, and what its neighbours are expected to add, with the variance of that. */
+/** Load that a task reports, and what its neighbours are expected to add, with the variance of that. */
 export type LoadReport = {
 	job: string;
 	load: number;
@@ -53,8 +52,8 @@
 };
 
 /**
-Follows the load that each job brings by itself. All tasks of a job see the same waves: those with quiet neighbours tell
-how much of the others' tails is their neighbours' doing.
+Tracks the load of each serving job without interference. All tasks of a job see the same waves: tasks with harmless
+neighbours show how much of the other tasks' tail latency is caused by neighbours.
 */
 export class ServingLoads {
 	readonly #jobs = new Map<string, JobLoad>();
@@ -64,19 +63,19 @@
 		return this.#jobs.get(job)?.load ?? unknownLoad;
 	}
 
-	/** How far the load may be off by now, squared. */
+	/** Variance of the load at this time. */
 	getVariance(job: string, nowMs: number): number {
 		const known = this.#jobs.get(job);
 		return known ? getDrifted(known, nowMs) : unknownVariance;
 	}
 
-	/** How far the load may rise, at most by the rise given: at the top of its wave it does not rise any more. */
+	/** Expected rise of the load, at most `mostRise`; smaller near the peak of a job whose waves are known. */
 	getRise(job: string, mostRise: number): number {
 		const known = this.#jobs.get(job);
 		return known?.hasTurned ? Math.min(mostRise, Math.max(0, known.peak - known.load) + peakSlack) : mostRise;
 	}
 
-	/** Learns from a report; a job that was never heard takes its first as it is. */
+	/** Learns from a report; the first one of a job replaces most of the assumed load. */
 	note({job, load, added, addedVariance}: LoadReport, nowMs: number): void {
 		const own = Math.max(0, load - added);
 		const known = this.#jobs.get(job) ?? {
@@ -92,7 +91,7 @@
 		});
 	}
 
-	/** Forgets jobs that are not heard any more. */
+	/** Removes jobs that are no longer reported. */
 	prune(nowMs: number): void {
 		for (const [job, {atMs}] of this.#jobs) {
 			if (nowMs - atMs > forgetMs) {
--- a/src/workflows/stalls.ts
+++ b/src/workflows/stalls.ts
@@ -1,18 +1,18 @@
 /**
-Runs that stand still although nothing slows them: their worker gives answers, and their work does not go on.
+Detects stalled runs: the worker replies and the pace allows work, but progress does not change.
 */
 import {RunPhase, type LiveRun} from './live-model.ts';
 
-/** A sound task shows progress many times a second; restoring a checkpoint takes less than this. */
+/** A healthy task reports progress many times a second, and restores a checkpoint in less than this. */
 const stallMs = 1500;
-/** Progress is told in hundredths: of a long task each takes longer. */
+/** Progress is reported in percent, and each percent of a long task takes longer. */
 const stallShareOfEstimate = 0.1;
-/** A lasting task is at work after a short startup. */
+/** Time within which a long-running task has started up. */
 const startupMs = 3500;
-/** Slower than this by order, standing still says nothing. */
+/** Below this pace, missing progress does not mean that a run has stalled. */
 const minPacePercent = 50;
 
-/** Tells whether a run stands still. */
+/** Tells whether a run has stalled. */
 export const isStalled = ({phase, progressAtMs, percent, pacePercent, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
 	if (phase !== RunPhase.Running || (pacePercent ?? 0) < (spec.isFilling ? minPacePercent : 0)) {
 		return false;
--- a/src/workflows/step-places.ts
+++ b/src/workflows/step-places.ts
@@ -1,7 +1,7 @@
 /**
-Where the tasks of one step may run in a cycle, and which place is best. What each worker costs is worked out once, and
-again only for a worker that was given something: on a service of hundreds of workers, with hundreds of tasks waiting, a
-cycle that weighs each pair anew takes longer than the tasks.
+Selects workers for the tasks of one step in a cycle. The cost of each worker is computed once, and again only after a
+task was assigned to it: with hundreds of workers and hundreds of waiting tasks, a cycle that computes the cost of each
+pair takes longer than the tasks run.
 */
 import {type WorkflowStep} from '../types/workflows.ts';
 import {isFitting, isSuited} from './fleet-view.ts';
@@ -17,48 +17,48 @@
 /** Tells whether tasks of the step may run on the worker. */
 export type IsAllowed = (step: LiveStep, workerId: string) => boolean;
 
-/** What places are weighed by. */
+/** Constraints and models that worker costs are computed from. */
 export type PlaceTerms = {
 	harm: FillHarm;
 	/** Whether a queue's policy lets the step run on the worker. */
 	isAllowed: IsAllowed;
 	policy: Policy;
 	trials: Trials;
-	/** A task that fills starts also where it disturbs. */
+	/** Best-effort tasks start even where they disturb serving tasks. */
 	mustRun: boolean;
-	/** What fills and waits asks for more than is free where nobody serves. */
+	/** Waiting best-effort tasks request more CPU than is free on workers without serving tasks. */
 	isUnservedShort: boolean;
 };
 
-/** What keeps a task that waits from starting; the last one is the nearest to a start. */
+/** Why a waiting task does not start, ordered from the furthest from a start to the nearest. */
 export enum WaitReason {
-	/** No worker has the label, the size or the advice that it needs, or none is open. */
+	/** No eligible worker has the required label, size or advice ticket. */
 	NoWorker = 'no-worker',
 	Room = 'room',
-	/** As many of its step as may be are on every worker with room. */
+	/** Every worker with capacity already has the maximum number of tasks of the step. */
 	Spread = 'spread',
-	/** A serving task there was over its target for too long: nothing may fill. */
+	/** A serving task on the worker exceeded its target for too long: no best-effort task may run there. */
 	FillStopped = 'fill-stopped',
-	/** Its image is paced down there. */
+	/** The pace of its image on the worker is too low. */
 	Paced = 'paced',
-	/** It would disturb, or get too little. */
+	/** It would disturb a serving task, or run too slowly. */
 	Harm = 'harm',
-	/** Other workers are trying what its image does to what serves there. */
+	/** Enough workers already run the image to measure its unknown interference with the serving images there. */
 	Trial = 'trial',
-	/** A worker would take it, but another run of the task is there already. */
+	/** The worker would accept the step, but another run of the task is already on its host. */
 	Other = 'other',
 }
 
 const waitReasons = Object.values(WaitReason);
 
-/** Places of one step. */
+/** Workers on which tasks of one step may start. */
 export class StepPlaces {
 	readonly #step: LiveStep;
 	readonly #candidates: Candidate[];
 	readonly #terms: PlaceTerms;
-	/** By candidate; infinity: no place. */
+	/** Cost by candidate index; infinity: not allowed. */
 	readonly #costs: Float64Array;
-	/** By candidate: how near it came to taking a task. */
+	/** By candidate index: position in `waitReasons` of what rules the candidate out. */
 	readonly #nearness: Uint8Array;
 
 	constructor(step: LiveStep, candidates: Candidate[], terms: PlaceTerms) {
@@ -72,13 +72,13 @@
 		}
 	}
 
-	/** Whether a worker that the task does not avoid has a place for it. */
+	/** Whether a worker that the task does not avoid can run it. */
 	hasPlace(task: LiveTask): boolean {
 		return this.#candidates.some(({worker: {host}}, index) =>
 			this.#costs[index]! < Number.POSITIVE_INFINITY && !task.avoidedHosts.has(host) && task.runs.every(run => run.host !== host));
 	}
 
-	/** Takes the best place for the task; undefined: there is none. */
+	/** Assigns the task to the candidate with the lowest cost; undefined: there is none. */
 	take(task: LiveTask): Candidate | undefined {
 		for (let index = this.#findBest(task); index !== -1; index = this.#findBest(task)) {
 			const candidate = this.#candidates[index]!;
@@ -96,12 +96,12 @@
 		return undefined;
 	}
 
-	/** Of all workers, the reason of the one that came nearest to taking a task. */
+	/** Gets the reason of the candidate that is nearest to a start. */
 	getWaitReason(): WaitReason {
 		return waitReasons[Math.max(0, ...this.#nearness)]!;
 	}
 
-	/** Trials that began since the place was weighed may have closed it. */
+	/** Trials that began after the cost was computed may have ruled the candidate out. */
 	#isOpen(candidate: Candidate): boolean {
 		const {spec} = this.#step;
 		return !spec.isFilling || getFillObstacle(spec, candidate, this.#terms) === undefined;
@@ -149,12 +149,12 @@
 	}
 }
 
-/** A task that fills waits rather than start where it, and what it slows down, would get less than this share of its speed. */
+/** A best-effort task waits if its gain, less what it takes from other best-effort tasks, is below this share of its full speed. */
 const minFillSpeed = 0.7;
-/** An image that is held at less than this on a worker gets no more tasks there. */
+/** An image whose pace on a worker is below this percentage gets no more tasks there. */
 const minPercent = 50;
 
-/** What keeps a task of the step off the worker; undefined: nothing. */
+/** Gets the reason why no task of the step may start on the worker; undefined: it may. */
 const getObstacle = (step: LiveStep, candidate: Candidate, terms: PlaceTerms): WaitReason | undefined => {
 	const {spec} = step;
 	const {worker, free, ofStep} = candidate;
@@ -194,14 +194,14 @@
 	return policy[Mechanism.FewTrials] && !trials.mayStart(candidate, spec.image ?? '') ? WaitReason.Trial : undefined;
 };
 
-/** What the processors that nothing uses allow at most: spares planning the speeds on a worker that is full. */
+/** Upper bound of the speed from unused CPU alone: avoids computing paces for a worker that is full. */
 const getMostFillSpeed = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
 	const {demands, unusedShare, worker: {report}} = candidate;
 	candidate.filledShare ??= getFilledShare(candidate, demands, harm);
 	return (unusedShare - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
 };
 
-/** Work that a task more would add on the worker, as a share of its full speed: what it would take from others is taken off. */
+/** Gain from one more task on the worker, as a share of its full speed, less what it takes from other best-effort tasks. */
 const getFillSpeed = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
 	const {demands, fillSpeeds, worker: {report}} = candidate;
 	const key = `${spec.image} ${spec.milliCpu}`;
@@ -219,19 +219,19 @@
 const getFilledShare = ({servers, unusedShare}: Candidate, demands: FillDemand[], harm: FillHarm): number =>
 	Math.min(unusedShare, getWorkingShare(demands, planSpeeds(servers, demands, (server, filler) => harm.getEffect(server, filler))));
 
-// A worker on which the task failed or stood still is the last choice.
+// Last choice: a worker on which the task failed or stalled.
 const avoidedCost = 20;
-// Far from its data a task takes `farFactor` times as long: that outweighs how well it fits.
+// Remote data multiplies the run time by `farFactor`, which outweighs how well the task fits.
 const farCost = 10;
-// Tasks that serve go together, so that other workers are left to what fills.
+// Colocates serving tasks, which leaves other workers to best-effort tasks.
 const companyGain = 2;
-// Weight of the load that a task that fills adds to a serving task.
+// Weight of the load that a best-effort task adds to a serving task.
 const harmCost = 3;
-// Room on workers where nobody serves is kept for images that would disturb elsewhere, while it is short.
+// Reserves workers without serving tasks, while they are short, for images that would disturb serving tasks elsewhere.
 const unservedCost = 0.5;
-// Serving tasks of another image bring other sensitivities: what fills finds a place more easily where all are alike.
+// Serving images differ in what disturbs them: a best-effort image is placed more easily where all are of one image.
 const otherImageCost = 3;
-// Tasks that fill spread: a full worker leaves no room for what is harmful elsewhere.
+// Spreads best-effort tasks: a full worker has no capacity for an image that disturbs serving tasks elsewhere.
 const crowdCost = 0.3;
 
 const getCost = (step: LiveStep, candidate: Candidate, {harm, policy, isUnservedShort}: PlaceTerms): number => {
@@ -251,11 +251,11 @@
 		return farness - company - usedShare + (harmCost * getHarmOf(spec, demands, harm)) + otherImages;
 	}
 
-	// Filling up the fullest first keeps room for wide tasks elsewhere, and leaves whole workers to what fills.
+	// Filling the fullest worker first keeps capacity for large tasks, and whole workers for best-effort tasks.
 	return farness - usedShare - company;
 };
 
-/** Load that what fills there already adds to a serving task. */
+/** Load that the best-effort tasks on the worker already add to a serving task of the step. */
 const getHarmOf = (spec: WorkflowStep, demands: FillDemand[], harm: FillHarm): number => {
 	let rise = 0;
 	for (const {image, share} of demands) {
--- a/src/workflows/task-order.ts
+++ b/src/workflows/task-order.ts
@@ -1,13 +1,11 @@
 /**
-In which order waiting tasks are served.
-
-While there is room for all, what matters is that each job meets its objective: the one with the least time to spare goes
-first. When more is asked for than there is room, that order makes every job just late, one after the other. Then what
-counts is how much of value ends in time for the room that it takes: jobs of which little is left, before jobs that have
-hardly begun; and what cannot be in time any more waits for what can.
-
-Both are one rank: value in prospect for each core-second that is left, falling with the time to spare. How fast it falls
-depends on the backlog: beside a long one, time to spare counts for little.
+Order in which waiting tasks are placed.
+While there is capacity for all jobs, each should meet its objective: the job with the least slack goes first. Under
+overload that order makes every job slightly late, one after the other. What counts then is the value that completes in
+time for the capacity that it takes: nearly finished jobs go before jobs that have hardly begun, and jobs that can no
+longer meet their objective wait for those that can.
+One rank covers both: the expected value per remaining core-second, which falls exponentially with the slack. The longer
+the backlog, the more slowly it falls, so that slack counts for little under overload.
 */
 import {type Workflow} from '../types/workflows.ts';
 import {
@@ -16,38 +14,38 @@
 import {Mechanism, type Policy} from './policy.ts';
 import {type RunTimes} from './run-times.ts';
 
-/** Lower goes first. */
+/** Rank of a task; lower goes first. */
 export type RankTask = (task: LiveTask) => number;
 
-/** What is left of an occurrence of a job. */
+/** Work of one occurrence of a job. */
 export type Remainder = {
-	/** Processor time of all its tasks, in ms of a core, and of what is left of them. */
+	/** CPU time of all its tasks, in core-milliseconds, and of their remaining work. */
 	totalCoreMs: number;
 	leftCoreMs: number;
-	/** Longest chain of steps at full speed, and what is left of it. */
+	/** Length of the critical path over its steps at full speed, and what remains of it. */
 	chainMs: number;
 	leftChainMs: number;
 };
 
-/** Worth of a late answer, up to so many times the objective: callers can still use it. */
+/** Share of its value that a late result keeps, up to this many times the objective: callers can still use it. */
 const lateShare = 0.15;
 const lateTimes = 3;
-/** What earns nothing any more is still worked on where nothing else is. */
+/** Share that a result without value counts, so that it is still worked on when nothing else waits. */
 const overdueShare = 0.01;
-/** How far the time that is left may be off: a share of it, and a part for all that happens between tasks. */
+/** Uncertainty of the remaining time: a share of it, and a constant for delays between tasks. */
 const doubtShare = 0.25;
 const doubtMs = 500;
-/** A job is worth a part for being done at all, beside its work: this share of the mean work of its queue. */
+/** Value of completing a job at all, in addition to its work: this share of the mean work of a job in its queue. */
 const fixedShare = 0.3 / 0.7;
-/** With less of a backlog than this, the time to spare decides. */
+/** Lower bound for the time constant of the slack discount; with a shorter backlog, slack decides the order. */
 const minLookaheadMs = 1000;
-/** Tasks that last come first: users are without them at once. */
+/** Long-running tasks come first: users notice at once when they are missing. */
 const lastingRank = -1e9;
-/** Larger than any difference within a priority. */
+/** Larger than any rank difference within a priority. */
 const priorityStep = 1e6;
 const whole = 100;
 
-/** How much of a task is left, by its run that is furthest on. */
+/** Share of a task's work that remains, by the run with the most progress. */
 const getLeftShare = ({isDone, runs}: LiveTask): number => {
 	if (isDone) {
 		return 0;
@@ -61,12 +59,12 @@
 	return 1 - (percent / whole);
 };
 
-/** Works out what is left of an occurrence. */
+/** Computes the total and remaining work of an occurrence. */
 export const getRemainder = (steps: LiveStep[], times: RunTimes): Remainder => {
 	const remainder: Remainder = {
 		totalCoreMs: 0, leftCoreMs: 0, chainMs: 0, leftChainMs: 0,
 	};
-	// Steps come after those that they wait for: one pass finds the longest way to the end of each.
+	// Steps are listed after the steps that they depend on, so one pass finds the longest path to each.
 	const endsMs: number[] = [];
 	const leftEndsMs: number[] = [];
 	for (const step of steps) {
@@ -98,7 +96,7 @@
 	return remainder;
 };
 
-/** What the log tells of a job that is over: what it took, and what it was allowed by what is known of its run times. */
+/** Fields of the log line for a job that ended: the time it took, and the time its objective allows by the learned run times. */
 export const describeEnd = ({spec, folded, receivedAtMs, occurrences}: LiveWorkflow, times: RunTimes, nowMs: number): Record<string, unknown> => {
 	const {chainMs, totalCoreMs} = getRemainder(occurrences.get(0) ?? [], times);
 	return {
@@ -106,20 +104,20 @@
 	};
 };
 
-/** What an order is decided with. */
+/** Input of the rank. */
 export type OrderTerms = {
 	nowMs: number;
-	/** Time of day, by which occurrences are due. */
+	/** Time of day, which determines the due times of occurrences. */
 	wallMs: number;
 	times: RunTimes;
-	/** Remainders of what is open, by occurrence. */
+	/** Work of open occurrences. */
 	remainders: Map<LiveStep[], Remainder>;
-	/** Processors that are left to what waits, in thousandths of a core. */
+	/** CPU available to waiting tasks, in thousandths of a core. */
 	spareMilliCpu: number;
 	policy: Policy;
 };
 
-/** Creates the rank of tasks at a time. */
+/** Creates the rank of tasks for a point in time. */
 export const createRank = (terms: OrderTerms): RankTask => {
 	const {remainders, spareMilliCpu, policy} = terms;
 	let backlogCoreMs = 0;
@@ -156,7 +154,7 @@
 	};
 };
 
-/** Least time to spare first; what is too late waits for the others. */
+/** Ranks by least slack first; jobs that can no longer meet their objective come last. */
 const getSlackRank = (steps: LiveStep[], {chainMs, leftChainMs}: Remainder, {nowMs, wallMs}: {nowMs: number; wallMs: number}): number => {
 	const {workflow, occurrence} = steps[0]!;
 	const {spec: {stretch, targetLatencyMs}} = workflow;
--- a/src/workflows/trials.ts
+++ b/src/workflows/trials.ts
@@ -1,21 +1,21 @@
 /**
-Bounds how many workers try at once what an image that fills does to one that serves, while that is not known.
-
-A wide job of a new image would else start on all workers in the same moment, and learn on each of them what one would have
-shown half a second later. Its other tasks wait for the first reports, or go where the image is known to leave users alone.
+Limits how many workers run a best-effort image beside a serving image at the same time while the effect is unknown.
+Otherwise a job with many tasks of a new image would start on all workers at once and disturb users on each, although one
+worker shows the effect half a second later. Its other tasks wait for the first reports, or go where the image is known
+to be harmless.
 */
 import {type FillHarm} from './fill-harm.ts';
 import {type Candidate} from './placement-candidates.ts';
 
-/** One report may be off; two workers that agree are not. */
+/** A single report may be wrong; two workers that agree are reliable. */
 const maxTrials = 2;
 
 type Pair = {isKnown: boolean; trials: number};
 
-/** Trials in a scheduling cycle. */
+/** Counts trials in a scheduling cycle. */
 export class Trials {
 	readonly #harm: FillHarm;
-	/** By image that fills and image that serves. */
+	/** By best-effort image and serving image. */
 	readonly #pairs = new Map<string, Map<string, Pair>>();
 
 	constructor(harm: FillHarm, candidates: Candidate[]) {
@@ -27,7 +27,7 @@
 		}
 	}
 
-	/** Whether a task of the image may start there without one trial too many. */
+	/** Whether a task of the image may start on the worker without exceeding the limit. */
 	mayStart({servers}: Candidate, image: string): boolean {
 		return servers.every(server => {
 			const {isKnown, trials} = this.#get(image, server.image);
@@ -35,7 +35,7 @@
 		});
 	}
 
-	/** Notes that the image fills there; a task more on the same worker counts as one more trial within the cycle. */
+	/** Counts the image as a trial on the worker; each further task on it counts again within the cycle. */
 	note({servers}: Candidate, image: string): void {
 		for (const serverImage of new Set(servers.map(server => server.image))) {
 			this.#get(image, serverImage).trials++;
--- a/test/open-workers.test.ts
+++ b/test/open-workers.test.ts
@@ -7,11 +7,11 @@
 const terms = {nowMs, policy: createPolicy(), evacuated: []};
 const heard = {isAnswering: true, heardAtMs: nowMs};
 
-it('opens a worker whose agent is heard', () => {
+it('includes a worker whose agent replies', () => {
 	expect(getOpenWorkers([{...createWorker('host'), ...heard}], terms)).toHaveLength(1);
 });
 
-it('gives nothing to a worker whose lost agent has registered anew, before its loss is settled: all runs there will be taken for lost', () => {
+it('excludes a worker whose lost agent has registered again before its loss is settled: all runs there will count as lost', () => {
 	const worker = {
 		...createWorker('host'), ...heard, session: 2, lostSession: 1, lostAtMs: 0,
 	};
--- a/test/pair-effects.test.ts
+++ b/test/pair-effects.test.ts
@@ -9,20 +9,20 @@
 const share = 0.11;
 
 describe('effects of pairs', () => {
-	it('are known to a part of what is at stake after one report beside a known load', () => {
+	it('are known accurately enough after one report beside a known load', () => {
 		const effects = new PairEffects();
 		effects.learn('server', [{image: 'filler', share}], 1.5 * share, quietVariance);
 		expect(effects.get('server', 'filler').mean).toBeCloseTo(1.5, 0);
 		expect(effects.get('server', 'filler').deviation).toBeLessThan(0.5);
 	});
 
-	it('stay in doubt beside a load that is in doubt itself', () => {
+	it('stay uncertain beside an uncertain load', () => {
 		const effects = new PairEffects();
 		effects.learn('server', [{image: 'filler', share}], 1.5 * share, 0.2 ** 2);
 		expect(effects.get('server', 'filler').deviation).toBeGreaterThan(1);
 	});
 
-	it('are told apart by reports in which they take other shares', () => {
+	it('are separated by reports with different shares of each image', () => {
 		const effects = new PairEffects();
 		for (let index = 0; index < 20; index++) {
 			const first = index % 2 === 0 ? 0.3 : 0.1;
@@ -34,7 +34,7 @@
 		expect(effects.get('server', 'harmless').mean).toBeCloseTo(0, 0);
 	});
 
-	it('do not wander below nothing: a load that fell meanwhile would make a harmful image look harmless for long', () => {
+	it('do not drift below 0 while the load falls, which would make a harmful image look harmless for long', () => {
 		const effects = new PairEffects();
 		for (let index = 0; index < 50; index++) {
 			effects.learn('server', [{image: 'filler', share}], index % 2 === 0 ? 0.05 : -0.05, quietVariance);
@@ -43,7 +43,7 @@
 		expect(effects.get('server', 'filler').mean).toBeGreaterThan(-0.2);
 	});
 
-	it('fade back to doubt', () => {
+	it('lose certainty with time', () => {
 		const effects = new PairEffects();
 		effects.fade(0);
 		effects.learn('server', [{image: 'filler', share}], 1.5 * share, quietVariance);
@@ -55,7 +55,7 @@
 		expect(effects.get('server', 'filler').deviation).toBeGreaterThan(2 * deviation);
 	});
 
-	it('of a pair that was not seen are those that the image has on others', () => {
+	it('of an unknown pair are those of the image on other serving images', () => {
 		const effects = new PairEffects();
 		const before = effects.get('other', 'filler').mean;
 		for (let index = 0; index < 30; index++) {
@@ -66,7 +66,7 @@
 	});
 });
 
-it('lets a wide job of a new image go on after the first reports of what it does', () => {
+it('lets a job with many tasks of an unknown image proceed after the first reports of its effect', () => {
 	const harm = new FillHarm();
 	const server: Server = {image: 'server', job: 'job.0', ratio: 0.3};
 	for (let nowMs = 0; nowMs <= 3000; nowMs += 400) {
--- a/test/quarantine.test.ts
+++ b/test/quarantine.test.ts
@@ -9,7 +9,7 @@
 const createFleet = (size: number): FleetWorker[] =>
 	Array.from({length: size}, (_, index) => ({...createWorker(`host-${index}`), isAnswering: true, silentSinceMs: undefined}));
 
-/** Tasks that wait, under each of which a worker has crashed. */
+/** Creates waiting tasks, under each of which a worker has crashed. */
 const createSuspects = (count: number, isGang = false): LiveTask[] => {
 	const {model} = load([createWorkflow('0000000000000001', createSpec([createStep({count, isGang})]))]);
 	const tasks = [...model.waiting(0, () => false)];
@@ -26,7 +26,7 @@
 	workers: new Map(workers.map(worker => [worker.host, worker])), note: () => undefined,
 });
 
-/** Places where a worker is let take tasks, one each. */
+/** Places one task on each worker that may take one; all tasks or none. */
 const placeOn = (mayTake: (worker: FleetWorker) => boolean) => (tasks: LiveTask[], workers: FleetWorker[]): Start[] => {
 	const open = workers.filter(worker => mayTake(worker));
 	return open.length < tasks.length ? [] : tasks.map((task, index) => ({task, worker: open[index]!}));
@@ -40,7 +40,7 @@
 	expect(starts.map(({worker}) => worker.host)).toEqual(['host-11']);
 });
 
-it('finds the workers for a gang under suspicion', () => {
+it('finds the workers for a suspected gang', () => {
 	const open = createFleet(12);
 	const {starts} = createQuarantine(open).arrange({
 		waiting: createSuspects(3, true), open, nowMs: 1000, place: placeOn(({host}) => ['host-7', 'host-9', 'host-11'].includes(host)),
@@ -48,7 +48,7 @@
 	expect(starts).toHaveLength(3);
 });
 
-it('holds no more than a tenth of the workers, each for one suspect and closed to others', () => {
+it('holds at most a tenth of the workers, each for one suspect and closed to others', () => {
 	const open = createFleet(40);
 	const quarantine = createQuarantine(open);
 	const {starts, waiting, open: left} = quarantine.arrange({
--- a/test/site-decisions.test.ts
+++ b/test/site-decisions.test.ts
@@ -1,5 +1,5 @@
 /**
-Decisions of the owner that need no network: order, placement, paces, stalls, leases and the fold.
+Decisions of the owner without a network: order, placement, stalls, leases and the fold.
 */
 import {describe, expect, it} from 'vitest';
 import {LeaseClock} from '../src/agents/lease-clock.ts';
@@ -15,12 +15,12 @@
 import {createSpec, createStep, queue} from './site-world.ts';
 
 describe('placement', () => {
-	it('never gives a worker more than it has', () => {
+	it('never exceeds the capacity of a worker', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep({count: 20, milliCpu: 900})]))]);
 		expect(placeAll(model, [createWorker('x'), createWorker('y')])).toHaveLength(8);
 	});
 
-	it('counts what is being stopped', () => {
+	it('counts runs that are being stopped', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep({count: 5, milliCpu: 1000})]))]);
 		const worker = createWorker('x');
 		const [first] = [...model.waiting(0, () => false)];
@@ -28,7 +28,7 @@
 		expect(placeAll(model, [worker])).toHaveLength(3);
 	});
 
-	it('keeps to the label, and to how many tasks of a step one worker may have', () => {
+	it('respects the required label and the maximum of tasks of a step on one worker', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep({
 			count: 4, requiredLabel: 'b', maxPerWorker: 1, milliCpu: 100,
 		})]))]);
@@ -36,7 +36,7 @@
 		expect(starts.map(({worker}) => worker.host).toSorted()).toEqual(['y', 'z']);
 	});
 
-	it('prefers the rack with the data, and goes elsewhere when it is full', () => {
+	it('prefers the rack with the data, and uses others when it is full', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep({count: 5, dataRack: 'r1-2'})]))]);
 		const starts = placeAll(model, [createWorker('x'), createWorker('y', 4000, ['a', 'r1-2'])]);
 		expect(starts.map(({worker}) => worker.host)).toEqual(['y', 'y', 'y', 'y', 'x']);
@@ -48,14 +48,14 @@
 		expect(placeAll(model, [createWorker('x'), createWorker('y')])).toHaveLength(5);
 	});
 
-	it('tries a failed task on another worker', () => {
+	it('starts a failed task on another worker', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep()]))]);
 		const [task] = [...model.waiting(0, () => false)];
 		task!.avoidedHosts.add('x');
 		expect(placeAll(model, [createWorker('x'), createWorker('y')]).map(({worker}) => worker.host)).toEqual(['y']);
 	});
 
-	it('gives a worker under probation one task', () => {
+	it('starts one task on a worker that is being probed', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep({count: 3})]))]);
 		const worker = createWorker('x');
 		worker.health.isProbing = true;
@@ -63,10 +63,10 @@
 	});
 
 	/**
-	On the heaviest days more is asked for than there is room. A job that has little time left goes before one with more,
-	and one that cannot meet its objective any more waits for both: callers get most jobs in time so.
+	Guards the order under overload: a job with little slack goes before one with more, and one that can no longer meet its
+	objective waits for both, so that most jobs end in time.
 	*/
-	it('serves what has the least time to spare first, and what is too late last', () => {
+	it('starts jobs by least slack first, and those that are too late last', () => {
 		const spec = createSpec([createStep({milliCpu: 4000, estimateMs: 1000})]);
 		const {model} = load([
 			createWorkflow('late', spec, {receivedAtMs: -9000}), createWorkflow('easy', spec, {receivedAtMs: 0}), createWorkflow('urgent', spec, {receivedAtMs: -1200}),
@@ -76,7 +76,7 @@
 	});
 });
 
-describe('runs that stand still', () => {
+describe('stalled runs', () => {
 	const createRun = (step = {}) => {
 		const {model} = load([createWorkflow('a', createSpec([createStep(step)]))]);
 		const [task] = [...model.waiting(0, () => false)];
@@ -85,7 +85,7 @@
 		return {worker, task: task!, live: run(task!, worker)};
 	};
 
-	it('are moved where another worker has room', () => {
+	it('are moved if another worker has capacity', () => {
 		const {worker} = createRun();
 		expect(chooseMoves({
 			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => false,
@@ -95,7 +95,7 @@
 		})).toHaveLength(1);
 	});
 
-	it('are not told from others while their agent is silent', () => {
+	it('are not detected while their agent is silent', () => {
 		const {worker} = createRun();
 		worker.silentSinceMs = 4000;
 		expect(chooseMoves({
@@ -103,8 +103,8 @@
 		})).toHaveLength(0);
 	});
 
-	/** A worker is emptied: what lasts moves at once, what can still end there stays. */
-	it('and those that a draining worker would lose are moved, others end there', () => {
+	/** Drains a worker: a long-running task moves at once, and a task that can still end there stays. */
+	it('and runs that a draining worker would lose are moved, while others end there', () => {
 		const {worker, live} = createRun({estimateMs: 3000});
 		worker.report!.isDraining = true;
 		worker.report!.remainingMs = 1500;
@@ -127,7 +127,7 @@
 		})).toHaveLength(1);
 	});
 
-	it('get a copy beside them where the step allows it', () => {
+	it('get a copy if the step allows it', () => {
 		const {worker, task, live} = createRun({isSpeculative: true});
 		expect(chooseMoves({
 			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => true,
@@ -139,8 +139,8 @@
 });
 
 describe('the lease of a worker', () => {
-	/** A process stood still between a proof and the call that uses it: the lease is dated by the worker's clock before. */
-	it('is counted from the clock that was read before its proof was asked for', () => {
+	/** Guards against a process that was suspended between a proof and the call that uses it: the lease must start at the worker's clock before the proof. */
+	it('starts at the clock reading from before its proof was requested', () => {
 		const lease = new LeaseClock(7000);
 		lease.note(100_000, 0);
 		const dated = lease.estimate(400)!;
@@ -149,7 +149,7 @@
 		expect(lease.leaseUntilMs).toBe(107_400);
 	});
 
-	it('does not grow while the worker gives no answer, so that it is over at last', () => {
+	it('does not grow while the worker does not reply, so that it expires', () => {
 		const lease = new LeaseClock(7000);
 		lease.note(100_000, 0);
 		lease.prove(100_000);
@@ -160,7 +160,7 @@
 		expect(lease.isOver(7500, 300)).toBe(true);
 	});
 
-	it('takes a worker\'s clock for up to 2% slow', () => {
+	it('allows for a worker\'s clock that is up to 2% slow', () => {
 		const lease = new LeaseClock(7000);
 		lease.note(100_000, 0);
 		lease.noteSent(107_000);
@@ -182,7 +182,7 @@
 		}, fold.offset);
 	};
 
-	it('completes a job with the last of its tasks, and takes an end that comes twice once', () => {
+	it('completes a job with the last of its tasks, and counts a repeated end once', () => {
 		const fold = new WorkflowFold();
 		submit(fold, createWorkflow('a', createSpec([createStep({count: 2})])));
 		end(fold, 'a.0.0.0', 1, RunEnd.Done);
@@ -192,7 +192,7 @@
 		expect(fold.workflows.get('a')!.state).toBe(WorkflowState.Completed);
 	});
 
-	it('counts a failure that comes twice once', () => {
+	it('counts a repeated failure once', () => {
 		const fold = new WorkflowFold();
 		submit(fold, createWorkflow('a', createSpec([createStep()])));
 		end(fold, 'a.0.0.0', 1, RunEnd.Failed);
@@ -202,14 +202,14 @@
 		expect(fold.workflows.get('a')!.state).toBe(WorkflowState.Failed);
 	});
 
-	it('takes one end of a gang for all of its members', () => {
+	it('applies one end of a gang to all of its members', () => {
 		const fold = new WorkflowFold();
 		submit(fold, createWorkflow('a', createSpec([createStep({count: 3, isGang: true})])));
 		end(fold, 'a.0.0.2', 1, RunEnd.Done);
 		expect(fold.workflows.get('a')!.state).toBe(WorkflowState.Completed);
 	});
 
-	it('leaves a cancelled job cancelled, and a lasting one running', () => {
+	it('leaves a cancelled job cancelled, and a long-running one running', () => {
 		const fold = new WorkflowFold();
 		submit(fold, createWorkflow('a', createSpec([createStep()])));
 		submit(fold, createWorkflow('b', createSpec([createStep({isLasting: true})])));
@@ -220,10 +220,10 @@
 	});
 
 	/**
-	An entry starts to read where the store's records begin. A job's first record is gone, its cancellation comes before
-	the record that the owner wrote again, from what it knew earlier. The job must not run on.
+	Guards against a cancelled job that runs on. An entry reads from the oldest record that the store still has: the job's first
+	record is gone, and its cancellation comes before the record that the owner rewrote from earlier knowledge.
 	*/
-	it('takes a job that was written again, with what came before that record', () => {
+	it('restores a rewritten job, and applies the records before it', () => {
 		const fold = new WorkflowFold();
 		const workflow = createWorkflow('a', createSpec([createStep({count: 2})]));
 		fold.apply({type: RecordType.Cancel, id: 'a'}, 7);
--- a/test/site-harm.test.ts
+++ b/test/site-harm.test.ts
@@ -1,5 +1,5 @@
 /**
-What fills beside what serves: learned effects, paces, and where tasks that fill are set. No network.
+Best-effort tasks beside serving tasks: learned interference, paces and placement. No network.
 */
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../src/utils/manual-clock.ts';
@@ -21,10 +21,10 @@
 
 const serving = (ratio: number, job = 's.0'): Server[] => [{image: 'serve', job, ratio}];
 
-/** Tail over target at a load, as workers measure it. */
+/** Tail latency divided by its target at a load, as workers measure it. */
 const getRatioAt = (load: number): number => 1 / (6 * (1 - Math.min(0.99, load)));
 
-/** Two workers report a job for ten seconds: one has quiet neighbours, the other has heavy ones now and then. */
+/** Two workers report a job for ten seconds: one with harmless neighbours only, the other with a harmful one at times. */
 const teach = (heavyEffect: number): FillHarm => {
 	const harm = new FillHarm();
 	for (let nowMs = 0; nowMs < 10_000; nowMs += 500) {
@@ -50,19 +50,19 @@
 	return {model, worker};
 };
 
-describe('learned harm', () => {
+describe('learned interference', () => {
 	/**
-	All tasks of a job have long tails at the top of its wave, whoever is beside them. What was beside them then was
-	stopped as well, and callers' jobs stood still: the quiet worker's report tells the wave from the neighbour.
+	Guards against blaming neighbours for a peak of the job's own load: all of its tasks have long tails then, and stopping
+	their neighbours left batch jobs without progress. The task with harmless neighbours shows how much is the job's own load.
 	*/
-	it('tells the wave of a job from what its neighbours do', () => {
+	it('distinguishes the load waves of a job from the effects of its neighbours', () => {
 		const harm = teach(1.5);
 		expect(harm.getEffect('serve', 'heavy')).toBeGreaterThan(1);
 		expect(harm.getEffect('serve', 'light')).toBeLessThan(0.3);
 	});
 
-	/** A tail falls back over a second and more after its cause was stopped: what is beside it by then is not the cause. */
-	it('blames nobody for a tail that is still falling', () => {
+	/** A tail takes more than a second to fall after its cause has stopped: what runs beside it by then is not the cause. */
+	it('blames no image for a tail that is still falling', () => {
 		const harm = teach(1.5);
 		const before = harm.getEffect('serve', 'light');
 		for (let nowMs = 10_000; nowMs < 11_000; nowMs += 500) {
@@ -73,9 +73,9 @@
 	});
 });
 
-describe('what was learned', () => {
-	/** An owner died; the next one knew nothing, and each image did its harm once more before it was slowed. */
-	it('is taken over by the next owner', () => {
+describe('interference learned by an owner', () => {
+	/** Guards against a new owner that starts without the model, so that each image disturbs users again before it is slowed. */
+	it('is restored by the next owner', () => {
 		const fold = new WorkflowFold();
 		fold.apply(decodeRecord(encodeRecord({type: RecordType.Harm, pairs: teach(1.5).getPairs()})), 0);
 		const next = new FillHarm();
@@ -85,9 +85,9 @@
 	});
 });
 
-describe('images that are gone', () => {
-	/** Images come and go for months: the record for the next owner grew with all that ever were, and with it each takeover. */
-	it('are not handed on', () => {
+describe('images without tasks', () => {
+	/** Guards against a record for the next owner that grows over months with every image ever seen, and slows each takeover. */
+	it('are not handed over', () => {
 		const harm = teach(1.5);
 		expect(harm.getPairs()).toHaveLength(2);
 		harm.note([], [], 1_000_000);
@@ -99,48 +99,48 @@
 	const effect = (_: string, image: string) => image === 'heavy' ? 1 : 0.1;
 	const demands = [{image: 'heavy', share: 0.2}, {image: 'light', share: 0.5}];
 
-	it('are whole while every serving task stays below its target', () => {
+	it('are 1 while every serving task stays below its target', () => {
 		expect(planSpeeds([{image: 'serve', load: 0.5}], demands, effect)).toEqual([1, 1]);
 	});
 
-	it('are taken from the most harmful image first, and no more than needed', () => {
+	it('are lowered for the most harmful image first, and no more than needed', () => {
 		const [heavy, light] = planSpeeds([{image: 'serve', load: 0.64}], demands, effect);
 		expect(light).toBe(1);
 		expect(heavy).toBeCloseTo((getLoadAt(0.9) - 0.64 - 0.05) / 0.2);
 	});
 
-	it('are nothing for what is harmful where a serving task has nothing to spare', () => {
+	it('are 0 for harmful images when a serving task has no load to spare', () => {
 		expect(planSpeeds([{image: 'serve', load: 0.85}], demands, effect)).toEqual([0, 0]);
 	});
 
-	it('keep what harms nobody at work', () => {
+	it('are 1 for harmless images in any case', () => {
 		expect(planSpeeds([{image: 'serve', load: 0.85}], demands, () => 0.01)).toEqual([1, 1]);
 	});
 });
 
 describe('paces', () => {
-	it('slow what is known to harm a tail far above its target, and leave the rest', () => {
+	it('slow an image known to harm a tail far above its target, and leave the others', () => {
 		const paces = decidePaces(serving(5), [filler('heavy'), filler('light')], teach(4));
 		expect(paces.get('heavy')).toBeLessThan(50);
 		expect(paces.has('light')).toBe(false);
 	});
 
-	it('do not go down again while the tail falls after the last change', () => {
+	it('are not lowered again while the tail falls after the last change', () => {
 		const fillers = [filler('heavy', {
 			percent: 0, usedShare: 0, recentShare: 0.4, sinceChangeMs: 100,
 		}), filler('light')];
 		expect(decidePaces(serving(2), fillers, teach(1.5))).toEqual(new Map());
 	});
 
-	it('go down with a tail that nothing known explains', () => {
+	it('are lowered when no known effect explains the tail', () => {
 		expect(decidePaces(serving(5), [filler('new')], new FillHarm()).get('new')).toBeLessThan(50);
 	});
 
 	/**
-	A user's tail was over its target for four seconds, beside work that was not known to harm it. What is known may be wrong:
-	after a while nothing fills there, and nothing is set there, until the tail is back.
+	Guards against a model that is wrong: a tail stayed over its target for four seconds, beside an image assumed harmless.
+	After a time all best-effort tasks there stop, and none are placed there, until the tail has recovered.
 	*/
-	it('stop whatever fills beside a tail that stays too long, and nothing more is set there', async () => {
+	it('stop all best-effort tasks beside a tail that exceeds its target too long, and placement there', async () => {
 		const harm = new FillHarm();
 		harm.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
@@ -167,11 +167,10 @@
 	});
 
 	/**
-	A user's tail was over its target for four seconds, beside work that was not known to harm it, and what fills there worked
-	on. Workers tell a rough figure twice a second: one reading just below the target within those seconds began the count of
-	1.5 s anew each time. The figure of a tail that is really back stays below.
+	Guards against noisy readings, which arrive twice a second: a tail stayed over its target for four seconds, but each single
+	reading just below it restarted the count of 1.5 s, and best-effort tasks went on. A tail that has recovered stays below.
 	*/
-	it('stop whatever fills beside a tail that stays too long but for single readings', async () => {
+	it('stop all best-effort tasks beside a tail that exceeds its target too long but for single readings', async () => {
 		const harm = new FillHarm();
 		harm.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
@@ -184,7 +183,7 @@
 		const keeper = new PaceKeeper({
 			harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
 		});
-		// Users bear 4 s; a stop shows after 0.1 s, and the tail falls for 1.3 s more.
+		// Users tolerate 4 s; a stop takes effect after 0.1 s, and the tail falls for 1.3 s more.
 		const boundMs = 4000 - 100 - 1300;
 		for (let nowMs = 0; nowMs < boundMs; nowMs += 100) {
 			server!.recent = nowMs % 1500 >= 1400 ? 98 : 104;
@@ -195,34 +194,34 @@
 		expect(worker.paces.get('heavy')?.percent).toBe(0);
 	});
 
-	it('give back only what serving tasks can bear', () => {
+	it('are raised no further than serving tasks tolerate', () => {
 		const harm = teach(4);
 		expect(decidePaces(serving(0.3), [filler('heavy', {percent: 0, usedShare: 0})], harm).get('heavy') ?? 0).toBeLessThan(50);
 		expect(decidePaces(serving(0.3), [filler('light', {percent: 0, usedShare: 0})], harm)).toEqual(new Map([['light', 100]]));
 	});
 
-	it('wait for the last change to show before they give more back', () => {
+	it('are raised only after the last change has taken effect', () => {
 		expect(decidePaces(serving(0.3), [filler('light', {percent: 0, usedShare: 0, sinceChangeMs: 100})], teach(1.5)).size).toBe(0);
 	});
 
-	it('give all back where nothing serves any more', () => {
+	it('are raised to 100 when no serving task is left', () => {
 		expect(decidePaces([], [filler('heavy', {percent: 0, usedShare: 0})], teach(4))).toEqual(new Map([['heavy', 100]]));
 	});
 });
 
-describe('placement of what fills', () => {
-	/** What fills was set beside serving tasks, stood still there, and jobs missed their objective. */
-	it('sets what fills away from serving tasks that it is known to harm', () => {
+describe('placement of best-effort tasks', () => {
+	/** Guards against placing tasks beside serving tasks where they are then stopped, so that jobs miss their objectives. */
+	it('places no task beside a serving task that its image is known to harm', () => {
 		const {model, worker} = createWorld();
 		const harm = teach(4);
 		expect(placeAll(model, [worker], {harm})).toHaveLength(0);
-		// With nothing of its job running it does not wait for ever, though most room is free: one task starts, and is paced.
+		// A job without an active run does not wait forever, as most CPU is free: one task starts, and is paced.
 		expect(placeAll(model, [worker], {harm, nowMs: 2000})).toHaveLength(1);
 		expect(placeAll(model, [worker, createWorker('y')], {harm}).map(start => start.worker.host)).toEqual(['y', 'y']);
 	});
 
-	/** Guards against a job of which nothing runs and whose first task was stopped a moment ago: its others waited for that one. */
-	it('starts a task of a job that waits, also after another one of its step has just been stopped', () => {
+	/** Guards against a job without an active run whose first task was stopped a moment ago: its other tasks waited for that one. */
+	it('starts a task of a waiting job even if another task of the step has just been stopped', () => {
 		const {model, worker} = createWorld();
 		model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
@@ -230,8 +229,8 @@
 		expect(placeAll(model, [worker], {harm: teach(4), nowMs: 2000})).toHaveLength(1);
 	});
 
-	/** Guards against a job that stands idle between the end of its only run and the start of the next. */
-	it('starts the next task of a job that waits while its only run ends', () => {
+	/** Guards against a job that is idle between the end of its only run and the start of the next. */
+	it('starts the next task of a waiting job while its only run ends', () => {
 		const {model, worker} = createWorld();
 		run(model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
@@ -241,8 +240,8 @@
 		expect(placeAll(model, [worker], {harm, nowMs: 2300, nextStartMs: 300})).toHaveLength(1);
 	});
 
-	/** Guards against a run that was resumed from a checkpoint, or adopted, and is taken to end soon for what was done before. */
-	it('tells how long a run still takes by what it has done since it was first seen', () => {
+	/** Guards against a remaining time that counts progress made before the run was resumed from a checkpoint or adopted. */
+	it('predicts the remaining time of a run from its progress since it was first observed', () => {
 		const {model, worker} = createWorld();
 		run(model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
@@ -252,13 +251,13 @@
 		expect(placeAll(model, [worker], {harm: teach(4), nowMs: 2100, nextStartMs: 300})).toHaveLength(0);
 	});
 
-	it('sets what harms nobody beside serving tasks, as far as they leave processors', () => {
+	it('places harmless images beside serving tasks, as far as those leave CPU', () => {
 		const {model, worker} = createWorld();
 		expect(placeAll(model, [worker], {harm: teach(0)})).toHaveLength(2);
 	});
 
-	/** An image was held at nothing beside a serving task, its tasks moved on, and it never came back to that worker. */
-	it('knows no pace of an image of which nothing is left', () => {
+	/** Guards against an image whose pace stays 0 after its tasks have moved on: it never returned to that worker. */
+	it('resets the pace of an image without tasks on the worker', () => {
 		const {model, worker} = createWorld(20);
 		worker.paces.set('heavy', {percent: 0, changedAtMs: 0});
 		const harm = teach(0);
@@ -273,7 +272,7 @@
 
 describe('the load of a serving job whose waves are known', () => {
 	const job = 'job';
-	/** A wave between 0.25 and 0.75, followed for a time. */
+	/** Reports a wave between 0.25 and 0.75 for a time. */
 	const follow = (loads: ServingLoads, fromS: number, untilS: number) => {
 		for (let atS = fromS; atS < untilS; atS += 0.5) {
 			loads.note({
@@ -283,31 +282,31 @@
 	};
 
 	/**
-	Half of the processors beside serving tasks stood idle while jobs waited: near the top of their waves, a quarter of the
-	time for each of the three jobs on a worker, tasks were left room to rise by as much as at the foot of it, and nothing that
-	disturbs them at all might start. Loads of all workers then lay between 0.71 and 0.77, and never went above.
+	Guards against a full margin at the peak of a wave, where loads hardly rise: no harmful image could start there for a quarter
+	of the time of each of three jobs on a worker, and half of the CPU stayed idle while jobs waited. Loads of all workers were
+	then between 0.71 and 0.77, and never higher.
 	*/
-	it('is not expected to rise further at the top of its wave', () => {
+	it('is not expected to rise further at the peak of its wave', () => {
 		const loads = new ServingLoads();
 		follow(loads, 0, 25);
 		expect(loads.getRise(job, 0.08)).toBeLessThan(0.04);
 	});
 
-	it('may rise by all that a wave can at its foot', () => {
+	it('may rise by the full margin at the bottom of its wave', () => {
 		const loads = new ServingLoads();
 		follow(loads, 0, 15);
 		expect(loads.getRise(job, 0.08)).toBe(0.08);
 	});
 
-	it('may rise by as much while no wave was seen to turn', () => {
+	it('may rise by the full margin until a wave has passed its peak', () => {
 		const loads = new ServingLoads();
 		follow(loads, 0, 5);
 		expect(loads.getRise(job, 0.08)).toBe(0.08);
 		expect(loads.getRise('other', 0.08)).toBe(0.08);
 	});
 
-	/** Users came in a second wave that went far above the first: what was filled up to the old peak stood over its target. */
-	it('may rise by as much again once it goes beyond all waves before', () => {
+	/** Guards against a second wave far above the first: tasks placed for the old peak kept serving tasks over their targets. */
+	it('may rise by the full margin again once it exceeds all earlier waves', () => {
 		const loads = new ServingLoads();
 		follow(loads, 0, 17);
 		for (let atS = 17; atS < 23; atS++) {
--- a/test/site-order.test.ts
+++ b/test/site-order.test.ts
@@ -1,5 +1,5 @@
 /**
-Which jobs are served first, and where, when there is not room for all: run times that are learned, order, and company.
+Order and placement of jobs under overload: learned run times, ranks, and colocation of serving tasks.
 */
 import {describe, expect, it} from 'vitest';
 import {type Workflow} from '../src/types/workflows.ts';
@@ -15,7 +15,7 @@
 
 const getTasks = (model: LiveModel): LiveTask[] => [...model.waiting(0, () => false)];
 
-/** Notes that one task of each job ran for so long at full speed. */
+/** Observes one task of each job that ran for the given time at full speed. */
 const learn = (times: RunTimes, rows: Array<{estimateMs: number; workedMs: number}>): void => {
 	for (const [index, {estimateMs, workedMs}] of rows.entries()) {
 		const {model} = load([createWorkflow(`done-${index}`, createSpec([createStep({estimateMs})]))]);
@@ -30,15 +30,15 @@
 };
 
 describe('run times', () => {
-	it('are taken from estimates until some were measured', () => {
+	it('are the estimates until some were measured', () => {
 		expect(getTaskMs(new RunTimes(), 700)).toBe(700);
 	});
 
 	/**
-	Callers' estimates are off by a factor of two and more, either way, while the jobs of a queue differ by half of
-	themselves: an estimate of ten seconds hardly ever means ten seconds.
+	Callers' estimates are wrong by a factor of two and more, either way, while the jobs of a queue differ by half of their run
+	time: an estimate of ten seconds rarely means ten seconds.
 	*/
-	it('come from what ran rather than from estimates that are far off', () => {
+	it('are predicted from earlier runs rather than from wrong estimates', () => {
 		const times = new RunTimes();
 		learn(times, [[8000, 2100], [500, 1900], [9000, 2000], [300, 2200], [2000, 1800], [700, 2000]].map(([estimateMs, workedMs]) => ({estimateMs: estimateMs!, workedMs: workedMs!})));
 		expect(getTaskMs(times, 10_000)).toBeGreaterThan(1500);
@@ -46,14 +46,14 @@
 		expect(getTaskMs(times, 200)).toBeGreaterThan(1000);
 	});
 
-	it('follow estimates that have been right', () => {
+	it('follow estimates that have been accurate', () => {
 		const times = new RunTimes();
 		learn(times, [300, 500, 900, 2000, 4000, 8000, 400, 6000, 1000, 3000, 250, 7000].map(workedMs => ({estimateMs: workedMs, workedMs})));
 		expect(getTaskMs(times, 5000)).toBeGreaterThan(3500);
 		expect(getTaskMs(times, 400)).toBeLessThan(700);
 	});
 
-	it('of a step are those of its tasks, once one of them is known', () => {
+	it('of a step are those measured of its tasks, once there is one', () => {
 		const times = new RunTimes();
 		const {model} = load([createWorkflow('a', createSpec([createStep({count: 2, estimateMs: 9000})]))]);
 		const [first, second] = getTasks(model);
@@ -61,7 +61,7 @@
 		expect(times.getTaskMs(second!.step)).toBeCloseTo(1000);
 	});
 
-	it('count the part that was done since a run was first heard', () => {
+	it('are measured over the progress since a run was first observed', () => {
 		const times = new RunTimes();
 		const {model} = load([createWorkflow('a', createSpec([createStep({estimateMs: 9000})]))]);
 		const [task] = getTasks(model);
@@ -75,10 +75,10 @@
 		createWorkflow(id, createSpec([createStep({count, milliCpu: 1000, estimateMs: 4000})]), {stretch: 2, targetLatencyMs: 1000, ...terms});
 
 	/**
-	Far more is asked for than there is room. Served by the least time to spare, each job gets a share of the room, and all of
-	them are late. Jobs of which most is done end in time if they go first.
+	Guards against serving by least slack under overload: each job gets a share of the capacity, and all of them are late.
+	Nearly finished jobs end in time if they go first.
 	*/
-	it('finishes what is begun before it opens more, when there is not room for all', () => {
+	it('finishes jobs that have begun before it starts others, under overload', () => {
 		const others = Array.from({length: 12}, (_, index) => build(`other-${index}`, {receivedAtMs: -200}));
 		const {model} = load([...others, build('begun', {receivedAtMs: 0})]);
 		const begun = model.workflows.get('begun')!.occurrences.get(0)![0]!;
@@ -92,24 +92,24 @@
 		expect(placeAll(model, [createWorker('x', 1000)], {policy})[0]!.task.ref.workflowId).not.toBe('begun');
 	});
 
-	it('serves what has the least time to spare while there is room for all', () => {
+	it('starts the job with the least slack while there is capacity for all', () => {
 		const {model} = load([build('easy', {receivedAtMs: 0}, 1), build('urgent', {receivedAtMs: -4000}, 1)]);
 		expect(placeAll(model, [createWorker('x', 1000)]).map(({task}) => task.ref.workflowId)).toEqual(['urgent']);
 	});
 
-	it('serves a queue of higher priority first', () => {
+	it('starts a queue of higher priority first', () => {
 		const {model} = load([build('bulk', {priority: 2, receivedAtMs: -4000}, 1), build('quick', {priority: 0}, 1)]);
 		expect(placeAll(model, [createWorker('x', 1000)]).map(({task}) => task.ref.workflowId)).toEqual(['quick']);
 	});
 
-	/** The time of day jumps: the age of a job that has just come must not be taken from it. */
-	it('does not take a job for old because a clock was set', () => {
+	/** Guards against a wall clock that jumps: the age of a new job must not be computed from it. */
+	it('does not overestimate the age of a job when a clock was set', () => {
 		const {model, fold} = load([build('a', {receivedAtMs: -60_000})]);
 		const workflow = model.add(fold.workflows.get('a')!, 0, 5000, 30);
 		expect(workflow.receivedAtMs).toBe(4970);
 	});
 
-	it('knows what is left of a job with steps that wait for others', () => {
+	it('computes the remaining work of a job whose steps depend on others', () => {
 		const {model} = load([createWorkflow('a', createSpec([
 			createStep({count: 2, estimateMs: 1000, milliCpu: 500}), createStep({estimateMs: 3000, after: [0]}), createStep({estimateMs: 500}),
 		]))]);
@@ -123,16 +123,16 @@
 	});
 });
 
-describe('company', () => {
+describe('colocation', () => {
 	const serve = (id: string, image: string) => createWorkflow(id, createSpec([createStep({
 		isLasting: true, targetMs: 20, image, milliCpu: 1000,
 	})]));
 
 	/**
-	Serving tasks of three images stood on each worker. Most images that fill harm one of the three, so hardly any long work
-	found a place, and half of the processors stood idle. With one image on a worker, a third of them harms nobody there.
+	Guards against serving tasks of three images on each worker: most best-effort images harm one of the three, so that few long
+	tasks found a worker, and half of the CPU was idle. With one image on a worker, a third of them harm no task there.
 	*/
-	it('keeps serving tasks of one image together, also at the price of a free worker', () => {
+	it('places serving tasks of one image together, even if another worker is free', () => {
 		const workers = [createWorker('x'), createWorker('y'), createWorker('z', 1000)];
 		const {model} = load(['one', 'two'].flatMap(image => [0, 1, 2].map(index => serve(`${image}-${index}`, image))));
 		for (const [index, task] of getTasks(model).entries()) {
@@ -145,7 +145,7 @@
 		expect(place('three')).toEqual(['z']);
 	});
 
-	it('keeps room where nobody serves for what would harm elsewhere, while it is short', () => {
+	it('reserves workers without serving tasks for images that would harm elsewhere, while they are short', () => {
 		const {model} = load([serve('a', 'one'), createWorkflow('f', createSpec([createStep({isFilling: true, image: 'light', milliCpu: 500})]))]);
 		const [server] = getTasks(model);
 		const workers = [createWorker('quiet', 400), createWorker('served')];
--- a/test/site-places.test.ts
+++ b/test/site-places.test.ts
@@ -1,5 +1,5 @@
 /**
-Places of the tasks of one step on a service of many workers.
+Worker selection for the tasks of one step on a service of many workers.
 */
 import * as fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -17,7 +17,7 @@
 
 const images = ['a', 'b', 'c'];
 
-/** Serving and filling work on each worker; the last job waits. */
+/** Creates workers with serving and best-effort tasks; the last job waits. */
 const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Drawn): {workers: FleetWorker[]; tasks: LiveTask[]; harm: FillHarm} => {
 	const {model} = load([
 		...running.map(({isServing, image}, index) => createWorkflow(`r${index}`, createSpec([createStep({
@@ -59,13 +59,12 @@
 	effects: fc.array(fc.constantFrom(0, 0.05, 0.2), {minLength: 9, maxLength: 9}),
 });
 
-describe('places of a step', () => {
+describe('workers for the tasks of a step', () => {
 	/**
-	On a service of 160 workers a cycle took 60 ms while 400 tasks waited, since each of them weighed each worker anew; cycles
-	came a tenth as often as work changed, and tasks that could run stood waiting. What is kept from task to task must not
-	change what is decided.
+	Guards against slow cycles: with 160 workers and 400 waiting tasks, computing the cost of every pair took 60 ms, so that
+	cycles ran at a tenth of the rate of changes and startable tasks waited. Costs kept between tasks must not change decisions.
 	*/
-	it('are the same whether they are weighed once or anew for each task', () => {
+	it('are the same whether costs are kept or computed anew for each task', () => {
 		fc.assert(fc.property(drawn, draw => {
 			const {workers, tasks, harm} = createFleet(draw);
 			const createTerms = (candidates: Candidate[]) => ({
@@ -83,7 +82,7 @@
 		}), {numRuns: 300, seed: 11});
 	});
 
-	it('are taken one after the other until none is left', () => {
+	it('are assigned one after the other until no capacity is left', () => {
 		const {model} = load([createWorkflow('w', createSpec([createStep({count: 12, milliCpu: 1000})]))]);
 		const workers = Array.from({length: 2}, (_, index) => createWorker(`host-${index}`));
 		const starts = placeAll(model, workers);
@@ -91,7 +90,7 @@
 		expect(starts.filter(({worker}) => worker === workers[0])).toHaveLength(4);
 	});
 
-	it('are never on a worker where another run of the task is', () => {
+	it('exclude a host with another run of the task', () => {
 		const {model} = load([createWorkflow('w', createSpec([createStep({isSpeculative: true})]))]);
 		const worker = createWorker('host-0');
 		const task = [...model.waiting(0, () => false)][0]!;
--- a/test/site-trials.test.ts
+++ b/test/site-trials.test.ts
@@ -1,5 +1,5 @@
 /**
-What fills beside serving tasks while it is not known what it does to them.
+Best-effort tasks beside serving tasks while their interference is unknown.
 */
 import {describe, expect, it} from 'vitest';
 import {FillHarm} from '../src/workflows/fill-harm.ts';
@@ -11,7 +11,7 @@
 
 const size = 20;
 
-/** One serving task on each worker, of two images by turns; a wide job waits. */
+/** Creates workers with one serving task each, of two alternating images; a job with many tasks waits. */
 const createFleet = (waiting: number) => {
 	const {model} = load([
 		...['even', 'odd'].map(image => createWorkflow(image, createSpec([createStep({
@@ -33,20 +33,20 @@
 
 const getTasks = (starts: ReturnType<typeof placeAll>) => starts.filter(({task}) => task.step.spec.isFilling);
 
-describe('a wide job of an image that was never seen', () => {
+describe('a job with many tasks of an unknown image', () => {
 	/**
-	On a large service the serving tasks of all workers stood over their targets at once, 331 s of serving tasks in a measured
-	load of 30 s, 13 s where all harm was known from the start. A job of forty tasks started one on each worker in the same moment,
-	and every other worker learned by doing harm what two would have shown.
+	Guards against learning the same effect on every worker: a job of forty tasks started one on each worker at the same time. On
+	a large service all serving tasks exceeded their targets at once, for 331 s in sum over a measured load of 30 s, against 13 s
+	with all interference known from the start. Two workers would have shown it.
 	*/
-	it('is tried on two workers beside each image that serves', () => {
+	it('starts beside each serving image on two workers', () => {
 		const {model, workers} = createFleet(size);
 		const starts = getTasks(placeAll(model, workers));
 		expect(starts).toHaveLength(4);
 		expect(starts.filter(({worker}) => workers.indexOf(worker) % 2 === 0)).toHaveLength(2);
 	});
 
-	it('counts the trials that run already', () => {
+	it('counts trials that already run', () => {
 		const {model, workers} = createFleet(size);
 		const {tasks} = model.workflows.get('wide')!.occurrences.get(0)![0]!;
 		run(tasks[0]!, workers[0]!, {recent: 1800});
@@ -56,7 +56,7 @@
 		expect(starts.every(({worker}) => workers.indexOf(worker) % 2 === 1)).toBe(true);
 	});
 
-	it('goes everywhere once it is known to harm nobody', () => {
+	it('starts everywhere once the image is known to be harmless', () => {
 		const {model, workers} = createFleet(size);
 		const harm = new FillHarm();
 		harm.restore(['even', 'odd'].map(server => ({
@@ -65,7 +65,7 @@
 		expect(getTasks(placeAll(model, workers, {harm}))).toHaveLength(size);
 	});
 
-	it('goes on to where it is known while it is tried elsewhere', () => {
+	it('starts where the image is known while trials run elsewhere', () => {
 		const {model, workers} = createFleet(size);
 		const harm = new FillHarm();
 		harm.restore([{
@@ -76,7 +76,7 @@
 		expect(starts).toHaveLength(size);
 	});
 
-	it('starts one task beside users in any case when it has waited too long', () => {
+	it('starts one task beside serving tasks in any case when it has waited too long', () => {
 		const {model, workers} = createFleet(1);
 		const harm = new FillHarm();
 		harm.restore(['even', 'odd'].map(server => ({
@@ -86,7 +86,7 @@
 		expect(getTasks(placeAll(model, workers, {harm, nowMs: 2000}))).toHaveLength(1);
 	});
 
-	it('goes wherever it fits without the bound, as in a trial build', () => {
+	it('starts wherever it fits when a build leaves out the limit', () => {
 		const {model, workers} = createFleet(size);
 		expect(getTasks(placeAll(model, workers, {policy: createPolicy('few-trials')})).length).toBeGreaterThan(4);
 	});
