--- a/src/workflows/advice-cache.ts
+++ b/src/workflows/advice-cache.ts
@@ -1,5 +1,6 @@
 /**
-Caches placement advice for steps of queues that require it. Advice is requested before a step is ready, and kept while it is valid.
+Caches placement advice for steps of queues that require it. Advice is requested before a step is ready, and kept while it
+is valid.
 */
 import {getMessage} from '../core/errors.ts';
 import {type AdviceClient} from '../types/advice.ts';
@@ -20,8 +21,8 @@
 	/** Tickets by worker, with the end of their validity. */
 	tickets: Map<string, {ticket: string; validUntilMs: number}>;
 	/** Workers that were named in a request. Whether a worker is approved for the step does not change, so each is named once. */
-	asked: Set<string>;
-	isAsking: boolean;
+	askedWorkerIds: Set<string>;
+	isRequesting: boolean;
 	retryAtMs: number;
 };
 
@@ -31,7 +32,7 @@
 const maxWorkers = 100;
 const retryMs = 300;
 /** A ticket with less validity than this may expire before the start arrives. */
-const marginMs = 400;
+const validityMarginMs = 400;
 
 /** Advice for the steps of one owner's jobs. */
 export class AdviceCache {
@@ -46,7 +47,7 @@
 	/** Gets a ticket for a task of the step on the worker; undefined: there is none that is valid. */
 	getTicket(step: LiveStep, workerId: string): string | undefined {
 		const ticket = this.#entries.get(step)?.tickets.get(workerId);
-		return ticket && ticket.validUntilMs > this.#options.clock.monotonicMs() + marginMs ? ticket.ticket : undefined;
+		return ticket && ticket.validUntilMs > this.#options.clock.monotonicMs() + validityMarginMs ? ticket.ticket : undefined;
 	}
 
 	/**
@@ -67,10 +68,10 @@
 				return;
 			}
 
-			const entry = this.#open(step);
-			const lacking = entry.isAsking || entry.retryAtMs > nowMs ? [] : this.#getLacking(step, entry, workerIds);
-			if (lacking.length > 0) {
-				void this.#ask(step, entry, lacking.slice(0, maxWorkers));
+			const entry = this.#getOrCreate(step);
+			const missing = entry.isRequesting || entry.retryAtMs > nowMs ? [] : this.#getMissing(step, entry, workerIds);
+			if (missing.length > 0) {
+				void this.#request(step, entry, missing.slice(0, maxWorkers));
 			}
 		}
 	}
@@ -83,11 +84,11 @@
 		}
 	}
 
-	#open(step: LiveStep): Entry {
+	#getOrCreate(step: LiveStep): Entry {
 		let entry = this.#entries.get(step);
 		if (!entry) {
 			entry = {
-				tickets: new Map(), asked: new Set(), isAsking: false, retryAtMs: 0,
+				tickets: new Map(), askedWorkerIds: new Set(), isRequesting: false, retryAtMs: 0,
 			};
 			this.#entries.set(step, entry);
 		}
@@ -96,12 +97,12 @@
 	}
 
 	/** Workers that were never named in a request, and approved ones whose ticket has expired. */
-	#getLacking(step: LiveStep, entry: Entry, workerIds: string[]): string[] {
-		return workerIds.filter(workerId => !entry.asked.has(workerId)
+	#getMissing(step: LiveStep, entry: Entry, workerIds: string[]): string[] {
+		return workerIds.filter(workerId => !entry.askedWorkerIds.has(workerId)
 			|| (entry.tickets.has(workerId) && this.getTicket(step, workerId) === undefined));
 	}
 
-	async #ask(step: LiveStep, entry: Entry, workerIds: string[]): Promise<void> {
+	async #request(step: LiveStep, entry: Entry, workerIds: string[]): Promise<void> {
 		const {client, clock, onAdvice, note} = this.#options;
 		if (!client) {
 			return;
@@ -109,7 +110,7 @@
 
 		const stepId = `${step.workflow.spec.id}.${step.occurrence}.${step.index}`;
 		this.#calls++;
-		entry.isAsking = true;
+		entry.isRequesting = true;
 		try {
 			const {tickets, validMs} = await client.ask(stepId, workerIds);
 			const validUntilMs = clock.monotonicMs() + validMs;
@@ -118,7 +119,7 @@
 			}
 
 			for (const workerId of workerIds) {
-				entry.asked.add(workerId);
+				entry.askedWorkerIds.add(workerId);
 			}
 
 			note('advice', {stepId, asked: workerIds.length, good: tickets.length});
@@ -128,7 +129,7 @@
 			note('advice not given', {stepId, error: getMessage(error)});
 		} finally {
 			this.#calls--;
-			entry.isAsking = false;
+			entry.isRequesting = false;
 		}
 	}
 }
--- a/src/workflows/evacuations.ts
+++ b/src/workflows/evacuations.ts
@@ -21,7 +21,10 @@
 		this.#current = {asOf: offset, failureDomains: isRequested ? [...others, failureDomain] : others};
 	}
 
-	/** Replaces all requests by those in force at an offset: a removal may be visible only by the absence of its request, once its record has been deleted. */
+	/**
+	Replaces all requests by those in force at an offset. Once the record of a removal has been deleted, only the missing
+	request shows it.
+	*/
 	takeAll(failureDomains: string[], endOffset: number): void {
 		if (endOffset > this.#current.asOf) {
 			this.#current = {asOf: endOffset - 1, failureDomains};
--- a/src/workflows/fill-harm.ts
+++ b/src/workflows/fill-harm.ts
@@ -1,12 +1,12 @@
 /**
-Model of the load that best-effort tasks add to serving tasks, learned for pairs of images from workers' reports.
+Model of the load that best-effort tasks add to latency-critical tasks, learned for pairs of images from workers' reports.
 */
 import {RunPhase, type LiveRun} from './live-model.ts';
 import {PairEffects} from './pair-effects.ts';
 import {type HarmPair} from './records.ts';
 import {getLoadAt, saturatedLoad, ServingLoads} from './serving-load.ts';
 
-/** A serving task beside which best-effort tasks may run. */
+/** A latency-critical task beside which best-effort tasks may run. */
 export type Server = {
 	image: string;
 	/** Tasks of one job serve the same users, so that their loads change together. */
@@ -28,19 +28,22 @@
 	usedShare: number;
 	/** Peak of `usedShare` over the time that a tail takes to fall after its cause has stopped, about 1.3 s. */
 	recentShare: number;
-	/** Pace that was last set, 0 to 100 percent of full speed. */
+	/** Throttle percentage that was last set, 0 to 100. */
 	percent: number;
 	sinceChangeMs: number;
 };
 
 /** Effects are stored for a tenth of a worker's CPU, which is about one task. */
-const recordedShare = 0.1;
-/** Images that were not observed for this long are removed: what was learned has faded, and the record for the next owner must not grow with every image ever seen. */
-const forgetMs = 300_000;
-// An unknown pair is assumed somewhat harmful: the first task shows its effect before more follow.
-const cautionDeviations = 0.5;
+const storedEffectShare = 0.1;
+/**
+Images that were not observed for this long are removed: what was learned has faded, and the record for the next owner
+must not grow with every image ever seen.
+*/
+const retentionMs = 300_000;
+// An unknown pair is assumed to interfere somewhat: the first task shows its effect before more follow.
+const unknownPairDeviations = 0.5;
 /** An effect is known at or below this deviation, which is half that of a pair never observed. */
-const knownDeviation = 1;
+const maxKnownDeviation = 1;
 /** Readings of tail latency are whole milliseconds, half a second late, and noisy. */
 const reportVariance = 0.03 ** 2;
 
@@ -49,25 +52,25 @@
 	readonly #effects = new PairEffects();
 	readonly #loads = new ServingLoads();
 	/** Images that were observed beside each other, with the last time. */
-	readonly #servers = new Map<string, number>();
-	readonly #fillers = new Map<string, number>();
-	/** Effects requested since the last report, by serving and best-effort image: a scheduling cycle requests thousands. */
-	readonly #knownEffects = new Map<string, Map<string, number>>();
+	readonly #latencyCriticalImages = new Map<string, number>();
+	readonly #bestEffortImages = new Map<string, number>();
+	/** Effects requested since the last report, by latency-critical and best-effort image: a cycle requests thousands. */
+	readonly #effectCache = new Map<string, Map<string, number>>();
 
-	/** Learns from the reports of one worker's serving tasks and the use of its best-effort tasks. */
+	/** Learns from the reports of one worker's latency-critical tasks and the use of its best-effort tasks. */
 	note(servers: Server[], fillers: Filler[], nowMs: number): void {
-		this.#knownEffects.clear();
+		this.#effectCache.clear();
 		this.#effects.fade(nowMs);
 		this.#loads.prune(nowMs);
-		prune(this.#servers, nowMs, image => {
+		prune(this.#latencyCriticalImages, nowMs, image => {
 			this.#effects.forgetServer(image);
 		});
-		prune(this.#fillers, nowMs, image => {
+		prune(this.#bestEffortImages, nowMs, image => {
 			this.#effects.forgetFiller(image);
 		});
 		for (const server of servers) {
 			if (server.ratio > 0) {
-				this.#noteOne(server, fillers, nowMs);
+				this.#observeTask(server, fillers, nowMs);
 			}
 		}
 	}
@@ -75,12 +78,12 @@
 	/** Gets the learned effects for the next owner. */
 	getPairs(): HarmPair[] {
 		const pairs: HarmPair[] = [];
-		for (const server of this.#servers.keys()) {
-			for (const filler of this.#fillers.keys()) {
+		for (const server of this.#latencyCriticalImages.keys()) {
+			for (const filler of this.#bestEffortImages.keys()) {
 				if (this.#effects.isSeen(server, filler)) {
 					const {mean, deviation} = this.#effects.get(server, filler);
 					pairs.push({
-						server, filler, mean: round(mean * recordedShare), deviation: round(deviation * recordedShare),
+						server, filler, mean: round(mean * storedEffectShare), deviation: round(deviation * storedEffectShare),
 					});
 				}
 			}
@@ -89,27 +92,27 @@
 		return pairs;
 	}
 
-	/** Restores effects that an earlier owner learned; otherwise each pair would disturb users once more before it is known. */
+	/** Restores effects that an earlier owner learned; otherwise each pair would interfere once more before it is known. */
 	restore(pairs: HarmPair[], nowMs: number): void {
-		this.#knownEffects.clear();
+		this.#effectCache.clear();
 		for (const {server, filler, mean, deviation} of pairs) {
-			this.#servers.set(server, nowMs);
-			this.#fillers.set(filler, nowMs);
-			this.#effects.set(server, filler, {mean: mean / recordedShare, deviation: deviation / recordedShare});
+			this.#latencyCriticalImages.set(server, nowMs);
+			this.#bestEffortImages.set(filler, nowMs);
+			this.#effects.set(server, filler, {mean: mean / storedEffectShare, deviation: deviation / storedEffectShare});
 		}
 	}
 
-	/** Load that the best-effort image would add to a serving task if it used all of a worker's CPU. */
+	/** Load that the best-effort image would add to a latency-critical task if it used all of a worker's CPU. */
 	getEffect(server: string, filler: string): number {
-		let effects = this.#knownEffects.get(server);
+		let effects = this.#effectCache.get(server);
 		if (!effects) {
 			effects = new Map();
-			this.#knownEffects.set(server, effects);
+			this.#effectCache.set(server, effects);
 		}
 
 		let effect = effects.get(filler);
 		if (effect === undefined) {
-			effect = Math.max(0, this.#getEffect(server, filler, cautionDeviations));
+			effect = Math.max(0, this.#getEffect(server, filler, unknownPairDeviations));
 			effects.set(filler, effect);
 		}
 
@@ -118,30 +121,30 @@
 
 	/** Whether the effect was observed recently enough to be relied on. */
 	isKnown(server: string, filler: string): boolean {
-		return this.#effects.isSeen(server, filler) && this.#effects.get(server, filler).deviation <= knownDeviation;
+		return this.#effects.isSeen(server, filler) && this.#effects.get(server, filler).deviation <= maxKnownDeviation;
 	}
 
-	/** Load of a serving job without interference. */
+	/** Load of a latency-critical job without interference. */
 	getLoad(job: string): number {
 		return this.#loads.get(job);
 	}
 
 	/** The same, plus the expected rise, which is at most `mostRise`. */
-	getRisenLoad(job: string, mostRise: number): number {
-		return this.#loads.get(job) + this.#loads.getRise(job, mostRise);
+	getRisenLoad(job: string, maxRise: number): number {
+		return this.#loads.get(job) + this.#loads.getRise(job, maxRise);
 	}
 
 	/**
 	Learns from one report, unless recent use explains a tail that is still falling. A tail below what current use explains,
 	or above what all recent use explains, is learned from.
 	*/
-	#noteOne({image, job, ratio}: Server, fillers: Filler[], nowMs: number): void {
+	#observeTask({image, job, ratio}: Server, fillers: Filler[], nowMs: number): void {
 		const load = getLoadAt(ratio);
 		const own = this.#loads.get(job);
-		const isHigher = load > own + this.#getAdded(image, fillers, ({usedShare}) => usedShare);
+		const isHigher = load > own + this.#getAddedLoad(image, fillers, ({usedShare}) => usedShare);
 		const getShare = isHigher ? ({recentShare}: Filler) => recentShare : ({usedShare}: Filler) => usedShare;
-		const added = this.#getAdded(image, fillers, getShare);
-		const addedVariance = this.#getVariance(image, fillers, getShare);
+		const added = this.#getAddedLoad(image, fillers, getShare);
+		const addedVariance = this.#getAddedVariance(image, fillers, getShare);
 		const ownVariance = this.#loads.getVariance(job, nowMs);
 		const isExplained = isHigher && load <= own + added && fillers.some(({usedShare, recentShare}) => recentShare > usedShare);
 		if (isExplained || (load >= saturatedLoad && load <= own + added)) {
@@ -153,16 +156,16 @@
 		}, nowMs);
 		const used = fillers.flatMap(filler => getShare(filler) > 0 ? [{image: filler.image, share: getShare(filler)}] : []);
 		if (used.length > 0) {
-			this.#servers.set(image, nowMs);
+			this.#latencyCriticalImages.set(image, nowMs);
 			for (const filler of fillers) {
-				this.#fillers.set(filler.image, nowMs);
+				this.#bestEffortImages.set(filler.image, nowMs);
 			}
 
 			this.#effects.learn(image, used, load - own, ownVariance + reportVariance);
 		}
 	}
 
-	#getAdded(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
+	#getAddedLoad(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
 		let added = 0;
 		for (const filler of fillers) {
 			added += Math.max(0, this.#getEffect(server, filler.image, 0)) * getShare(filler);
@@ -171,7 +174,7 @@
 		return added;
 	}
 
-	#getVariance(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
+	#getAddedVariance(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
 		let variance = 0;
 		for (const filler of fillers) {
 			variance += (this.#effects.get(server, filler.image).deviation * getShare(filler)) ** 2;
@@ -186,18 +189,18 @@
 	}
 }
 
-const prune = (images: Map<string, number>, nowMs: number, onGone: (image: string) => void): void => {
+const prune = (images: Map<string, number>, nowMs: number, onRemoved: (image: string) => void): void => {
 	for (const [image, seenAtMs] of images) {
-		if (nowMs - seenAtMs > forgetMs) {
+		if (nowMs - seenAtMs > retentionMs) {
 			images.delete(image);
-			onGone(image);
+			onRemoved(image);
 		}
 	}
 };
 
 const round = (value: number): number => Math.round(value * 1000) / 1000;
 
-/** Gets the serving tasks among the runs of a worker, with their last report. */
+/** Gets the latency-critical tasks among the runs of a worker, with their last report. */
 export const getServers = (runs: Iterable<LiveRun>): Server[] => {
 	const servers: Server[] = [];
 	for (const {phase, percent, recent, overSinceMs, mostlyOverSinceMs, task: {step: {spec, servingName}}} of runs) {
@@ -212,7 +215,7 @@
 	return servers;
 };
 
-/** Pace of each best-effort image on a worker. */
+/** Throttle percentage of each best-effort image on a worker. */
 export type Paces = Map<string, {percent: number; changedAtMs: number}>;
 
 /** Gets the best-effort tasks among the runs of a worker, by image. */
--- a/src/workflows/harm-pacing.ts
+++ b/src/workflows/harm-pacing.ts
@@ -1,10 +1,11 @@
 /**
-Computes how fast best-effort tasks may run beside serving tasks: as fast as keeps each serving task below its target, by
-its estimated load and the load that each image adds. The most harmful image slows down first, and no more than needed.
+Computes how fast best-effort tasks may run beside latency-critical tasks: as fast as keeps each latency-critical task below
+its target, by its estimated load and the load that each image adds. The image with the largest effect slows down first,
+and no more than needed.
 */
 import {getLoadAt} from './serving-load.ts';
 
-/** Load of a serving task without interference. */
+/** Load of a latency-critical task without interference. */
 export type ServingTask = {
 	image: string;
 	load: number;
@@ -16,16 +17,16 @@
 	share: number;
 };
 
-/** Gets the load that the best-effort image would add to the serving image if it used all of a worker's CPU. */
+/** Gets the load that the best-effort image would add to the latency-critical image if it used all of a worker's CPU. */
 export type GetEffect = (server: string, filler: string) => number;
 
-/** Serving tasks are kept below this share of their target, because loads rise until the next report arrives. */
-const aimRatio = 0.9;
-const maxLoad = getLoadAt(aimRatio);
+/** Latency-critical tasks are kept below this share of their target, because loads rise until the next report arrives. */
+const targetRatio = 0.9;
+const maxLoad = getLoadAt(targetRatio);
 /** Images whose effect is below this are not slowed down. */
 const negligibleEffect = 0.05;
 /** Excess load that is not worth an order; well above rounding errors. */
-const tolerance = 0.005;
+const minExcess = 0.005;
 /** A lower speed is replaced by 0. */
 const minSpeed = 0.1;
 
@@ -41,7 +42,7 @@
 			excess += share * effects[index] * speeds[index]!;
 		}
 
-		if (excess > tolerance) {
+		if (excess > minExcess) {
 			slowDown(speeds, demands, {effects, excess});
 		}
 	}
@@ -49,21 +50,21 @@
 	return speeds;
 };
 
-/** Lowers speeds until the excess load is gone, starting with the most harmful image. */
+/** Lowers speeds until the excess load is gone, starting with the image of the largest effect. */
 const slowDown = (speeds: number[], demands: FillDemand[], {effects, excess}: {effects: number[]; excess: number}): void => {
-	let leftExcess = excess;
+	let remainingExcess = excess;
 	const order = [...effects.keys()].filter(index => effects[index]! > 0).toSorted((a, b) => effects[b]! - effects[a]!);
 	for (const index of order) {
-		if (leftExcess <= tolerance) {
+		if (remainingExcess <= minExcess) {
 			return;
 		}
 
-		const full = demands[index]!.share * effects[index]!;
+		const fullSpeedLoad = demands[index]!.share * effects[index]!;
 		const speed = speeds[index]!;
-		const taken = Math.min(speed, leftExcess / full);
-		const left = speed - taken < minSpeed ? 0 : speed - taken;
-		leftExcess -= full * (speed - left);
-		speeds[index] = left;
+		const reduction = Math.min(speed, remainingExcess / fullSpeedLoad);
+		const newSpeed = speed - reduction < minSpeed ? 0 : speed - reduction;
+		remainingExcess -= fullSpeedLoad * (speed - newSpeed);
+		speeds[index] = newSpeed;
 	}
 };
 
--- a/src/workflows/open-workers.ts
+++ b/src/workflows/open-workers.ts
@@ -6,16 +6,19 @@
 import {Mechanism, type Policy} from './policy.ts';
 
 /** An agent without a reply for this long gets no orders. */
-const reachableMs = 1500;
+const maxReplyAgeMs = 1500;
 
-const isReached = ({isListed, isAnswering, silentSinceMs, heardAtMs, lostSession, blockedUntilMs}: FleetWorker, nowMs: number): boolean =>
-	isListed && isAnswering && silentSinceMs === undefined && nowMs - heardAtMs < reachableMs && lostSession === undefined && blockedUntilMs <= nowMs;
+const isReachable = ({isListed, isAnswering, silentSinceMs, heardAtMs, lostSession, blockedUntilMs}: FleetWorker, nowMs: number): boolean =>
+	isListed && isAnswering && silentSinceMs === undefined && nowMs - heardAtMs < maxReplyAgeMs && lostSession === undefined && blockedUntilMs <= nowMs;
 
-/** Whether the worker is held down because it failed tasks that succeed elsewhere, or already runs the one task that probes its recovery. */
+/**
+Whether the worker is held down because it failed tasks that succeed elsewhere, or already runs the one task that probes
+its recovery.
+*/
 const isHeldDown = ({health: {isHeld, isProbing}, runs}: FleetWorker): boolean =>
 	isHeld || (isProbing && [...runs].some(run => !run.task.step.spec.isLasting));
 
-/** Criteria for eligible workers. */
+/** Criteria for schedulable workers. */
 export type OpenTerms = {
 	nowMs: number;
 	policy: Policy;
@@ -26,5 +29,5 @@
 /** Gets the workers that may get new tasks. */
 export const getOpenWorkers = (workers: Iterable<FleetWorker>, {nowMs, policy, evacuated}: OpenTerms): FleetWorker[] =>
 	[...workers].filter(worker => worker.report !== undefined && worker.report.milliCpu > 0 && !worker.report.isDraining
-		&& !evacuated.includes(worker.report.failureDomain) && isReached(worker, nowMs)
+		&& !evacuated.includes(worker.report.failureDomain) && isReachable(worker, nowMs)
 		&& !(policy[Mechanism.WorkerHealth] && isHeldDown(worker)));
--- a/src/workflows/pace-keeper.ts
+++ b/src/workflows/pace-keeper.ts
@@ -1,6 +1,6 @@
 /**
-Controls the paces of best-effort tasks on workers with serving tasks: updates the interference model from each agent
-state, sets a pace per image, and sends the orders.
+Throttles best-effort tasks on workers with latency-critical tasks: updates the interference model from each agent state,
+decides a throttle percentage per image, and sends the orders.
 */
 import {type Clock} from '../types/clock.ts';
 import {OrderType, type Order} from '../types/fleet.ts';
@@ -14,32 +14,38 @@
 import {getLoadAt} from './serving-load.ts';
 
 /** Usage and tail latency cover the last half second: reports at shorter intervals add little information. */
-const learnEveryMs = 400;
+const learnIntervalMs = 400;
 /** Time in which a tail latency of six times its target falls below the target again after its cause has stopped. */
-const fallMs = 1300;
-/** Load of serving tasks may rise by this much before it is reported and a new pace takes effect. */
-const riseMargin = 0.04;
-/** Paces are multiples of this percentage; a smaller change is not worth an order. */
-const paceStep = 5;
-/** A pace is raised by at least this much, and no sooner than the last change has taken effect. */
-const minRaise = 15;
-const settleMs = 500;
-const whole = 100;
+const tailFallMs = 1300;
+/** Load of latency-critical tasks may rise by this much before it is reported and a new throttle takes effect. */
+const loadRiseMargin = 0.04;
+/** Throttle percentages are multiples of this; a smaller change is not worth an order. */
+const throttleStepPercent = 5;
+/** A throttle percentage is raised by at least this much, and no sooner than the last change has taken effect. */
+const minRaisePercent = 15;
+const throttleSettleMs = 500;
+const fullPercent = 100;
 /**
-Best-effort tasks are stopped beside a serving task that has exceeded its target continuously for this long, whatever
+Best-effort tasks are stopped beside a latency-critical task that has exceeded its target continuously for this long, whatever
 the model predicts, because it may be wrong. Users tolerate some seconds, and the tail takes time to fall after a stop.
 */
 const stopAfterMs = 1500;
-/** The same, not counting single readings below the target: the time that users tolerate, less the time that the tail takes to fall and one report interval. */
-const stopMostlyAfterMs = 2400;
+/**
+The same, not counting single readings below the target: the time that users tolerate, less the time that the tail takes
+to fall and one report interval.
+*/
+const stopMostlyOverAfterMs = 2400;
 /** A tail that stayed below its target for this long has recovered: readings cover the last half second. */
-const backAfterMs = 600;
+const recoveredAfterMs = 600;
 
-const getPace = (worker: FleetWorker, run: LiveRun): number => worker.paces.get(run.task.step.spec.image ?? '')?.percent ?? whole;
+const getThrottlePercent = (worker: FleetWorker, run: LiveRun): number => worker.paces.get(run.task.step.spec.image ?? '')?.percent ?? fullPercent;
 
-/** Estimates the load of each serving task on its own: the estimate for its job, or the load that its tail implies if that is higher. */
-const getServingTasks = (servers: Server[], fillers: Filler[], harm: FillHarm): ServingTask[] => servers.map(({image, job, ratio}) => {
-	const load = harm.getRisenLoad(job, riseMargin);
+/**
+Estimates the load of each latency-critical task without interference: the estimate for its job, or the load that its own
+tail implies if that is higher.
+*/
+const getBaseLoads = (servers: Server[], fillers: Filler[], harm: FillHarm): ServingTask[] => servers.map(({image, job, ratio}) => {
+	const load = harm.getRisenLoad(job, loadRiseMargin);
 	let measured = getLoadAt(ratio);
 	for (const filler of fillers) {
 		measured -= harm.getEffect(image, filler.image) * filler.recentShare;
@@ -48,31 +54,31 @@
 	return {image, load: Math.max(load, measured)};
 });
 
-/** Whether a serving task has exceeded its target for so long that best-effort tasks must stop. */
-const mustStopFilling = (servers: Server[], nowMs: number): boolean =>
+/** Whether a latency-critical task has exceeded its target for so long that best-effort tasks must stop. */
+const mustStopBestEffort = (servers: Server[], nowMs: number): boolean =>
 	servers.some(({overSinceMs, mostlyOverSinceMs}) => overSinceMs !== undefined
-		&& (nowMs - overSinceMs >= stopAfterMs || nowMs - (mostlyOverSinceMs ?? nowMs) >= stopMostlyAfterMs));
+		&& (nowMs - overSinceMs >= stopAfterMs || nowMs - (mostlyOverSinceMs ?? nowMs) >= stopMostlyOverAfterMs));
 
-/** Decides the pace of each image on one worker; images whose pace stays the same are left out. */
+/** Decides the throttle percentage of each image on one worker; images that keep theirs are left out. */
 export const decidePaces = (servers: Server[], fillers: Filler[], harm: FillHarm, isStopped = false): Map<string, number> => {
 	if (isStopped) {
 		return new Map(fillers.filter(({percent}) => percent > 0).map(({image}) => [image, 0]));
 	}
 
-	const speeds = planSpeeds(getServingTasks(servers, fillers, harm), fillers, (server, filler) => harm.getEffect(server, filler));
-	const paces = new Map<string, number>();
+	const speeds = planSpeeds(getBaseLoads(servers, fillers, harm), fillers, (server, filler) => harm.getEffect(server, filler));
+	const throttles = new Map<string, number>();
 	for (const [index, {image, percent, sinceChangeMs}] of fillers.entries()) {
-		const next = Math.floor(whole * speeds[index]! / paceStep) * paceStep;
-		const isRaise = next > percent && sinceChangeMs >= settleMs && (next >= percent + minRaise || next === whole);
+		const next = Math.floor(fullPercent * speeds[index]! / throttleStepPercent) * throttleStepPercent;
+		const isRaise = next > percent && sinceChangeMs >= throttleSettleMs && (next >= percent + minRaisePercent || next === fullPercent);
 		if (next < percent || isRaise) {
-			paces.set(image, next);
+			throttles.set(image, next);
 		}
 	}
 
-	return paces;
+	return throttles;
 };
 
-/** Sets and sends the paces of one owner's workers. */
+/** Throttles the best-effort tasks of one owner. */
 export class PaceKeeper {
 	readonly #harm: FillHarm;
 	readonly #links: AgentLinks;
@@ -93,27 +99,27 @@
 			return;
 		}
 
-		this.#decide(worker, worker.report.milliCpu, this.#clock.monotonicMs());
-		const changed = [...worker.runs].filter(run => run.phase === RunPhase.Running && run.task.step.spec.isFilling && run.pacePercent !== getPace(worker, run));
+		this.#updateThrottles(worker, worker.report.milliCpu, this.#clock.monotonicMs());
+		const changed = [...worker.runs].filter(run => run.phase === RunPhase.Running && run.task.step.spec.isFilling && run.pacePercent !== getThrottlePercent(worker, run));
 		if (changed.length > 0) {
 			void this.#send(worker, changed);
 		}
 	}
 
-	#decide(worker: FleetWorker, milliCpu: number, nowMs: number): void {
+	#updateThrottles(worker: FleetWorker, milliCpu: number, nowMs: number): void {
 		const fillers = getFillers(worker.runs, worker.paces, {milliCpu, nowMs});
-		const recent = noteUse(worker, fillers, nowMs);
-		noteOver(worker.runs, nowMs);
+		const recent = recordUsage(worker, fillers, nowMs);
+		updateOverTarget(worker.runs, nowMs);
 		const servers = getServers(worker.runs);
-		worker.isFillStopped = mustStopFilling(servers, nowMs);
-		if (nowMs - worker.harmNotedAtMs >= learnEveryMs) {
+		worker.isFillStopped = mustStopBestEffort(servers, nowMs);
+		if (nowMs - worker.harmNotedAtMs >= learnIntervalMs) {
 			worker.harmNotedAtMs = nowMs;
 			this.#harm.note(servers, recent, nowMs);
 		}
 
-		forgetPaces(worker, fillers);
+		resetThrottles(worker, fillers);
 		for (const [image, percent] of decidePaces(servers, recent, this.#harm, worker.isFillStopped)) {
-			const before = worker.paces.get(image)?.percent ?? whole;
+			const before = worker.paces.get(image)?.percent ?? fullPercent;
 			this.#note('pace', {
 				host: worker.host, image, percent, before, worstRatio: Math.max(0, ...servers.map(({ratio}) => ratio)),
 			});
@@ -123,7 +129,7 @@
 
 	async #send(worker: FleetWorker, runs: LiveRun[]): Promise<void> {
 		const orders = runs.map((run): Order => {
-			run.pacePercent = getPace(worker, run);
+			run.pacePercent = getThrottlePercent(worker, run);
 			return {
 				type: OrderType.Pace, taskId: run.task.taskId, run: run.run, percent: run.pacePercent,
 			};
@@ -138,8 +144,11 @@
 	}
 }
 
-/** Updates since when serving tasks exceed their targets. Readings are noisy: a single one below the target does not mean that the tail has recovered. */
-const noteOver = (runs: Iterable<LiveRun>, nowMs: number): void => {
+/**
+Updates since when latency-critical tasks exceed their targets. Readings are noisy: a single one below the target does not
+mean that the tail has recovered.
+*/
+const updateOverTarget = (runs: Iterable<LiveRun>, nowMs: number): void => {
 	for (const run of runs) {
 		const {targetMs} = run.task.step.spec;
 		if (targetMs > 0 && run.recent > targetMs) {
@@ -150,15 +159,15 @@
 		}
 
 		run.overSinceMs = undefined;
-		if (run.overAtMs !== undefined && nowMs - run.overAtMs >= backAfterMs) {
+		if (run.overAtMs !== undefined && nowMs - run.overAtMs >= recoveredAfterMs) {
 			run.mostlyOverSinceMs = undefined;
 			run.overAtMs = undefined;
 		}
 	}
 };
 
-/** Resets the pace of images without tasks on the worker: placement would otherwise avoid the worker for good. */
-const forgetPaces = (worker: FleetWorker, fillers: Filler[]): void => {
+/** Resets the throttle of images without tasks on the worker: placement would otherwise avoid the worker for good. */
+const resetThrottles = (worker: FleetWorker, fillers: Filler[]): void => {
 	for (const image of worker.paces.keys()) {
 		if (!fillers.some(filler => filler.image === image)) {
 			worker.paces.delete(image);
@@ -167,18 +176,18 @@
 };
 
 /** Records the CPU use of each image, and returns the images with their peak over `fallMs`, including those without tasks left. */
-const noteUse = (worker: FleetWorker, fillers: Filler[], nowMs: number): Filler[] => {
+const recordUsage = (worker: FleetWorker, fillers: Filler[], nowMs: number): Filler[] => {
 	const used = new Map(fillers.map(({image, usedShare}) => [image, usedShare]));
-	worker.fillUses = [...worker.fillUses.filter(({atMs}) => nowMs - atMs <= fallMs), {atMs: nowMs, used}];
-	const recent = new Map<string, number>();
-	for (const before of worker.fillUses) {
-		for (const [image, share] of before.used) {
-			recent.set(image, Math.max(share, recent.get(image) ?? 0));
+	worker.fillUses = [...worker.fillUses.filter(({atMs}) => nowMs - atMs <= tailFallMs), {atMs: nowMs, used}];
+	const peaks = new Map<string, number>();
+	for (const sample of worker.fillUses) {
+		for (const [image, share] of sample.used) {
+			peaks.set(image, Math.max(share, peaks.get(image) ?? 0));
 		}
 	}
 
-	const gone = [...recent.keys()].filter(image => !used.has(image)).map((image): Filler => ({
-		image, share: 0, usedShare: 0, recentShare: 0, percent: whole, sinceChangeMs: 0,
+	const gone = [...peaks.keys()].filter(image => !used.has(image)).map((image): Filler => ({
+		image, share: 0, usedShare: 0, recentShare: 0, percent: fullPercent, sinceChangeMs: 0,
 	}));
-	return [...fillers, ...gone].map(filler => ({...filler, recentShare: recent.get(filler.image)!}));
+	return [...fillers, ...gone].map(filler => ({...filler, recentShare: peaks.get(filler.image)!}));
 };
--- a/src/workflows/pair-effects.ts
+++ b/src/workflows/pair-effects.ts
@@ -1,6 +1,6 @@
 /**
-Effects of best-effort images on serving images, learned per pair by a Kalman filter with a diagonal covariance. An effect is the load
-that a best-effort image would add if it used all of a worker's CPU.
+Effects of best-effort images on latency-critical images, learned per pair by a Kalman filter with a diagonal covariance. An
+effect is the load that a best-effort image would add if it used all of a worker's CPU.
 */
 
 /** Estimated effect of a pair, with its standard deviation. */
@@ -15,44 +15,44 @@
 const priorVariance = 2 ** 2;
 /** Interference changes within seconds, so that the certainty of what was learned decays. */
 const halfLifeMs = 60_000;
-const fadeEveryMs = 3000;
-/** Rate at which an image's mean effect over all serving images follows its pairs. */
-const usualRate = 0.05;
+const decayIntervalMs = 3000;
+/** Rate at which an image's mean effect over all latency-critical images follows its pairs. */
+const meanEffectRate = 0.05;
 /** Limits how far one outlier moves an effect, in standard deviations. */
 const clipDeviations = 3;
 
 /** Learned effects. */
 export class PairEffects {
-	readonly #servers = new Map<string, Map<string, Pair>>();
-	/** Mean effect of an image over all serving images, the prior of unknown pairs. */
-	readonly #usual = new Map<string, number>();
-	#fadedAtMs: number | undefined;
+	readonly #pairs = new Map<string, Map<string, Pair>>();
+	/** Mean effect of an image over all latency-critical images, the prior of unknown pairs. */
+	readonly #meanEffects = new Map<string, number>();
+	#decayedAtMs: number | undefined;
 
 	/** Gets the effect of a pair; of an unknown pair, the image's mean effect on others. */
 	get(server: string, filler: string): Effect {
-		const pair = this.#servers.get(server)?.get(filler);
+		const pair = this.#pairs.get(server)?.get(filler);
 		return pair
 			? {mean: pair.mean, deviation: Math.sqrt(pair.variance)}
-			: {mean: this.#usual.get(filler) ?? priorMean, deviation: Math.sqrt(priorVariance)};
+			: {mean: this.#meanEffects.get(filler) ?? priorMean, deviation: Math.sqrt(priorVariance)};
 	}
 
 	/** Whether the pair was observed. */
 	isSeen(server: string, filler: string): boolean {
-		return this.#servers.get(server)?.has(filler) ?? false;
+		return this.#pairs.get(server)?.has(filler) ?? false;
 	}
 
 	/** Sets an effect that another process learned. */
 	set(server: string, filler: string, {mean, deviation}: Effect): void {
-		this.#open(server).set(filler, {mean, variance: Math.min(priorVariance, deviation ** 2)});
+		this.#getOrCreatePairs(server).set(filler, {mean, variance: Math.min(priorVariance, deviation ** 2)});
 	}
 
 	/**
-	Learns from the load that all best-effort tasks on a worker together added to a serving task. `otherVariance` is the variance of `added`
-	from other sources: the task's own load and the noise of the report.
+	Learns from the load that all best-effort tasks on a worker together added to a latency-critical task. `otherVariance` is the
+	variance of `added` from other sources: the task's own load and the noise of the report.
 	*/
 	learn(server: string, used: UsedShare[], added: number, otherVariance: number): void {
-		const pairs = this.#open(server);
-		let surprise = added;
+		const pairs = this.#getOrCreatePairs(server);
+		let innovation = added;
 		let variance = otherVariance;
 		for (const {image, share} of used) {
 			if (!pairs.has(image)) {
@@ -60,57 +60,57 @@
 			}
 
 			const pair = pairs.get(image)!;
-			surprise -= share * pair.mean;
+			innovation -= share * pair.mean;
 			variance += (share ** 2) * pair.variance;
 		}
 
 		const bound = clipDeviations * Math.sqrt(variance);
-		const clipped = Math.max(-bound, Math.min(bound, surprise));
+		const clippedInnovation = Math.max(-bound, Math.min(bound, innovation));
 		for (const {image, share} of used) {
 			const pair = pairs.get(image)!;
 			const gain = share * pair.variance / variance;
-			pair.mean += gain * clipped;
+			pair.mean += gain * clippedInnovation;
 			pair.variance *= 1 - (gain * share);
-			const usual = this.#usual.get(image) ?? priorMean;
-			this.#usual.set(image, usual + (usualRate * (pair.mean - usual)));
+			const meanEffect = this.#meanEffects.get(image) ?? priorMean;
+			this.#meanEffects.set(image, meanEffect + (meanEffectRate * (pair.mean - meanEffect)));
 		}
 	}
 
 	/** Moves variances towards the prior, by the time since the last call. */
 	fade(nowMs: number): void {
-		this.#fadedAtMs ??= nowMs;
-		const passedMs = nowMs - this.#fadedAtMs;
-		if (passedMs < fadeEveryMs) {
+		this.#decayedAtMs ??= nowMs;
+		const passedMs = nowMs - this.#decayedAtMs;
+		if (passedMs < decayIntervalMs) {
 			return;
 		}
 
-		this.#fadedAtMs = nowMs;
-		const kept = 2 ** (-passedMs / halfLifeMs);
-		for (const pairs of this.#servers.values()) {
+		this.#decayedAtMs = nowMs;
+		const remainingShare = 2 ** (-passedMs / halfLifeMs);
+		for (const pairs of this.#pairs.values()) {
 			for (const pair of pairs.values()) {
-				pair.variance = priorVariance + ((pair.variance - priorVariance) * kept);
+				pair.variance = priorVariance + ((pair.variance - priorVariance) * remainingShare);
 			}
 		}
 	}
 
 	/** Removes a best-effort image. */
 	forgetFiller(filler: string): void {
-		this.#usual.delete(filler);
-		for (const pairs of this.#servers.values()) {
+		this.#meanEffects.delete(filler);
+		for (const pairs of this.#pairs.values()) {
 			pairs.delete(filler);
 		}
 	}
 
-	/** Removes a serving image. */
+	/** Removes a latency-critical image. */
 	forgetServer(server: string): void {
-		this.#servers.delete(server);
+		this.#pairs.delete(server);
 	}
 
-	#open(server: string): Map<string, Pair> {
-		let pairs = this.#servers.get(server);
+	#getOrCreatePairs(server: string): Map<string, Pair> {
+		let pairs = this.#pairs.get(server);
 		if (!pairs) {
 			pairs = new Map();
-			this.#servers.set(server, pairs);
+			this.#pairs.set(server, pairs);
 		}
 
 		return pairs;
--- a/src/workflows/placement-candidates.ts
+++ b/src/workflows/placement-candidates.ts
@@ -20,15 +20,15 @@
 	/** Share of the CPU available to best-effort tasks, and what those on the worker request. */
 	unusedShare: number;
 	demands: FillDemand[];
-	/** One entry for each serving job on the worker: its tasks have the same load. */
+	/** One entry for each latency-critical job on the worker: its tasks have the same load. */
 	servers: ServingTask[];
 	/** Cached share of the CPU at work for best-effort tasks, and gain from one more task by image and size. Cleared by an assignment. */
 	filledShare: number | undefined;
 	fillSpeeds: Map<string, number>;
 };
 
-/** Load of serving tasks may rise by this much while a best-effort task runs. */
-const waveMargin = 0.08;
+/** Load of latency-critical tasks may rise by this much while a best-effort task runs. */
+const loadRiseMargin = 0.08;
 
 /** Creates the candidate for the current state of a worker. */
 export const createCandidate = (worker: FleetWorker, harm: FillHarm): Candidate => {
@@ -47,18 +47,18 @@
 		ofStep,
 		unusedShare: getUnusedShare(worker, harm),
 		demands: getFillers(worker.runs, worker.paces, {milliCpu, nowMs: 0}),
-		servers: getServingJobs(worker, harm),
+		servers: getLatencyCriticalJobs(worker, harm),
 		filledShare: undefined,
 		fillSpeeds: new Map(),
 	};
 };
 
-const getServingJobs = ({runs}: FleetWorker, harm: FillHarm): ServingTask[] => {
+const getLatencyCriticalJobs = ({runs}: FleetWorker, harm: FillHarm): ServingTask[] => {
 	const jobs = new Map(getServers(runs).map(({image, job}) => [job, image]));
-	return [...jobs].map(([job, image]) => ({image, load: harm.getRisenLoad(job, waveMargin)}));
+	return [...jobs].map(([job, image]) => ({image, load: harm.getRisenLoad(job, loadRiseMargin)}));
 };
 
-/** Serving tasks use their CPU in proportion to their load, other tasks all of it. */
+/** Latency-critical tasks use their CPU in proportion to their load, other tasks all of it. */
 const getUnusedShare = ({report, runs}: FleetWorker, harm: FillHarm): number => {
 	let usedMilliCpu = 0;
 	for (const {task: {step: {spec, servingName}}} of runs) {
@@ -98,7 +98,7 @@
 	} else if (spec.targetMs > 0) {
 		const load = harm.getLoad(step.servingName);
 		candidate.unusedShare -= load * spec.milliCpu / milliCpu;
-		candidate.servers = [...candidate.servers, {image: spec.image ?? '', load: harm.getRisenLoad(step.servingName, waveMargin)}];
+		candidate.servers = [...candidate.servers, {image: spec.image ?? '', load: harm.getRisenLoad(step.servingName, loadRiseMargin)}];
 	} else {
 		candidate.unusedShare -= spec.milliCpu / milliCpu;
 	}
--- a/src/workflows/placement.ts
+++ b/src/workflows/placement.ts
@@ -59,7 +59,7 @@
 	const terms: PlaceTerms = {
 		harm, isAllowed, policy, trials: new Trials(harm, candidates), mustRun: false, isUnservedShort: isUnservedShort(tasks, candidates),
 	};
-	const findPlaces = createPlacesFinder(candidates, terms);
+	const getStepPlacement = createStepPlacementCache(candidates, terms);
 	const starts: Start[] = [];
 	const started = new Set<LiveWorkflow>();
 	for (const [step, waitingTasks] of rankSteps(tasks, rank)) {
@@ -70,8 +70,8 @@
 
 		const isIdleStart = policy[Mechanism.IdleStart] && !started.has(step.workflow) && isStarving(step, waitingTasks, {nowMs, nextStartMs});
 		for (const [index, task] of waitingTasks.entries()) {
-			// A starved job starts one task even where it disturbs serving tasks.
-			const places = findPlaces(step, isIdleStart && !started.has(step.workflow));
+			// A starved job starts one task even where it interferes with latency-critical tasks.
+			const places = getStepPlacement(step, isIdleStart && !started.has(step.workflow));
 			const candidate = places.take(task);
 			if (!candidate) {
 				// If one task of a step finds no worker, no other task of the step does.
@@ -105,7 +105,7 @@
 };
 
 /** Creates a lookup that reuses the worker costs of a step until the next step is placed, which changes the free capacity. */
-const createPlacesFinder = (candidates: Candidate[], terms: PlaceTerms): ((step: LiveStep, mustRun: boolean) => StepPlaces) => {
+const createStepPlacementCache = (candidates: Candidate[], terms: PlaceTerms): ((step: LiveStep, mustRun: boolean) => StepPlaces) => {
 	let last: {step: LiveStep; mustRun: boolean; places: StepPlaces} | undefined;
 	return (step, mustRun) => {
 		if (last?.step !== step || last.mustRun !== mustRun) {
@@ -117,17 +117,17 @@
 };
 
 /**
-A job without an active run waits at most this long for a worker where its tasks disturb nobody. If all workers run
-serving tasks, there may never be such a worker, and the job would never start although CPU is idle. The pace
-controller then limits what the task uses.
+A job without an active run waits at most this long for a worker where its tasks interfere with no other. If all workers
+run latency-critical tasks, there may never be such a worker, and the job would never start although CPU is idle. The
+throttle controller then limits what the task uses.
 */
-const maxWaitMs = 1500;
+const maxStarvationMs = 1500;
 
-/** Whether waiting best-effort tasks request more CPU than is free on workers without serving tasks. */
+/** Whether waiting best-effort tasks request more CPU than is free on workers without latency-critical tasks. */
 const isUnservedShort = (tasks: LiveTask[], candidates: Candidate[]): boolean => {
-	let askedMilliCpu = 0;
+	let requestedMilliCpu = 0;
 	for (const {step: {spec}} of tasks) {
-		askedMilliCpu += spec.isFilling ? spec.milliCpu : 0;
+		requestedMilliCpu += spec.isFilling ? spec.milliCpu : 0;
 	}
 
 	let freeMilliCpu = 0;
@@ -137,11 +137,11 @@
 		}
 	}
 
-	return askedMilliCpu > freeMilliCpu;
+	return requestedMilliCpu > freeMilliCpu;
 };
 
 const isStarving = ({spec, workflow}: LiveStep, waitingTasks: LiveTask[], {nowMs, nextStartMs}: Pick<PlacementInput, 'nowMs' | 'nextStartMs'>): boolean =>
-	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxWaitMs) && isIdleWithin(workflow, nextStartMs, nowMs);
+	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxStarvationMs) && isIdleWithin(workflow, nextStartMs, nowMs);
 
 /**
 Creates a check whether a task would find a worker among those that it does not avoid. The workers are scanned once
@@ -171,7 +171,7 @@
 
 	const racks = step.spec.isSameRack ? [...new Set(candidates.map(candidate => candidate.rack))] : [];
 	for (const rack of [...racks, undefined]) {
-		const starts = tryGang(step, rack === undefined ? candidates : candidates.filter(candidate => candidate.rack === rack), terms);
+		const starts = tryPlaceGang(step, rack === undefined ? candidates : candidates.filter(candidate => candidate.rack === rack), terms);
 		if (starts.length > 0) {
 			return starts;
 		}
@@ -180,11 +180,11 @@
 	return [];
 };
 
-const tryGang = (step: LiveStep, candidates: Candidate[], terms: PlaceTerms): Start[] => {
-	const trial = candidates.map(candidate => ({
+const tryPlaceGang = (step: LiveStep, candidates: Candidate[], terms: PlaceTerms): Start[] => {
+	const copies = candidates.map(candidate => ({
 		...candidate, free: {...candidate.free}, ofStep: new Map(candidate.ofStep), fillSpeeds: new Map(candidate.fillSpeeds),
 	}));
-	const places = new StepPlaces(step, trial, terms);
+	const places = new StepPlaces(step, copies, terms);
 	const starts: Start[] = [];
 	for (const task of step.tasks) {
 		const candidate = places.take(task);
@@ -196,7 +196,7 @@
 	}
 
 	for (const [index, candidate] of candidates.entries()) {
-		Object.assign(candidate, trial[index]);
+		Object.assign(candidate, copies[index]);
 	}
 
 	return starts;
--- a/src/workflows/policy.ts
+++ b/src/workflows/policy.ts
@@ -9,21 +9,21 @@
 	RunTimes = 'run-times',
 	/** Order by expected value per remaining core-second; without it, by least slack. */
 	ValueOrder = 'value-order',
-	/** Workers without serving tasks are reserved, while short, for images that would disturb serving tasks elsewhere. */
+	/** Workers without latency-critical tasks are reserved, while short, for images that would interfere elsewhere. */
 	UnservedRoom = 'unserved-room',
-	/** Serving tasks of one image are colocated. */
+	/** Latency-critical tasks of one image are colocated. */
 	ServerGroups = 'server-groups',
-	/** A job without an active run starts one task even where it disturbs serving tasks. */
+	/** A job without an active run starts one task even where it interferes with latency-critical tasks. */
 	IdleStart = 'idle-start',
 	/** A best-effort task waits for a worker where it gets most of its speed; without it, any worker with capacity. */
 	FillWait = 'fill-wait',
 	/** An image whose interference is unknown runs on few workers at the same time. */
 	FewTrials = 'few-trials',
-	/** Serving tasks are packed onto few workers, which leaves other workers to best-effort tasks. */
+	/** Latency-critical tasks are packed onto few workers, which leaves other workers to best-effort tasks. */
 	ServerCompany = 'server-company',
 	/** Stalled runs are moved, or get a copy. */
 	StallMoves = 'stall-moves',
-	/** Best-effort runs whose pace is at or near 0 are moved. */
+	/** Best-effort runs that are throttled to almost nothing are moved. */
 	HeldMoves = 'held-moves',
 	/** Runs that would not end before their draining worker stops are moved. */
 	DrainMoves = 'drain-moves',
@@ -39,7 +39,7 @@
 export type Policy = Record<Mechanism, boolean>;
 
 /** Creates the policy with all mechanisms except those in the comma-separated list. */
-export const createPolicy = (leftOut = ''): Policy => {
-	const names = new Set(leftOut.split(','));
+export const createPolicy = (disabled = ''): Policy => {
+	const names = new Set(disabled.split(','));
 	return Object.fromEntries(Object.values(Mechanism).map(mechanism => [mechanism, !names.has(mechanism)])) as Policy;
 };
--- a/src/workflows/quarantine.ts
+++ b/src/workflows/quarantine.ts
@@ -1,6 +1,6 @@
 /**
-Isolates tasks whose workers have crashed: from each other, and from tasks that start at the same time. A further crash then
-identifies its culprit and ends few other runs, and suspects never hold more than a share of the workers.
+Quarantines tasks whose workers have crashed: from each other, and from tasks that start at the same time. A further crash
+then identifies its culprit and ends few other runs, and suspects never hold more than a share of the workers.
 */
 import {getQuarantineMs, isSuspect} from './crash-blame.ts';
 import {
@@ -13,7 +13,7 @@
 
 /** Options of the quarantine. */
 export type QuarantineOptions = {
-	/** All workers by host, also those that are not eligible. */
+	/** All workers by host, also those that are not schedulable. */
 	workers: ReadonlyMap<string, FleetWorker>;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
@@ -38,15 +38,15 @@
 /** Share of the workers that may be held by suspects or unresponsive at the same time. */
 const maxHeldShare = 0.1;
 /** No suspect starts beside a run younger than this: after a crash, both would be suspects. */
-const quietMs = 500;
+const minNeighbourAgeMs = 500;
 /** Added to the quarantine of a run: the agent reports a silent worker within this time. */
-const tellMs = 150;
+const silenceReportMs = 150;
 /** A suspect with several crashes waits this long for a worker that has not crashed while running it. */
-const otherHostMs = 10_000;
+const otherHostWaitMs = 10_000;
 /** Number of least loaded workers that are tried individually for a suspect, before all are tried together. */
-const maxTries = 4;
+const maxSingleTries = 4;
 
-/** Whether the next run of the task must be isolated. */
+/** Whether the next run of the task must be quarantined. */
 export const isKeptApart = ({crashes, clearedRun}: LiveTask): boolean => crashes.some(({run}) => run > clearedRun) && isSuspect(crashes);
 
 /** The quarantine of one owner. */
@@ -80,8 +80,8 @@
 			return {starts: [], waiting: cycle.waiting, open: cycle.open};
 		}
 
-		this.#release(cycle);
-		this.#close();
+		this.#removeCleared(cycle);
+		this.#updateClosed();
 		const starts = this.#start(cycle);
 		return {
 			starts,
@@ -90,11 +90,11 @@
 		};
 	}
 
-	/** Removes suspects that have ended, or whose run has survived its quarantine. */
-	#release({waiting, open, nowMs}: QuarantineCycle): void {
+	/** Removes suspects that have finished, or whose run has survived its quarantine. */
+	#removeCleared({waiting, open, nowMs}: QuarantineCycle): void {
 		const waitingTasks = new Set(waiting);
 		for (const suspect of this.#suspects) {
-			if (suspect.runs.length > 0 && suspect.runs.every(run => this.#hasLived(run, nowMs))) {
+			if (suspect.runs.length > 0 && suspect.runs.every(run => this.#hasSurvived(run, nowMs))) {
 				this.#options.note('task cleared', {taskId: suspect.taskId, run: suspect.lastRun, crashes: suspect.crashes.length});
 				for (const member of getUnit(suspect)) {
 					member.clearedRun = suspect.lastRun;
@@ -113,13 +113,13 @@
 		}
 	}
 
-	#hasLived({phase, host, sentAtMs, task}: LiveRun, nowMs: number): boolean {
+	#hasSurvived({phase, host, sentAtMs, task}: LiveRun, nowMs: number): boolean {
 		const worker = this.#options.workers.get(host);
 		return phase !== RunPhase.Starting && worker !== undefined && worker.isAnswering && worker.silentSinceMs === undefined
-			&& nowMs - sentAtMs >= getQuarantineMs(task.crashes) + tellMs;
+			&& nowMs - sentAtMs >= getQuarantineMs(task.crashes) + silenceReportMs;
 	}
 
-	#close(): void {
+	#updateClosed(): void {
 		this.#closed = new Set([...this.#reserved.values()].flat().map(({host}) => host));
 		for (const suspect of this.#suspects) {
 			for (const {runs} of getUnit(suspect)) {
@@ -147,20 +147,20 @@
 	#start(cycle: QuarantineCycle): Start[] {
 		const {open, nowMs, place} = cycle;
 		const starts: Start[] = [];
-		for (const suspect of this.#getNext(cycle)) {
+		for (const suspect of this.#getWaitingSuspects(cycle)) {
 			const free = this.#countFree();
 			if (free <= 0) {
 				break;
 			}
 
-			const workers = this.#choose(suspect, this.#getCandidates(suspect, open, nowMs), {most: free, place});
+			const workers = this.#chooseWorkers(suspect, this.#getCandidates(suspect, open, nowMs), {most: free, place});
 			if (workers.length > 0) {
 				this.#reserve(suspect, workers);
 			}
 		}
 
 		for (const [suspect, workers] of this.#reserved) {
-			if (workers.every(worker => isQuiet(worker, nowMs))) {
+			if (workers.every(worker => hasOnlyOldRuns(worker, nowMs))) {
 				starts.push(...place(getUnit(suspect), workers));
 				this.#reserved.delete(suspect);
 			}
@@ -170,11 +170,11 @@
 	}
 
 	/** Waiting suspects, those most likely innocent first: with few crashes, then with many tasks of the same step done. */
-	#getNext({waiting}: QuarantineCycle): LiveTask[] {
+	#getWaitingSuspects({waiting}: QuarantineCycle): LiveTask[] {
 		const waitingTasks = new Set(waiting);
 		return [...this.#suspects]
 			.filter(suspect => waitingTasks.has(suspect) && !this.#reserved.has(suspect))
-			.toSorted((a, b) => a.crashes.length - b.crashes.length || getOpenShare(a) - getOpenShare(b));
+			.toSorted((a, b) => a.crashes.length - b.crashes.length || getRemainingShare(a) - getRemainingShare(b));
 	}
 
 	#reserve(suspect: LiveTask, workers: FleetWorker[]): void {
@@ -184,23 +184,26 @@
 		}
 	}
 
-	/** Workers with capacity for the suspect: first those that have not crashed while running it, then by least load, which a crash would end. */
+	/**
+	Workers with free capacity for the suspect: first those that have not crashed while running it, then by least load, which
+	a crash would end.
+	*/
 	#getCandidates({step: {spec}, crashes, waitsSinceMs}: LiveTask, open: FleetWorker[], nowMs: number): FleetWorker[] {
 		const hasCrashed = ({host}: FleetWorker): boolean => crashes.some(crash => crash.host === host);
-		const mustBeOther = crashes.length > 1 && nowMs - waitsSinceMs < otherHostMs
+		const mustBeOther = crashes.length > 1 && nowMs - waitsSinceMs < otherHostWaitMs
 			&& [...this.#options.workers.values()].some(worker => worker.report && isSuited(spec, worker.report) && !hasCrashed(worker));
 		return open
 			.filter(worker => !this.isClosed(worker) && isSuited(spec, worker.report!) && isFitting(spec, getFreeRoom(worker)) && !(mustBeOther && hasCrashed(worker)))
-			.map(worker => ({worker, isLast: hasCrashed(worker), load: getLoad(worker)}))
-			.toSorted((a, b) => Number(a.isLast) - Number(b.isLast) || a.load - b.load)
+			.map(worker => ({worker, hasCrashedThere: hasCrashed(worker), load: getLoad(worker)}))
+			.toSorted((a, b) => Number(a.hasCrashedThere) - Number(b.hasCrashedThere) || a.load - b.load)
 			.map(({worker}) => worker);
 	}
 
 	/** Chooses workers among the candidates on which the unit can be placed now. */
-	#choose(suspect: LiveTask, candidates: FleetWorker[], {most, place}: {most: number; place: QuarantineCycle['place']}): FleetWorker[] {
+	#chooseWorkers(suspect: LiveTask, candidates: FleetWorker[], {most, place}: {most: number; place: QuarantineCycle['place']}): FleetWorker[] {
 		const unit = getUnit(suspect);
 		if (unit.length === 1) {
-			const chosen = candidates.slice(0, maxTries).find(worker => place(unit, [worker]).length > 0) ?? place(unit, candidates)[0]?.worker;
+			const chosen = candidates.slice(0, maxSingleTries).find(worker => place(unit, [worker]).length > 0) ?? place(unit, candidates)[0]?.worker;
 			return chosen ? [chosen] : [];
 		}
 
@@ -216,7 +219,7 @@
 	}
 }
 
-const getOpenShare = ({step: {remaining, spec}}: LiveTask): number => remaining / spec.count;
+const getRemainingShare = ({step: {remaining, spec}}: LiveTask): number => remaining / spec.count;
 
 /** CPU requested by the active runs, which a crash would end. */
 const getLoad = ({runs}: FleetWorker): number => {
@@ -228,5 +231,5 @@
 	return milliCpu;
 };
 
-const isQuiet = ({runs}: FleetWorker, nowMs: number): boolean =>
-	[...runs].every(({phase, sentAtMs}) => phase !== RunPhase.Starting && nowMs - sentAtMs >= quietMs);
+const hasOnlyOldRuns = ({runs}: FleetWorker, nowMs: number): boolean =>
+	[...runs].every(({phase, sentAtMs}) => phase !== RunPhase.Starting && nowMs - sentAtMs >= minNeighbourAgeMs);
--- a/src/workflows/relocation.ts
+++ b/src/workflows/relocation.ts
@@ -1,6 +1,7 @@
 /**
-Chooses runs to stop so that their tasks restart on other workers: stalled runs, runs that would be lost with a draining worker,
-and best-effort runs that are paced to almost nothing. A step that allows copies gets a second run beside the stalled one instead.
+Chooses runs to stop so that their tasks restart on other workers: stalled runs, runs that would be lost with a draining
+worker, and best-effort runs that are throttled to almost nothing. A step that allows copies gets a second run beside the
+stalled one instead.
 */
 import {type FleetWorker} from './fleet-view.ts';
 import {RunPhase, type LiveRun, type LiveTask} from './live-model.ts';
@@ -11,19 +12,19 @@
 export type RelocationInput = {
 	workers: Iterable<FleetWorker>;
 	nowMs: number;
-	/** Whether an eligible worker that the task does not avoid has capacity for it. */
+	/** Whether a schedulable worker that the task does not avoid has free capacity for it. */
 	hasPlace: (task: LiveTask) => boolean;
 	policy: Policy;
 };
 
-/** A best-effort run whose pace is at or below this makes no useful progress. */
-const heldPercent = 10;
+/** A best-effort run at or below this throttle percentage makes no useful progress. */
+const blockingThrottlePercent = 10;
 /** Interference shows within a second and may pass; a stop loses unsaved work and costs the time to restore a checkpoint. */
-const heldMs = 1200;
+const throttledMs = 1200;
 /** From this progress on, the speed so far predicts the remaining time better than the caller's estimate. */
-const knownFromPercent = 20;
+const minProgressPercent = 20;
 /** Agents send their state at least every half second. */
-const heardMs = 800;
+const maxStateAgeMs = 800;
 /** Limit of stops per scan of the fleet: each stop changes the capacity that the others would find. */
 const maxMoves = 4;
 
@@ -32,7 +33,7 @@
 	const moves: Array<{worker: FleetWorker; run: LiveRun}> = [];
 	for (const worker of workers) {
 		// Without a recent state, missing progress does not mean that a run has stalled.
-		if (worker.silentSinceMs !== undefined || !worker.isAnswering || nowMs - worker.heardAtMs > heardMs) {
+		if (worker.silentSinceMs !== undefined || !worker.isAnswering || nowMs - worker.heardAtMs > maxStateAgeMs) {
 			continue;
 		}
 
@@ -44,8 +45,8 @@
 			const {task} = run;
 			const {spec} = task.step;
 			const mustMove = (policy[Mechanism.StallMoves] && isStalled(run, nowMs))
-				|| (policy[Mechanism.HeldMoves] && isHeld(worker, run, nowMs))
-				|| (policy[Mechanism.DrainMoves] && isLosing(worker, run, nowMs));
+				|| (policy[Mechanism.HeldMoves] && isThrottledToStandstill(worker, run, nowMs))
+				|| (policy[Mechanism.DrainMoves] && isLostByDrain(worker, run, nowMs));
 			if (task.isDone || spec.isGang || !mustMove) {
 				continue;
 			}
@@ -60,22 +61,22 @@
 	return moves;
 };
 
-const isHeld = (worker: FleetWorker, {phase, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
-	const pace = worker.paces.get(spec.image ?? '');
-	return phase === RunPhase.Running && spec.isFilling && pace !== undefined && pace.percent <= heldPercent && nowMs - pace.changedAtMs >= heldMs;
+const isThrottledToStandstill = (worker: FleetWorker, {phase, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
+	const throttle = worker.paces.get(spec.image ?? '');
+	return phase === RunPhase.Running && spec.isFilling && throttle !== undefined && throttle.percent <= blockingThrottlePercent && nowMs - throttle.changedAtMs >= throttledMs;
 };
 
 /**
 Whether the run would be lost when its draining worker stops. A long-running task moves at once rather than be cut off; any
 other task stays if it can end in the remaining time.
 */
-const isLosing = (worker: FleetWorker, {phase, percent, sentAtMs, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
+const isLostByDrain = (worker: FleetWorker, {phase, percent, sentAtMs, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
 	if (phase !== RunPhase.Running || !worker.report?.isDraining) {
 		return false;
 	}
 
 	const elapsedMs = nowMs - sentAtMs;
-	const remainingMs = percent >= knownFromPercent ? elapsedMs * (100 - percent) / percent : Math.max(0, spec.estimateMs - elapsedMs);
+	const remainingMs = percent >= minProgressPercent ? elapsedMs * (100 - percent) / percent : Math.max(0, spec.estimateMs - elapsedMs);
 	return spec.isLasting || remainingMs > (worker.report.remainingMs ?? 0);
 };
 
--- a/src/workflows/run-times.ts
+++ b/src/workflows/run-times.ts
@@ -1,5 +1,6 @@
 /**
 Predicts how long tasks run, learned from earlier runs: callers' estimates vary by more than the jobs themselves.
+
 Times are compared as logarithms, in which an estimate that is wrong by a factor has the same error in both directions.
 Each estimate is combined with the mean of its queue, weighted by the variance of both so far. Tasks of one step hardly
 differ: once one of them has been measured, only measurements of the step count.
@@ -12,22 +13,22 @@
 	count: number;
 	mean: number;
 	/** Sum of squared deviations from the mean. */
-	spread: number;
+	squaredDeviations: number;
 	meanError: number;
-	errorSpread: number;
+	squaredErrorDeviations: number;
 };
 
 /** Prior variances of logarithms: jobs of a queue differ by half of their run time, and callers' estimates are rougher. */
-const assumedVariance = 0.5 ** 2;
-const assumedErrorVariance = 0.9 ** 2;
+const priorVariance = 0.5 ** 2;
+const priorErrorVariance = 0.9 ** 2;
 /** Prior variances count as this many steps. */
-const assumedSteps = 4;
+const priorSteps = 4;
 /** With fewer steps, the mean of a queue is not used. */
 const minSteps = 3;
 /** From this progress on, the speed of an active run predicts its total time. */
 const minProgressPercent = 25;
 const minTaskMs = 20;
-const whole = 100;
+const fullPercent = 100;
 
 /** Learned run times. */
 export class RunTimes {
@@ -57,8 +58,8 @@
 			return Math.exp(times.mean);
 		}
 
-		const variance = getVariance(times.spread, times.count, assumedVariance);
-		const errorVariance = getVariance(times.errorSpread, times.count, assumedErrorVariance);
+		const variance = getVariance(times.squaredDeviations, times.count, priorVariance);
+		const errorVariance = getVariance(times.squaredErrorDeviations, times.count, priorErrorVariance);
 		const weight = variance / (variance + errorVariance);
 		return Math.exp((weight * (Math.log(estimateMs) - times.meanError)) + ((1 - weight) * times.mean));
 	}
@@ -66,38 +67,38 @@
 	/** Learns from a run that ended, or that progressed far enough. */
 	note(run: LiveRun, {isDone}: {isDone: boolean}): void {
 		const {task: {step}, percent, basePercent, workedMs} = run;
-		const donePercent = (isDone ? whole : percent) - basePercent;
+		const donePercent = (isDone ? fullPercent : percent) - basePercent;
 		if (!this.#isLearning || step.spec.isLasting || step.spec.isGang || donePercent < minProgressPercent || (!isDone && this.#steps.has(step))) {
 			return;
 		}
 
-		this.#noteStep(step, Math.log(Math.max(minTaskMs, workedMs * whole / donePercent)));
+		this.#observeStep(step, Math.log(Math.max(minTaskMs, workedMs * fullPercent / donePercent)));
 	}
 
-	#noteStep(step: LiveStep, logMs: number): void {
+	#observeStep(step: LiveStep, logMs: number): void {
 		const known = this.#steps.get(step);
 		this.#steps.set(step, {count: (known?.count ?? 0) + 1, sum: (known?.sum ?? 0) + logMs});
 		if (!known) {
-			this.#noteQueue(step, logMs);
+			this.#observeQueue(step, logMs);
 		}
 	}
 
-	#noteQueue({workflow, spec}: LiveStep, logMs: number): void {
+	#observeQueue({workflow, spec}: LiveStep, logMs: number): void {
 		const {queue} = workflow.spec;
 		const times = this.#queues.get(queue) ?? {
-			count: 0, mean: 0, spread: 0, meanError: 0, errorSpread: 0,
+			count: 0, mean: 0, squaredDeviations: 0, meanError: 0, squaredErrorDeviations: 0,
 		};
 		this.#queues.set(queue, times);
 		times.count++;
 		const distance = logMs - times.mean;
 		times.mean += distance / times.count;
-		times.spread += distance * (logMs - times.mean);
+		times.squaredDeviations += distance * (logMs - times.mean);
 		const error = Math.log(Math.max(1, spec.estimateMs)) - logMs;
 		const errorDistance = error - times.meanError;
 		times.meanError += errorDistance / times.count;
-		times.errorSpread += errorDistance * (error - times.meanError);
+		times.squaredErrorDeviations += errorDistance * (error - times.meanError);
 	}
 }
 
-const getVariance = (spread: number, count: number, assumed: number): number =>
-	(spread + (assumed * assumedSteps)) / (count + assumedSteps - 1);
+const getVariance = (squaredDeviations: number, count: number, prior: number): number =>
+	(squaredDeviations + (prior * priorSteps)) / (count + priorSteps - 1);
--- a/src/workflows/scheduling-cycles.ts
+++ b/src/workflows/scheduling-cycles.ts
@@ -40,15 +40,15 @@
 };
 
 /** Changes are batched for this long before a cycle. */
-const cycleDelayMs = 4;
+const batchDelayMs = 4;
 /** Caps scheduling at a quarter of the thread so that replies are still handled. */
 const cycleRestFactor = 3;
 /** A longer gap, as after a suspended process, does not predict the next one. */
 const maxGapMs = 1000;
 /** Remaining work changes within seconds, while cycles run many times a second. */
-const remainderEveryMs = 100;
+const remainingWorkIntervalMs = 100;
 /** Interval of the log line on waiting tasks. */
-const noteEveryMs = 1000;
+const logIntervalMs = 1000;
 
 /** The scheduling cycles of one owner. */
 export class SchedulingCycles {
@@ -56,9 +56,9 @@
 	readonly #dutyCycle: DutyCycle;
 	#isDue = false;
 	#lastAtMs = Number.POSITIVE_INFINITY;
-	#remainders = new Map<LiveStep[], Remainder>();
-	#remaindersAtMs = Number.NEGATIVE_INFINITY;
-	#notedAtMs = Number.NEGATIVE_INFINITY;
+	#remainingWork = new Map<LiveStep[], Remainder>();
+	#remainingWorkAtMs = Number.NEGATIVE_INFINITY;
+	#loggedAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(options: SchedulingCyclesOptions) {
 		this.#options = options;
@@ -84,7 +84,7 @@
 					this.#run();
 				});
 			});
-		}, Math.max(cycleDelayMs, this.#dutyCycle.restMs));
+		}, Math.max(batchDelayMs, this.#dutyCycle.restMs));
 	}
 
 	#run(): void {
@@ -95,14 +95,14 @@
 		const gapMs = Math.max(0, Math.min(maxGapMs, nowMs - this.#lastAtMs));
 		const times = {nowMs, nextStartMs: gapMs + getLeadMs()};
 		this.#lastAtMs = nowMs;
-		const apart = quarantine.arrange({
+		const quarantined = quarantine.arrange({
 			nowMs, waiting: [...getWaiting(nowMs)], open: getWorkers(nowMs), place: (tasks, workers) => this.#place(tasks, workers, times).starts,
 		});
-		const {starts, waits, spareMilliCpu} = this.#place(apart.waiting, apart.open, times);
-		onStarts([...apart.starts, ...starts]);
-		if (waits.size > 0 && nowMs - this.#notedAtMs >= noteEveryMs) {
-			this.#notedAtMs = nowMs;
-			this.#noteWaits(waits, spareMilliCpu);
+		const {starts, waits, spareMilliCpu} = this.#place(quarantined.waiting, quarantined.open, times);
+		onStarts([...quarantined.starts, ...starts]);
+		if (waits.size > 0 && nowMs - this.#loggedAtMs >= logIntervalMs) {
+			this.#loggedAtMs = nowMs;
+			this.#logWaits(waits, spareMilliCpu);
 		}
 	}
 
@@ -117,12 +117,12 @@
 			isAllowed,
 			policy,
 			createRank: spareMilliCpu => createRank({
-				nowMs, spareMilliCpu, policy, times, wallMs: clock.now().getTime(), remainders: this.#getRemainders(nowMs),
+				nowMs, spareMilliCpu, policy, times, wallMs: clock.now().getTime(), remainders: this.#getRemainingWork(nowMs),
 			}),
 		});
 	}
 
-	#noteWaits(waits: Map<WaitReason, number>, spareMilliCpu: number): void {
+	#logWaits(waits: Map<WaitReason, number>, spareMilliCpu: number): void {
 		const {model, getRuns, note} = this.#options;
 		const runs = getRuns();
 		const filling = runs.filter(run => run.task.step.spec.isFilling);
@@ -133,18 +133,18 @@
 			filling: filling.length,
 			fillingMilliCpu: Math.round(sum(filling.map(({recent}) => recent))),
 			spareMilliCpu: Math.round(spareMilliCpu),
-			backlogCoreMs: Math.round(sum([...this.#remainders.values()].map(({leftCoreMs}) => leftCoreMs))),
+			backlogCoreMs: Math.round(sum([...this.#remainingWork.values()].map(({leftCoreMs}) => leftCoreMs))),
 		});
 	}
 
-	#getRemainders(nowMs: number): Map<LiveStep[], Remainder> {
-		if (nowMs - this.#remaindersAtMs >= remainderEveryMs) {
+	#getRemainingWork(nowMs: number): Map<LiveStep[], Remainder> {
+		if (nowMs - this.#remainingWorkAtMs >= remainingWorkIntervalMs) {
 			const {model, times} = this.#options;
-			this.#remaindersAtMs = nowMs;
-			this.#remainders = new Map(model.openOccurrences().map(steps => [steps, getRemainder(steps, times)]));
+			this.#remainingWorkAtMs = nowMs;
+			this.#remainingWork = new Map(model.openOccurrences().map(steps => [steps, getRemainder(steps, times)]));
 		}
 
-		return this.#remainders;
+		return this.#remainingWork;
 	}
 }
 
--- a/src/workflows/serving-load.ts
+++ b/src/workflows/serving-load.ts
@@ -1,17 +1,18 @@
 /**
-Load of serving tasks, derived from their tail latency.
+Load of latency-critical tasks, derived from their tail latency.
+
 Near the target, tail latency grows with 1 / (1 - load). Effects of neighbours add up in load but not in latency, so that
 decisions are made in terms of load.
 */
 
 /**
-Tail latency of an idle task, as a share of its target. Another value scales all loads alike and shifts their origin; which tails
-exceed their targets does not change.
+Tail latency of an idle task, as a share of its target. Another value scales all loads alike and shifts their origin;
+which tails exceed their targets does not change.
 */
-const restRatio = 1 / 6;
+const idleRatio = 1 / 6;
 
 /** Gets the load that a ratio of tail latency to target implies. */
-export const getLoadAt = (ratio: number): number => ratio <= restRatio ? 0 : 1 - (restRatio / ratio);
+export const getLoadAt = (ratio: number): number => ratio <= idleRatio ? 0 : 1 - (idleRatio / ratio);
 
 /** From this load on, the tail shows only that the task is overloaded. */
 export const saturatedLoad = 0.95;
@@ -25,11 +26,11 @@
 const noiseVariance = 0.06 ** 2;
 const msPerS = 1000;
 /** A load that fell this far below its peak has passed the crest of a wave. */
-const turnedBy = 0.1;
+const passedPeakBy = 0.1;
 /** Tolerance for estimation errors, and for a wave that exceeds the last. */
 const peakSlack = 0.02;
-/** A job without reports for this long has ended, or another owner runs it. */
-const forgetMs = 60_000;
+/** A job without reports for this long has finished, or another owner runs it. */
+const retentionMs = 60_000;
 
 type JobLoad = {
 	load: number;
@@ -38,10 +39,10 @@
 	/** Highest load so far. */
 	peak: number;
 	/** Whether the load has fallen from that peak and not exceeded it since: the height of its waves is known. */
-	hasTurned: boolean;
+	hasPassedPeak: boolean;
 };
 
-const getDrifted = ({variance, atMs}: JobLoad, nowMs: number): number => variance + (driftVariancePerS * (nowMs - atMs) / msPerS);
+const getVarianceAt = ({variance, atMs}: JobLoad, nowMs: number): number => variance + (driftVariancePerS * (nowMs - atMs) / msPerS);
 
 /** Load that a task reports, and what its neighbours are expected to add, with the variance of that. */
 export type LoadReport = {
@@ -52,8 +53,8 @@
 };
 
 /**
-Tracks the load of each serving job without interference. All tasks of a job see the same waves: tasks with harmless
-neighbours show how much of the other tasks' tail latency is caused by neighbours.
+Tracks the load of each latency-critical job without interference. All tasks of a job see the same waves: tasks whose
+neighbours do not interfere show how much of the other tasks' tail latency is caused by neighbours.
 */
 export class ServingLoads {
 	readonly #jobs = new Map<string, JobLoad>();
@@ -66,35 +67,35 @@
 	/** Variance of the load at this time. */
 	getVariance(job: string, nowMs: number): number {
 		const known = this.#jobs.get(job);
-		return known ? getDrifted(known, nowMs) : unknownVariance;
+		return known ? getVarianceAt(known, nowMs) : unknownVariance;
 	}
 
 	/** Expected rise of the load, at most `mostRise`; smaller near the peak of a job whose waves are known. */
-	getRise(job: string, mostRise: number): number {
+	getRise(job: string, maxRise: number): number {
 		const known = this.#jobs.get(job);
-		return known?.hasTurned ? Math.min(mostRise, Math.max(0, known.peak - known.load) + peakSlack) : mostRise;
+		return known?.hasPassedPeak ? Math.min(maxRise, Math.max(0, known.peak - known.load) + peakSlack) : maxRise;
 	}
 
 	/** Learns from a report; the first one of a job replaces most of the assumed load. */
 	note({job, load, added, addedVariance}: LoadReport, nowMs: number): void {
-		const own = Math.max(0, load - added);
+		const baseLoad = Math.max(0, load - added);
 		const known = this.#jobs.get(job) ?? {
-			load: unknownLoad, variance: unknownVariance, atMs: nowMs, peak: 0, hasTurned: false,
+			load: unknownLoad, variance: unknownVariance, atMs: nowMs, peak: 0, hasPassedPeak: false,
 		};
-		const variance = getDrifted(known, nowMs);
+		const variance = getVarianceAt(known, nowMs);
 		const gain = variance / (variance + addedVariance + noiseVariance);
-		const newLoad = known.load + (gain * (own - known.load));
+		const newLoad = known.load + (gain * (baseLoad - known.load));
 		const peak = Math.max(known.peak, newLoad);
-		const isBeyond = newLoad > known.peak + peakSlack;
+		const isAbovePeak = newLoad > known.peak + peakSlack;
 		this.#jobs.set(job, {
-			load: newLoad, variance: variance * (1 - gain), atMs: nowMs, peak, hasTurned: !isBeyond && (known.hasTurned || newLoad < peak - turnedBy),
+			load: newLoad, variance: variance * (1 - gain), atMs: nowMs, peak, hasPassedPeak: !isAbovePeak && (known.hasPassedPeak || newLoad < peak - passedPeakBy),
 		});
 	}
 
 	/** Removes jobs that are no longer reported. */
 	prune(nowMs: number): void {
 		for (const [job, {atMs}] of this.#jobs) {
-			if (nowMs - atMs > forgetMs) {
+			if (nowMs - atMs > retentionMs) {
 				this.#jobs.delete(job);
 			}
 		}
--- a/src/workflows/stalls.ts
+++ b/src/workflows/stalls.ts
@@ -1,20 +1,20 @@
 /**
-Detects stalled runs: the worker replies and the pace allows work, but progress does not change.
+Detects stalled runs: the worker replies and the throttle allows work, but progress does not change.
 */
 import {RunPhase, type LiveRun} from './live-model.ts';
 
 /** A healthy task reports progress many times a second, and restores a checkpoint in less than this. */
-const stallMs = 1500;
+const minStallMs = 1500;
 /** Progress is reported in percent, and each percent of a long task takes longer. */
 const stallShareOfEstimate = 0.1;
 /** Time within which a long-running task has started up. */
 const startupMs = 3500;
-/** Below this pace, missing progress does not mean that a run has stalled. */
-const minPacePercent = 50;
+/** Below this throttle percentage, missing progress does not mean that a run has stalled. */
+const minThrottlePercent = 50;
 
 /** Tells whether a run has stalled. */
 export const isStalled = ({phase, progressAtMs, percent, pacePercent, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
-	if (phase !== RunPhase.Running || (pacePercent ?? 0) < (spec.isFilling ? minPacePercent : 0)) {
+	if (phase !== RunPhase.Running || (pacePercent ?? 0) < (spec.isFilling ? minThrottlePercent : 0)) {
 		return false;
 	}
 
@@ -22,5 +22,5 @@
 		return percent < 100 && nowMs - progressAtMs > startupMs;
 	}
 
-	return nowMs - progressAtMs > Math.max(stallMs, stallShareOfEstimate * spec.estimateMs);
+	return nowMs - progressAtMs > Math.max(minStallMs, stallShareOfEstimate * spec.estimateMs);
 };
--- a/src/workflows/step-places.ts
+++ b/src/workflows/step-places.ts
@@ -24,26 +24,26 @@
 	isAllowed: IsAllowed;
 	policy: Policy;
 	trials: Trials;
-	/** Best-effort tasks start even where they disturb serving tasks. */
+	/** Best-effort tasks start even where they interfere with latency-critical tasks. */
 	mustRun: boolean;
-	/** Waiting best-effort tasks request more CPU than is free on workers without serving tasks. */
+	/** Waiting best-effort tasks request more CPU than is free on workers without latency-critical tasks. */
 	isUnservedShort: boolean;
 };
 
 /** Why a waiting task does not start, ordered from the furthest from a start to the nearest. */
 export enum WaitReason {
-	/** No eligible worker has the required label, size or advice ticket. */
+	/** No schedulable worker has the required label, size or advice ticket. */
 	NoWorker = 'no-worker',
 	Room = 'room',
 	/** Every worker with capacity already has the maximum number of tasks of the step. */
 	Spread = 'spread',
-	/** A serving task on the worker exceeded its target for too long: no best-effort task may run there. */
+	/** A latency-critical task on the worker exceeded its target for too long: no best-effort task may run there. */
 	FillStopped = 'fill-stopped',
-	/** The pace of its image on the worker is too low. */
+	/** The image is throttled too much on the worker. */
 	Paced = 'paced',
-	/** It would disturb a serving task, or run too slowly. */
+	/** It would interfere with a latency-critical task, or run too slowly. */
 	Harm = 'harm',
-	/** Enough workers already run the image to measure its unknown interference with the serving images there. */
+	/** Enough workers already run the image to measure its unknown interference with the latency-critical images there. */
 	Trial = 'trial',
 	/** The worker would accept the step, but another run of the task is already on its host. */
 	Other = 'other',
@@ -55,7 +55,7 @@
 export class StepPlaces {
 	readonly #step: LiveStep;
 	readonly #candidates: Candidate[];
-	readonly #terms: PlaceTerms;
+	readonly #options: PlaceTerms;
 	/** Cost by candidate index; infinity: not allowed. */
 	readonly #costs: Float64Array;
 	/** By candidate index: position in `waitReasons` of what rules the candidate out. */
@@ -64,11 +64,11 @@
 	constructor(step: LiveStep, candidates: Candidate[], terms: PlaceTerms) {
 		this.#step = step;
 		this.#candidates = candidates;
-		this.#terms = terms;
+		this.#options = terms;
 		this.#costs = new Float64Array(candidates.length);
 		this.#nearness = new Uint8Array(candidates.length);
 		for (const index of candidates.keys()) {
-			this.#weigh(index);
+			this.#updateCost(index);
 		}
 	}
 
@@ -82,13 +82,13 @@
 	take(task: LiveTask): Candidate | undefined {
 		for (let index = this.#findBest(task); index !== -1; index = this.#findBest(task)) {
 			const candidate = this.#candidates[index]!;
-			const isOpen = this.#isOpen(candidate);
-			if (isOpen) {
-				this.#give(candidate, task);
+			const isStillAllowed = this.#isStillAllowed(candidate);
+			if (isStillAllowed) {
+				this.#reserve(candidate, task);
 			}
 
-			this.#weigh(index);
-			if (isOpen) {
+			this.#updateCost(index);
+			if (isStillAllowed) {
 				return candidate;
 			}
 		}
@@ -102,29 +102,29 @@
 	}
 
 	/** Trials that began after the cost was computed may have ruled the candidate out. */
-	#isOpen(candidate: Candidate): boolean {
+	#isStillAllowed(candidate: Candidate): boolean {
 		const {spec} = this.#step;
-		return !spec.isFilling || getFillObstacle(spec, candidate, this.#terms) === undefined;
+		return !spec.isFilling || getBestEffortObstacle(spec, candidate, this.#options) === undefined;
 	}
 
-	#give(candidate: Candidate, task: LiveTask): void {
+	#reserve(candidate: Candidate, task: LiveTask): void {
 		const {spec} = this.#step;
-		const {harm, trials} = this.#terms;
+		const {harm, trials} = this.#options;
 		take(candidate, task, harm);
 		if (spec.isFilling) {
 			trials.note(candidate, spec.image ?? '');
 		}
 	}
 
-	#weigh(index: number): void {
+	#updateCost(index: number): void {
 		const candidate = this.#candidates[index]!;
-		const obstacle = getObstacle(this.#step, candidate, this.#terms);
-		this.#costs[index] = obstacle === undefined ? getCost(this.#step, candidate, this.#terms) : Number.POSITIVE_INFINITY;
+		const obstacle = getObstacle(this.#step, candidate, this.#options);
+		this.#costs[index] = obstacle === undefined ? getCost(this.#step, candidate, this.#options) : Number.POSITIVE_INFINITY;
 		this.#nearness[index] = waitReasons.indexOf(obstacle ?? WaitReason.Other);
 	}
 
 	#findBest({avoidedHosts, runs}: LiveTask): number {
-		const isPlain = avoidedHosts.size === 0 && runs.length === 0;
+		const isUnconstrained = avoidedHosts.size === 0 && runs.length === 0;
 		let best = -1;
 		let bestCost = Number.POSITIVE_INFINITY;
 		for (let index = 0; index < this.#costs.length; index++) {
@@ -133,7 +133,7 @@
 				continue;
 			}
 
-			if (!isPlain) {
+			if (!isUnconstrained) {
 				const {host} = this.#candidates[index]!.worker;
 				cost += avoidedHosts.has(host) ? avoidedCost : 0;
 				if (cost >= bestCost || runs.some(run => run.host === host)) {
@@ -150,9 +150,9 @@
 }
 
 /** A best-effort task waits if its gain, less what it takes from other best-effort tasks, is below this share of its full speed. */
-const minFillSpeed = 0.7;
-/** An image whose pace on a worker is below this percentage gets no more tasks there. */
-const minPercent = 50;
+const minBestEffortGain = 0.7;
+/** An image whose throttle percentage on a worker is below this gets no more tasks there. */
+const minThrottlePercent = 50;
 
 /** Gets the reason why no task of the step may start on the worker; undefined: it may. */
 const getObstacle = (step: LiveStep, candidate: Candidate, terms: PlaceTerms): WaitReason | undefined => {
@@ -170,10 +170,10 @@
 		return WaitReason.Spread;
 	}
 
-	return spec.isFilling ? getFillObstacle(spec, candidate, terms) : undefined;
+	return spec.isFilling ? getBestEffortObstacle(spec, candidate, terms) : undefined;
 };
 
-const getFillObstacle = (spec: WorkflowStep, candidate: Candidate, {harm, mustRun, policy, trials}: PlaceTerms): WaitReason | undefined => {
+const getBestEffortObstacle = (spec: WorkflowStep, candidate: Candidate, {harm, mustRun, policy, trials}: PlaceTerms): WaitReason | undefined => {
 	const {worker} = candidate;
 	if (worker.isFillStopped) {
 		return WaitReason.FillStopped;
@@ -183,85 +183,85 @@
 		return undefined;
 	}
 
-	if ((worker.paces.get(spec.image ?? '')?.percent ?? 100) < minPercent) {
+	if ((worker.paces.get(spec.image ?? '')?.percent ?? 100) < minThrottlePercent) {
 		return WaitReason.Paced;
 	}
 
-	if (getMostFillSpeed(spec, candidate, harm) < minFillSpeed || getFillSpeed(spec, candidate, harm) < minFillSpeed) {
+	if (getMaxBestEffortGain(spec, candidate, harm) < minBestEffortGain || getBestEffortGain(spec, candidate, harm) < minBestEffortGain) {
 		return WaitReason.Harm;
 	}
 
 	return policy[Mechanism.FewTrials] && !trials.mayStart(candidate, spec.image ?? '') ? WaitReason.Trial : undefined;
 };
 
-/** Upper bound of the speed from unused CPU alone: avoids computing paces for a worker that is full. */
-const getMostFillSpeed = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
+/** Upper bound of the speed from unused CPU alone: avoids computing throttles for a worker that is full. */
+const getMaxBestEffortGain = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
 	const {demands, unusedShare, worker: {report}} = candidate;
-	candidate.filledShare ??= getFilledShare(candidate, demands, harm);
+	candidate.filledShare ??= getBestEffortShare(candidate, demands, harm);
 	return (unusedShare - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
 };
 
 /** Gain from one more task on the worker, as a share of its full speed, less what it takes from other best-effort tasks. */
-const getFillSpeed = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
+const getBestEffortGain = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
 	const {demands, fillSpeeds, worker: {report}} = candidate;
 	const key = `${spec.image} ${spec.milliCpu}`;
-	let speed = fillSpeeds.get(key);
-	if (speed === undefined) {
-		candidate.filledShare ??= getFilledShare(candidate, demands, harm);
-		const more = addDemand(demands, spec, report!.milliCpu);
-		speed = (getFilledShare(candidate, more, harm) - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
-		fillSpeeds.set(key, speed);
+	let gain = fillSpeeds.get(key);
+	if (gain === undefined) {
+		candidate.filledShare ??= getBestEffortShare(candidate, demands, harm);
+		const demandsWithTask = addDemand(demands, spec, report!.milliCpu);
+		gain = (getBestEffortShare(candidate, demandsWithTask, harm) - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
+		fillSpeeds.set(key, gain);
 	}
 
-	return speed;
+	return gain;
 };
 
-const getFilledShare = ({servers, unusedShare}: Candidate, demands: FillDemand[], harm: FillHarm): number =>
+const getBestEffortShare = ({servers, unusedShare}: Candidate, demands: FillDemand[], harm: FillHarm): number =>
 	Math.min(unusedShare, getWorkingShare(demands, planSpeeds(servers, demands, (server, filler) => harm.getEffect(server, filler))));
 
 // Last choice: a worker on which the task failed or stalled.
 const avoidedCost = 20;
 // Remote data multiplies the run time by `farFactor`, which outweighs how well the task fits.
-const farCost = 10;
-// Colocates serving tasks, which leaves other workers to best-effort tasks.
-const companyGain = 2;
-// Weight of the load that a best-effort task adds to a serving task.
-const harmCost = 3;
-// Reserves workers without serving tasks, while they are short, for images that would disturb serving tasks elsewhere.
-const unservedCost = 0.5;
-// Serving images differ in what disturbs them: a best-effort image is placed more easily where all are of one image.
-const otherImageCost = 3;
-// Spreads best-effort tasks: a full worker has no capacity for an image that disturbs serving tasks elsewhere.
-const crowdCost = 0.3;
+const remoteDataCost = 10;
+// Colocates latency-critical tasks, which leaves other workers to best-effort tasks.
+const colocationGain = 2;
+// Weight of the load that a best-effort task adds to a latency-critical task.
+const interferenceWeight = 3;
+// Reserves workers without latency-critical tasks, while they are short, for images that would interfere elsewhere.
+const interferenceFreeCost = 0.5;
+// Latency-critical images differ in what interferes with them: a best-effort image is placed more easily where all are of one image.
+const mixedImagesCost = 3;
+// Spreads best-effort tasks: a full worker has no capacity for an image that interferes with others elsewhere.
+const crowdingCost = 0.3;
 
 const getCost = (step: LiveStep, candidate: Candidate, {harm, policy, isUnservedShort}: PlaceTerms): number => {
 	const {spec} = step;
 	const {worker: {report}, free, rack, servers, demands} = candidate;
-	const farness = spec.dataRack !== undefined && spec.dataRack !== rack ? farCost : 0;
+	const dataCost = spec.dataRack !== undefined && spec.dataRack !== rack ? remoteDataCost : 0;
 	const usedShare = 1 - (free.milliCpu / Math.max(1, report!.milliCpu));
 	if (spec.isFilling) {
-		const rise = Math.max(0, ...servers.map(({image}) => harm.getEffect(image, spec.image ?? ''))) * spec.milliCpu / report!.milliCpu;
-		const unserved = policy[Mechanism.UnservedRoom] && isUnservedShort && servers.length === 0 ? unservedCost : 0;
-		return farness + (harmCost * rise) - getFillSpeed(spec, candidate, harm) + (crowdCost * getAskedShare(demands)) + unserved;
+		const addedLoad = Math.max(0, ...servers.map(({image}) => harm.getEffect(image, spec.image ?? ''))) * spec.milliCpu / report!.milliCpu;
+		const reservation = policy[Mechanism.UnservedRoom] && isUnservedShort && servers.length === 0 ? interferenceFreeCost : 0;
+		return dataCost + (interferenceWeight * addedLoad) - getBestEffortGain(spec, candidate, harm) + (crowdingCost * getAskedShare(demands)) + reservation;
 	}
 
-	const company = servers.length > 0 && policy[Mechanism.ServerCompany] ? companyGain : 0;
+	const colocation = servers.length > 0 && policy[Mechanism.ServerCompany] ? colocationGain : 0;
 	if (spec.targetMs > 0) {
-		const otherImages = policy[Mechanism.ServerGroups] && servers.some(({image}) => image !== (spec.image ?? '')) ? otherImageCost : 0;
-		return farness - company - usedShare + (harmCost * getHarmOf(spec, demands, harm)) + otherImages;
+		const mixedImages = policy[Mechanism.ServerGroups] && servers.some(({image}) => image !== (spec.image ?? '')) ? mixedImagesCost : 0;
+		return dataCost - colocation - usedShare + (interferenceWeight * getAddedLoad(spec, demands, harm)) + mixedImages;
 	}
 
 	// Filling the fullest worker first keeps capacity for large tasks, and whole workers for best-effort tasks.
-	return farness - usedShare - company;
+	return dataCost - usedShare - colocation;
 };
 
-/** Load that the best-effort tasks on the worker already add to a serving task of the step. */
-const getHarmOf = (spec: WorkflowStep, demands: FillDemand[], harm: FillHarm): number => {
-	let rise = 0;
+/** Load that the best-effort tasks on the worker already add to a latency-critical task of the step. */
+const getAddedLoad = (spec: WorkflowStep, demands: FillDemand[], harm: FillHarm): number => {
+	let addedLoad = 0;
 	for (const {image, share} of demands) {
-		rise += harm.getEffect(spec.image ?? '', image) * share;
+		addedLoad += harm.getEffect(spec.image ?? '', image) * share;
 	}
 
-	return rise;
+	return addedLoad;
 };
 
--- a/src/workflows/task-order.ts
+++ b/src/workflows/task-order.ts
@@ -1,9 +1,11 @@
 /**
 Order in which waiting tasks are placed.
+
 While there is capacity for all jobs, each should meet its objective: the job with the least slack goes first. Under
 overload that order makes every job slightly late, one after the other. What counts then is the value that completes in
 time for the capacity that it takes: nearly finished jobs go before jobs that have hardly begun, and jobs that can no
 longer meet their objective wait for those that can.
+
 One rank covers both: the expected value per remaining core-second, which falls exponentially with the slack. The longer
 the backlog, the more slowly it falls, so that slack counts for little under overload.
 */
@@ -28,25 +30,25 @@
 };
 
 /** Share of its value that a late result keeps, up to this many times the objective: callers can still use it. */
-const lateShare = 0.15;
-const lateTimes = 3;
-/** Share that a result without value counts, so that it is still worked on when nothing else waits. */
-const overdueShare = 0.01;
+const lateValueShare = 0.15;
+const lateLimitFactor = 3;
+/** Value share of a result that is too late to count: such jobs still run when nothing else waits. */
+const overdueValueShare = 0.01;
 /** Uncertainty of the remaining time: a share of it, and a constant for delays between tasks. */
-const doubtShare = 0.25;
-const doubtMs = 500;
+const uncertaintyShare = 0.25;
+const baseUncertaintyMs = 500;
 /** Value of completing a job at all, in addition to its work: this share of the mean work of a job in its queue. */
-const fixedShare = 0.3 / 0.7;
+const completionValueShare = 0.3 / 0.7;
 /** Lower bound for the time constant of the slack discount; with a shorter backlog, slack decides the order. */
 const minLookaheadMs = 1000;
 /** Long-running tasks come first: users notice at once when they are missing. */
-const lastingRank = -1e9;
+const longRunningRank = -1e9;
 /** Larger than any rank difference within a priority. */
-const priorityStep = 1e6;
-const whole = 100;
+const priorityRankStep = 1e6;
+const fullPercent = 100;
 
 /** Share of a task's work that remains, by the run with the most progress. */
-const getLeftShare = ({isDone, runs}: LiveTask): number => {
+const getRemainingShare = ({isDone, runs}: LiveTask): number => {
 	if (isDone) {
 		return 0;
 	}
@@ -56,7 +58,7 @@
 		percent = Math.max(percent, run.percent);
 	}
 
-	return 1 - (percent / whole);
+	return 1 - (percent / fullPercent);
 };
 
 /** Computes the total and remaining work of an occurrence. */
@@ -66,37 +68,37 @@
 	};
 	// Steps are listed after the steps that they depend on, so one pass finds the longest path to each.
 	const endsMs: number[] = [];
-	const leftEndsMs: number[] = [];
+	const remainingEndsMs: number[] = [];
 	for (const step of steps) {
 		const {spec: {count, milliCpu, after}, tasks} = step;
 		const taskMs = times.getTaskMs(step);
-		let leftTasks = 0;
+		let remainingTasks = 0;
 		let longestShare = 0;
 		for (const task of tasks) {
-			const share = getLeftShare(task);
-			leftTasks += share;
+			const share = getRemainingShare(task);
+			remainingTasks += share;
 			longestShare = Math.max(longestShare, share);
 		}
 
 		remainder.totalCoreMs += count * taskMs * milliCpu / 1000;
-		remainder.leftCoreMs += leftTasks * taskMs * milliCpu / 1000;
+		remainder.leftCoreMs += remainingTasks * taskMs * milliCpu / 1000;
 		let fromMs = 0;
-		let leftFromMs = 0;
+		let remainingFromMs = 0;
 		for (const earlier of after) {
 			fromMs = Math.max(fromMs, endsMs[earlier]!);
-			leftFromMs = Math.max(leftFromMs, leftEndsMs[earlier]!);
+			remainingFromMs = Math.max(remainingFromMs, remainingEndsMs[earlier]!);
 		}
 
 		endsMs.push(fromMs + (count > 0 ? taskMs : 0));
-		leftEndsMs.push(leftFromMs + (taskMs * longestShare));
+		remainingEndsMs.push(remainingFromMs + (taskMs * longestShare));
 		remainder.chainMs = Math.max(remainder.chainMs, endsMs.at(-1)!);
-		remainder.leftChainMs = Math.max(remainder.leftChainMs, leftEndsMs.at(-1)!);
+		remainder.leftChainMs = Math.max(remainder.leftChainMs, remainingEndsMs.at(-1)!);
 	}
 
 	return remainder;
 };
 
-/** Fields of the log line for a job that ended: the time it took, and the time its objective allows by the learned run times. */
+/** Fields of the log line for a finished job: the time it took, and the time its objective allows by the learned run times. */
 export const describeEnd = ({spec, folded, receivedAtMs, occurrences}: LiveWorkflow, times: RunTimes, nowMs: number): Record<string, unknown> => {
 	const {chainMs, totalCoreMs} = getRemainder(occurrences.get(0) ?? [], times);
 	return {
@@ -134,7 +136,7 @@
 	return ({step}) => {
 		const {workflow: {spec, occurrences}, occurrence} = step;
 		if (step.spec.isLasting) {
-			return lastingRank;
+			return longRunningRank;
 		}
 
 		const steps = occurrences.get(occurrence)!;
@@ -143,7 +145,7 @@
 			const remainder = remainders.get(steps) ?? getRemainder(steps, terms.times);
 			const total = totals.get(spec.queue);
 			rank = policy[Mechanism.ValueOrder]
-				? (spec.priority * priorityStep) - Math.log(getIndex(steps, remainder, {
+				? (spec.priority * priorityRankStep) - Math.log(getExpectedValue(steps, remainder, {
 					...terms, lookaheadMs, meanCoreMs: total ? total.sum / total.count : remainder.totalCoreMs,
 				}))
 				: getSlackRank(steps, remainder, terms);
@@ -162,7 +164,7 @@
 	return slackMs >= 0 ? slackMs : 1e7 - slackMs;
 };
 
-const getIndex = (
+const getExpectedValue = (
 	steps: LiveStep[],
 	{totalCoreMs, leftCoreMs, chainMs, leftChainMs}: Remainder,
 	{nowMs, wallMs, lookaheadMs, meanCoreMs}: {nowMs: number; wallMs: number; lookaheadMs: number; meanCoreMs: number},
@@ -171,18 +173,18 @@
 	const {spec} = workflow;
 	const allowedMs = (spec.stretch * chainMs) + spec.targetLatencyMs;
 	const endsAfterMs = getAgeMs(workflow, occurrence, {nowMs, wallMs}) + leftChainMs;
-	const doubt = (doubtShare * leftChainMs) + doubtMs;
-	const inTime = getLikelihood((allowedMs - endsAfterMs) / doubt);
-	const late = getLikelihood(((lateTimes * allowedMs) - endsAfterMs) / doubt);
-	const prospect = ((1 - lateShare) * inTime) + (lateShare * late) + overdueShare;
-	const spareMs = Math.max(0, allowedMs - endsAfterMs);
-	const value = totalCoreMs + (fixedShare * meanCoreMs);
-	return prospect * value / Math.max(1, leftCoreMs) * Math.exp(-spareMs / lookaheadMs);
+	const uncertaintyMs = (uncertaintyShare * leftChainMs) + baseUncertaintyMs;
+	const inTimeLikelihood = getLikelihood((allowedMs - endsAfterMs) / uncertaintyMs);
+	const lateLikelihood = getLikelihood(((lateLimitFactor * allowedMs) - endsAfterMs) / uncertaintyMs);
+	const expectedShare = ((1 - lateValueShare) * inTimeLikelihood) + (lateValueShare * lateLikelihood) + overdueValueShare;
+	const positiveSlackMs = Math.max(0, allowedMs - endsAfterMs);
+	const value = totalCoreMs + (completionValueShare * meanCoreMs);
+	return expectedShare * value / Math.max(1, leftCoreMs) * Math.exp(-positiveSlackMs / lookaheadMs);
 };
 
 const getLikelihood = (ratio: number): number => 1 / (1 + Math.exp(-ratio));
 
 const getAgeMs = ({spec, receivedAtMs}: LiveWorkflow, occurrence: number, {nowMs, wallMs}: {nowMs: number; wallMs: number}): number =>
-	isTimed(spec) ? wallMs - getDueAtMs(spec, occurrence) : nowMs - receivedAtMs;
+	isRepeated(spec) ? wallMs - getDueAtMs(spec, occurrence) : nowMs - receivedAtMs;
 
-const isTimed = ({repeatCount}: Workflow): boolean => repeatCount > 0;
+const isRepeated = ({repeatCount}: Workflow): boolean => repeatCount > 0;
--- a/src/workflows/trials.ts
+++ b/src/workflows/trials.ts
@@ -1,8 +1,10 @@
 /**
-Limits how many workers run a best-effort image beside a serving image at the same time while the effect is unknown.
-Otherwise a job with many tasks of a new image would start on all workers at once and disturb users on each, although one
+Limits how many workers run a best-effort image beside a latency-critical image at the same time while the effect is
+unknown.
+
+Otherwise a job with many tasks of a new image would start on all workers at once and interfere on each, although one
 worker shows the effect half a second later. Its other tasks wait for the first reports, or go where the image is known
-to be harmless.
+not to interfere.
 */
 import {type FillHarm} from './fill-harm.ts';
 import {type Candidate} from './placement-candidates.ts';
@@ -10,13 +12,13 @@
 /** A single report may be wrong; two workers that agree are reliable. */
 const maxTrials = 2;
 
-type Pair = {isKnown: boolean; trials: number};
+type TrialCount = {isKnown: boolean; trials: number};
 
 /** Counts trials in a scheduling cycle. */
 export class Trials {
 	readonly #harm: FillHarm;
-	/** By best-effort image and serving image. */
-	readonly #pairs = new Map<string, Map<string, Pair>>();
+	/** By best-effort image and latency-critical image. */
+	readonly #counts = new Map<string, Map<string, TrialCount>>();
 
 	constructor(harm: FillHarm, candidates: Candidate[]) {
 		this.#harm = harm;
@@ -42,11 +44,11 @@
 		}
 	}
 
-	#get(filler: string, server: string): Pair {
-		let pairs = this.#pairs.get(filler);
+	#get(filler: string, server: string): TrialCount {
+		let pairs = this.#counts.get(filler);
 		if (!pairs) {
 			pairs = new Map();
-			this.#pairs.set(filler, pairs);
+			this.#counts.set(filler, pairs);
 		}
 
 		let pair = pairs.get(server);
--- a/test/pair-effects.test.ts
+++ b/test/pair-effects.test.ts
@@ -5,13 +5,13 @@
 import {PairEffects} from '../src/workflows/pair-effects.ts';
 import {getLoadAt} from '../src/workflows/serving-load.ts';
 
-const quietVariance = 0.03 ** 2;
+const reportVariance = 0.03 ** 2;
 const share = 0.11;
 
 describe('effects of pairs', () => {
 	it('are known accurately enough after one report beside a known load', () => {
 		const effects = new PairEffects();
-		effects.learn('server', [{image: 'filler', share}], 1.5 * share, quietVariance);
+		effects.learn('server', [{image: 'filler', share}], 1.5 * share, reportVariance);
 		expect(effects.get('server', 'filler').mean).toBeCloseTo(1.5, 0);
 		expect(effects.get('server', 'filler').deviation).toBeLessThan(0.5);
 	});
@@ -27,17 +27,17 @@
 		for (let index = 0; index < 20; index++) {
 			const first = index % 2 === 0 ? 0.3 : 0.1;
 			const second = 0.4 - first;
-			effects.learn('server', [{image: 'harmful', share: first}, {image: 'harmless', share: second}], 2 * first, quietVariance);
+			effects.learn('server', [{image: 'harmful', share: first}, {image: 'harmless', share: second}], 2 * first, reportVariance);
 		}
 
 		expect(effects.get('server', 'harmful').mean).toBeCloseTo(2, 0);
 		expect(effects.get('server', 'harmless').mean).toBeCloseTo(0, 0);
 	});
 
-	it('do not drift below 0 while the load falls, which would make a harmful image look harmless for long', () => {
+	it('do not drift below 0 while the load falls, which would make an interfering image look harmless for long', () => {
 		const effects = new PairEffects();
 		for (let index = 0; index < 50; index++) {
-			effects.learn('server', [{image: 'filler', share}], index % 2 === 0 ? 0.05 : -0.05, quietVariance);
+			effects.learn('server', [{image: 'filler', share}], index % 2 === 0 ? 0.05 : -0.05, reportVariance);
 		}
 
 		expect(effects.get('server', 'filler').mean).toBeGreaterThan(-0.2);
@@ -46,7 +46,7 @@
 	it('lose certainty with time', () => {
 		const effects = new PairEffects();
 		effects.fade(0);
-		effects.learn('server', [{image: 'filler', share}], 1.5 * share, quietVariance);
+		effects.learn('server', [{image: 'filler', share}], 1.5 * share, reportVariance);
 		const {deviation} = effects.get('server', 'filler');
 		for (let nowMs = 0; nowMs <= 60_000; nowMs += 3000) {
 			effects.fade(nowMs);
@@ -55,11 +55,11 @@
 		expect(effects.get('server', 'filler').deviation).toBeGreaterThan(2 * deviation);
 	});
 
-	it('of an unknown pair are those of the image on other serving images', () => {
+	it('of an unknown pair are those of the image on other latency-critical images', () => {
 		const effects = new PairEffects();
 		const before = effects.get('other', 'filler').mean;
 		for (let index = 0; index < 30; index++) {
-			effects.learn('server', [{image: 'filler', share}], 2 * share, quietVariance);
+			effects.learn('server', [{image: 'filler', share}], 2 * share, reportVariance);
 		}
 
 		expect(effects.get('other', 'filler').mean).toBeGreaterThan(before + 0.5);
--- a/test/quarantine.test.ts
+++ b/test/quarantine.test.ts
@@ -27,7 +27,7 @@
 });
 
 /** Places one task on each worker that may take one; all tasks or none. */
-const placeOn = (mayTake: (worker: FleetWorker) => boolean) => (tasks: LiveTask[], workers: FleetWorker[]): Start[] => {
+const createPlace = (mayTake: (worker: FleetWorker) => boolean) => (tasks: LiveTask[], workers: FleetWorker[]): Start[] => {
 	const open = workers.filter(worker => mayTake(worker));
 	return open.length < tasks.length ? [] : tasks.map((task, index) => ({task, worker: open[index]!}));
 };
@@ -35,7 +35,7 @@
 it('finds the one worker that may take a suspect', () => {
 	const open = createFleet(12);
 	const {starts} = createQuarantine(open).arrange({
-		waiting: createSuspects(1), open, nowMs: 1000, place: placeOn(({host}) => host === 'host-11'),
+		waiting: createSuspects(1), open, nowMs: 1000, place: createPlace(({host}) => host === 'host-11'),
 	});
 	expect(starts.map(({worker}) => worker.host)).toEqual(['host-11']);
 });
@@ -43,7 +43,7 @@
 it('finds the workers for a suspected gang', () => {
 	const open = createFleet(12);
 	const {starts} = createQuarantine(open).arrange({
-		waiting: createSuspects(3, true), open, nowMs: 1000, place: placeOn(({host}) => ['host-7', 'host-9', 'host-11'].includes(host)),
+		waiting: createSuspects(3, true), open, nowMs: 1000, place: createPlace(({host}) => ['host-7', 'host-9', 'host-11'].includes(host)),
 	});
 	expect(starts).toHaveLength(3);
 });
@@ -52,7 +52,7 @@
 	const open = createFleet(40);
 	const quarantine = createQuarantine(open);
 	const {starts, waiting, open: left} = quarantine.arrange({
-		waiting: createSuspects(20), open, nowMs: 1000, place: placeOn(() => true),
+		waiting: createSuspects(20), open, nowMs: 1000, place: createPlace(() => true),
 	});
 	expect(new Set(starts.map(({worker}) => worker.host)).size).toBe(4);
 	expect(starts).toHaveLength(4);
--- a/test/site-decisions.test.ts
+++ b/test/site-decisions.test.ts
@@ -139,7 +139,10 @@
 });
 
 describe('the lease of a worker', () => {
-	/** Guards against a process that was suspended between a proof and the call that uses it: the lease must start at the worker's clock before the proof. */
+	/**
+	Guards against a process that was suspended between a proof and the call that uses it: the lease must start at the
+	worker's clock before the proof.
+	*/
 	it('starts at the clock reading from before its proof was requested', () => {
 		const lease = new LeaseClock(7000);
 		lease.note(100_000, 0);
--- a/test/site-harm.test.ts
+++ b/test/site-harm.test.ts
@@ -1,5 +1,5 @@
 /**
-Best-effort tasks beside serving tasks: learned interference, paces and placement. No network.
+Best-effort tasks beside latency-critical tasks: learned interference, throttles and placement. No network.
 */
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../src/utils/manual-clock.ts';
@@ -15,29 +15,29 @@
 } from './site-fleet.ts';
 import {createSpec, createStep} from './site-world.ts';
 
-const filler = (image: string, fields: Partial<Filler> = {}): Filler => ({
+const createGroup = (image: string, fields: Partial<Filler> = {}): Filler => ({
 	image, share: 0.25, usedShare: 0.25, recentShare: fields.usedShare ?? 0.25, percent: 100, sinceChangeMs: 1000, ...fields,
 });
 
-const serving = (ratio: number, job = 's.0'): Server[] => [{image: 'serve', job, ratio}];
+const createLatencyCriticalTasks = (ratio: number, job = 's.0'): Server[] => [{image: 'serve', job, ratio}];
 
 /** Tail latency divided by its target at a load, as workers measure it. */
 const getRatioAt = (load: number): number => 1 / (6 * (1 - Math.min(0.99, load)));
 
-/** Two workers report a job for ten seconds: one with harmless neighbours only, the other with a harmful one at times. */
-const teach = (heavyEffect: number): FillHarm => {
+/** Two workers report a job for ten seconds: one with non-interfering neighbours only, the other with an interfering one at times. */
+const learnEffects = (heavyEffect: number): FillHarm => {
 	const harm = new FillHarm();
 	for (let nowMs = 0; nowMs < 10_000; nowMs += 500) {
 		const own = 0.45 + (0.2 * Math.sin(nowMs / 1600));
 		const heavyShare = nowMs % 2000 < 1000 ? 0.2 : 0;
-		harm.note(serving(getRatioAt(own)), [filler('light')], nowMs);
-		harm.note(serving(getRatioAt(own + (heavyEffect * heavyShare))), [filler('light'), filler('heavy', {usedShare: heavyShare})], nowMs);
+		harm.note(createLatencyCriticalTasks(getRatioAt(own)), [createGroup('light')], nowMs);
+		harm.note(createLatencyCriticalTasks(getRatioAt(own + (heavyEffect * heavyShare))), [createGroup('light'), createGroup('heavy', {usedShare: heavyShare})], nowMs);
 	}
 
 	return harm;
 };
 
-const createWorld = (recentMs = 40) => {
+const createScenario = (recentMs = 40) => {
 	const {model} = load([
 		createWorkflow('s', createSpec([createStep({
 			isLasting: true, targetMs: 100, image: 'serve', milliCpu: 3000,
@@ -53,20 +53,21 @@
 describe('learned interference', () => {
 	/**
 	Guards against blaming neighbours for a peak of the job's own load: all of its tasks have long tails then, and stopping
-	their neighbours left batch jobs without progress. The task with harmless neighbours shows how much is the job's own load.
+	their neighbours left batch jobs without progress. The task whose neighbours do not interfere shows how much is the job's
+	own load.
 	*/
 	it('distinguishes the load waves of a job from the effects of its neighbours', () => {
-		const harm = teach(1.5);
+		const harm = learnEffects(1.5);
 		expect(harm.getEffect('serve', 'heavy')).toBeGreaterThan(1);
 		expect(harm.getEffect('serve', 'light')).toBeLessThan(0.3);
 	});
 
 	/** A tail takes more than a second to fall after its cause has stopped: what runs beside it by then is not the cause. */
 	it('blames no image for a tail that is still falling', () => {
-		const harm = teach(1.5);
+		const harm = learnEffects(1.5);
 		const before = harm.getEffect('serve', 'light');
 		for (let nowMs = 10_000; nowMs < 11_000; nowMs += 500) {
-			harm.note(serving(4), [filler('light'), filler('heavy', {usedShare: 0, recentShare: 0.4})], nowMs);
+			harm.note(createLatencyCriticalTasks(4), [createGroup('light'), createGroup('heavy', {usedShare: 0, recentShare: 0.4})], nowMs);
 		}
 
 		expect(harm.getEffect('serve', 'light')).toBeLessThanOrEqual(before);
@@ -74,21 +75,21 @@
 });
 
 describe('interference learned by an owner', () => {
-	/** Guards against a new owner that starts without the model, so that each image disturbs users again before it is slowed. */
+	/** Guards against a new owner that starts without the model, so that each image interferes again before it is slowed. */
 	it('is restored by the next owner', () => {
 		const fold = new WorkflowFold();
-		fold.apply(decodeRecord(encodeRecord({type: RecordType.Harm, pairs: teach(1.5).getPairs()})), 0);
+		fold.apply(decodeRecord(encodeRecord({type: RecordType.Harm, pairs: learnEffects(1.5).getPairs()})), 0);
 		const next = new FillHarm();
 		next.restore(fold.harm, 0);
-		expect(next.getEffect('serve', 'heavy')).toBeCloseTo(teach(1.5).getEffect('serve', 'heavy'), 1);
-		expect(next.getPairs()).toEqual(teach(1.5).getPairs());
+		expect(next.getEffect('serve', 'heavy')).toBeCloseTo(learnEffects(1.5).getEffect('serve', 'heavy'), 1);
+		expect(next.getPairs()).toEqual(learnEffects(1.5).getPairs());
 	});
 });
 
 describe('images without tasks', () => {
 	/** Guards against a record for the next owner that grows over months with every image ever seen, and slows each takeover. */
 	it('are not handed over', () => {
-		const harm = teach(1.5);
+		const harm = learnEffects(1.5);
 		expect(harm.getPairs()).toHaveLength(2);
 		harm.note([], [], 1_000_000);
 		expect(harm.getPairs()).toEqual([]);
@@ -99,45 +100,45 @@
 	const effect = (_: string, image: string) => image === 'heavy' ? 1 : 0.1;
 	const demands = [{image: 'heavy', share: 0.2}, {image: 'light', share: 0.5}];
 
-	it('are 1 while every serving task stays below its target', () => {
+	it('are 1 while every latency-critical task stays below its target', () => {
 		expect(planSpeeds([{image: 'serve', load: 0.5}], demands, effect)).toEqual([1, 1]);
 	});
 
-	it('are lowered for the most harmful image first, and no more than needed', () => {
+	it('are lowered for the image with the largest effect first, and no more than needed', () => {
 		const [heavy, light] = planSpeeds([{image: 'serve', load: 0.64}], demands, effect);
 		expect(light).toBe(1);
 		expect(heavy).toBeCloseTo((getLoadAt(0.9) - 0.64 - 0.05) / 0.2);
 	});
 
-	it('are 0 for harmful images when a serving task has no load to spare', () => {
+	it('are 0 for interfering images when a latency-critical task has no load to spare', () => {
 		expect(planSpeeds([{image: 'serve', load: 0.85}], demands, effect)).toEqual([0, 0]);
 	});
 
-	it('are 1 for harmless images in any case', () => {
+	it('are 1 for non-interfering images in any case', () => {
 		expect(planSpeeds([{image: 'serve', load: 0.85}], demands, () => 0.01)).toEqual([1, 1]);
 	});
 });
 
-describe('paces', () => {
-	it('slow an image known to harm a tail far above its target, and leave the others', () => {
-		const paces = decidePaces(serving(5), [filler('heavy'), filler('light')], teach(4));
+describe('throttles', () => {
+	it('slow an image known to interfere with a tail far above its target, and leave the others', () => {
+		const paces = decidePaces(createLatencyCriticalTasks(5), [createGroup('heavy'), createGroup('light')], learnEffects(4));
 		expect(paces.get('heavy')).toBeLessThan(50);
 		expect(paces.has('light')).toBe(false);
 	});
 
 	it('are not lowered again while the tail falls after the last change', () => {
-		const fillers = [filler('heavy', {
+		const fillers = [createGroup('heavy', {
 			percent: 0, usedShare: 0, recentShare: 0.4, sinceChangeMs: 100,
-		}), filler('light')];
-		expect(decidePaces(serving(2), fillers, teach(1.5))).toEqual(new Map());
+		}), createGroup('light')];
+		expect(decidePaces(createLatencyCriticalTasks(2), fillers, learnEffects(1.5))).toEqual(new Map());
 	});
 
 	it('are lowered when no known effect explains the tail', () => {
-		expect(decidePaces(serving(5), [filler('new')], new FillHarm()).get('new')).toBeLessThan(50);
+		expect(decidePaces(createLatencyCriticalTasks(5), [createGroup('new')], new FillHarm()).get('new')).toBeLessThan(50);
 	});
 
 	/**
-	Guards against a model that is wrong: a tail stayed over its target for four seconds, beside an image assumed harmless.
+	Guards against a wrong model: a tail stayed over its target for four seconds, beside an image assumed not to interfere.
 	After a time all best-effort tasks there stop, and none are placed there, until the tail has recovered.
 	*/
 	it('stop all best-effort tasks beside a tail that exceeds its target too long, and placement there', async () => {
@@ -145,7 +146,7 @@
 		harm.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
 		}], 0);
-		const {model, worker} = createWorld(30);
+		const {model, worker} = createScenario(30);
 		const {runs} = worker;
 		const [server] = [...runs];
 		const [task] = [...model.waiting(0, () => false)];
@@ -175,7 +176,7 @@
 		harm.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
 		}], 0);
-		const {model, worker} = createWorld(30);
+		const {model, worker} = createScenario(30);
 		const [server] = [...worker.runs];
 		const [task] = [...model.waiting(0, () => false)];
 		run(task!, worker, {recent: 500});
@@ -194,73 +195,73 @@
 		expect(worker.paces.get('heavy')?.percent).toBe(0);
 	});
 
-	it('are raised no further than serving tasks tolerate', () => {
-		const harm = teach(4);
-		expect(decidePaces(serving(0.3), [filler('heavy', {percent: 0, usedShare: 0})], harm).get('heavy') ?? 0).toBeLessThan(50);
-		expect(decidePaces(serving(0.3), [filler('light', {percent: 0, usedShare: 0})], harm)).toEqual(new Map([['light', 100]]));
+	it('are raised no further than latency-critical tasks tolerate', () => {
+		const harm = learnEffects(4);
+		expect(decidePaces(createLatencyCriticalTasks(0.3), [createGroup('heavy', {percent: 0, usedShare: 0})], harm).get('heavy') ?? 0).toBeLessThan(50);
+		expect(decidePaces(createLatencyCriticalTasks(0.3), [createGroup('light', {percent: 0, usedShare: 0})], harm)).toEqual(new Map([['light', 100]]));
 	});
 
 	it('are raised only after the last change has taken effect', () => {
-		expect(decidePaces(serving(0.3), [filler('light', {percent: 0, usedShare: 0, sinceChangeMs: 100})], teach(1.5)).size).toBe(0);
+		expect(decidePaces(createLatencyCriticalTasks(0.3), [createGroup('light', {percent: 0, usedShare: 0, sinceChangeMs: 100})], learnEffects(1.5)).size).toBe(0);
 	});
 
-	it('are raised to 100 when no serving task is left', () => {
-		expect(decidePaces([], [filler('heavy', {percent: 0, usedShare: 0})], teach(4))).toEqual(new Map([['heavy', 100]]));
+	it('are raised to 100 when no latency-critical task is left', () => {
+		expect(decidePaces([], [createGroup('heavy', {percent: 0, usedShare: 0})], learnEffects(4))).toEqual(new Map([['heavy', 100]]));
 	});
 });
 
 describe('placement of best-effort tasks', () => {
-	/** Guards against placing tasks beside serving tasks where they are then stopped, so that jobs miss their objectives. */
-	it('places no task beside a serving task that its image is known to harm', () => {
-		const {model, worker} = createWorld();
-		const harm = teach(4);
+	/** Guards against placing tasks beside latency-critical tasks where they are then stopped, so that jobs miss their objectives. */
+	it('places no task beside a latency-critical task that its image is known to interfere with', () => {
+		const {model, worker} = createScenario();
+		const harm = learnEffects(4);
 		expect(placeAll(model, [worker], {harm})).toHaveLength(0);
-		// A job without an active run does not wait forever, as most CPU is free: one task starts, and is paced.
+		// A job without an active run does not wait forever, as most CPU is free: one task starts, and is throttled.
 		expect(placeAll(model, [worker], {harm, nowMs: 2000})).toHaveLength(1);
 		expect(placeAll(model, [worker, createWorker('y')], {harm}).map(start => start.worker.host)).toEqual(['y', 'y']);
 	});
 
 	/** Guards against a job without an active run whose first task was stopped a moment ago: its other tasks waited for that one. */
 	it('starts a task of a waiting job even if another task of the step has just been stopped', () => {
-		const {model, worker} = createWorld();
+		const {model, worker} = createScenario();
 		model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
 		})!.waitsSinceMs = 1900;
-		expect(placeAll(model, [worker], {harm: teach(4), nowMs: 2000})).toHaveLength(1);
+		expect(placeAll(model, [worker], {harm: learnEffects(4), nowMs: 2000})).toHaveLength(1);
 	});
 
 	/** Guards against a job that is idle between the end of its only run and the start of the next. */
 	it('starts the next task of a waiting job while its only run ends', () => {
-		const {model, worker} = createWorld();
+		const {model, worker} = createScenario();
 		run(model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
 		})!, worker, {percent: 75, workedMs: 1500, progressAtMs: 2000});
-		const harm = teach(4);
+		const harm = learnEffects(4);
 		expect(placeAll(model, [worker], {harm, nowMs: 2100, nextStartMs: 300})).toHaveLength(0);
 		expect(placeAll(model, [worker], {harm, nowMs: 2300, nextStartMs: 300})).toHaveLength(1);
 	});
 
 	/** Guards against a remaining time that counts progress made before the run was resumed from a checkpoint or adopted. */
 	it('predicts the remaining time of a run from its progress since it was first observed', () => {
-		const {model, worker} = createWorld();
+		const {model, worker} = createScenario();
 		run(model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
 		})!, worker, {
 			percent: 75, basePercent: 70, workedMs: 200, sentAtMs: 1800, progressAtMs: 2000,
 		});
-		expect(placeAll(model, [worker], {harm: teach(4), nowMs: 2100, nextStartMs: 300})).toHaveLength(0);
+		expect(placeAll(model, [worker], {harm: learnEffects(4), nowMs: 2100, nextStartMs: 300})).toHaveLength(0);
 	});
 
-	it('places harmless images beside serving tasks, as far as those leave CPU', () => {
-		const {model, worker} = createWorld();
-		expect(placeAll(model, [worker], {harm: teach(0)})).toHaveLength(2);
+	it('places non-interfering images beside latency-critical tasks, as far as those leave CPU', () => {
+		const {model, worker} = createScenario();
+		expect(placeAll(model, [worker], {harm: learnEffects(0)})).toHaveLength(2);
 	});
 
-	/** Guards against an image whose pace stays 0 after its tasks have moved on: it never returned to that worker. */
-	it('resets the pace of an image without tasks on the worker', () => {
-		const {model, worker} = createWorld(20);
+	/** Guards against an image whose throttle stays 0 after its tasks have moved on: it never returned to that worker. */
+	it('resets the throttle of an image without tasks on the worker', () => {
+		const {model, worker} = createScenario(20);
 		worker.paces.set('heavy', {percent: 0, changedAtMs: 0});
-		const harm = teach(0);
+		const harm = learnEffects(0);
 		expect(placeAll(model, [worker], {harm})).toHaveLength(0);
 		const keeper = new PaceKeeper({
 			harm, clock: new ManualClock(), links: undefined as unknown as AgentLinks, note: () => undefined,
@@ -270,7 +271,7 @@
 	});
 });
 
-describe('the load of a serving job whose waves are known', () => {
+describe('the load of a latency-critical job whose waves are known', () => {
 	const job = 'job';
 	/** Reports a wave between 0.25 and 0.75 for a time. */
 	const follow = (loads: ServingLoads, fromS: number, untilS: number) => {
@@ -282,9 +283,9 @@
 	};
 
 	/**
-	Guards against a full margin at the peak of a wave, where loads hardly rise: no harmful image could start there for a quarter
-	of the time of each of three jobs on a worker, and half of the CPU stayed idle while jobs waited. Loads of all workers were
-	then between 0.71 and 0.77, and never higher.
+	Guards against a full margin at the peak of a wave, where loads hardly rise: no interfering image could start there for a
+	quarter of the time of each of three jobs on a worker, and half of the CPU stayed idle while jobs waited. Loads of all
+	workers were then between 0.71 and 0.77, and never higher.
 	*/
 	it('is not expected to rise further at the peak of its wave', () => {
 		const loads = new ServingLoads();
@@ -305,7 +306,7 @@
 		expect(loads.getRise('other', 0.08)).toBe(0.08);
 	});
 
-	/** Guards against a second wave far above the first: tasks placed for the old peak kept serving tasks over their targets. */
+	/** Guards against a second wave far above the first: tasks placed for the old peak kept latency-critical tasks over their targets. */
 	it('may rise by the full margin again once it exceeds all earlier waves', () => {
 		const loads = new ServingLoads();
 		follow(loads, 0, 17);
--- a/test/site-order.test.ts
+++ b/test/site-order.test.ts
@@ -1,5 +1,5 @@
 /**
-Order and placement of jobs under overload: learned run times, ranks, and colocation of serving tasks.
+Order and placement of jobs under overload: learned run times, ranks, and colocation of latency-critical tasks.
 */
 import {describe, expect, it} from 'vitest';
 import {type Workflow} from '../src/types/workflows.ts';
@@ -75,7 +75,7 @@
 		createWorkflow(id, createSpec([createStep({count, milliCpu: 1000, estimateMs: 4000})]), {stretch: 2, targetLatencyMs: 1000, ...terms});
 
 	/**
-	Guards against serving by least slack under overload: each job gets a share of the capacity, and all of them are late.
+	Guards against ranking by least slack under overload: each job gets a share of the capacity, and all of them are late.
 	Nearly finished jobs end in time if they go first.
 	*/
 	it('finishes jobs that have begun before it starts others, under overload', () => {
@@ -129,10 +129,11 @@
 	})]));
 
 	/**
-	Guards against serving tasks of three images on each worker: most best-effort images harm one of the three, so that few long
-	tasks found a worker, and half of the CPU was idle. With one image on a worker, a third of them harm no task there.
+	Guards against latency-critical tasks of three images on each worker: most best-effort images interfere with one of the
+	three, so that few long tasks found a worker, and half of the CPU was idle. With one image on a worker, a third of them
+	interferes with no task there.
 	*/
-	it('places serving tasks of one image together, even if another worker is free', () => {
+	it('places latency-critical tasks of one image together, even if another worker is free', () => {
 		const workers = [createWorker('x'), createWorker('y'), createWorker('z', 1000)];
 		const {model} = load(['one', 'two'].flatMap(image => [0, 1, 2].map(index => serve(`${image}-${index}`, image))));
 		for (const [index, task] of getTasks(model).entries()) {
@@ -145,7 +146,7 @@
 		expect(place('three')).toEqual(['z']);
 	});
 
-	it('reserves workers without serving tasks for images that would harm elsewhere, while they are short', () => {
+	it('reserves workers without latency-critical tasks for images that would interfere elsewhere, while they are short', () => {
 		const {model} = load([serve('a', 'one'), createWorkflow('f', createSpec([createStep({isFilling: true, image: 'light', milliCpu: 500})]))]);
 		const [server] = getTasks(model);
 		const workers = [createWorker('quiet', 400), createWorker('served')];
--- a/test/site-places.test.ts
+++ b/test/site-places.test.ts
@@ -17,8 +17,8 @@
 
 const images = ['a', 'b', 'c'];
 
-/** Creates workers with serving and best-effort tasks; the last job waits. */
-const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Drawn): {workers: FleetWorker[]; tasks: LiveTask[]; harm: FillHarm} => {
+/** Creates workers with latency-critical and best-effort tasks; the last job waits. */
+const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Scenario): {workers: FleetWorker[]; tasks: LiveTask[]; harm: FillHarm} => {
 	const {model} = load([
 		...running.map(({isServing, image}, index) => createWorkflow(`r${index}`, createSpec([createStep({
 			milliCpu: 1500, image: images[image], ...(isServing ? {isLasting: true, targetMs: 24} : {isFilling: true}),
@@ -41,7 +41,7 @@
 	return {workers, harm, tasks: model.workflows.get('w')!.occurrences.get(0)![0]!.tasks};
 };
 
-type Drawn = {
+type Scenario = {
 	sizes: number[];
 	running: Array<{worker: number; isServing: boolean; image: number}>;
 	waiting: number;
@@ -50,7 +50,7 @@
 	effects: number[];
 };
 
-const drawn: fc.Arbitrary<Drawn> = fc.record({
+const scenarios: fc.Arbitrary<Scenario> = fc.record({
 	sizes: fc.array(fc.constantFrom(4000, 16_000), {minLength: 1, maxLength: 6}),
 	running: fc.array(fc.record({worker: fc.nat(5), isServing: fc.boolean(), image: fc.nat(2)}), {maxLength: 12}),
 	waiting: fc.integer({min: 1, max: 30}),
@@ -65,19 +65,19 @@
 	cycles ran at a tenth of the rate of changes and startable tasks waited. Costs kept between tasks must not change decisions.
 	*/
 	it('are the same whether costs are kept or computed anew for each task', () => {
-		fc.assert(fc.property(drawn, draw => {
+		fc.assert(fc.property(scenarios, draw => {
 			const {workers, tasks, harm} = createFleet(draw);
 			const createTerms = (candidates: Candidate[]) => ({
 				harm, policy: createPolicy(), trials: new Trials(harm, candidates), isAllowed: () => true, mustRun: false, isUnservedShort: true,
 			});
 			const candidates = workers.map(worker => createCandidate(worker, harm));
-			const kept = new StepPlaces(tasks[0]!.step, candidates, createTerms(candidates));
-			const anew = workers.map(worker => createCandidate(worker, harm));
-			const terms = createTerms(anew);
+			const keptPlacement = new StepPlaces(tasks[0]!.step, candidates, createTerms(candidates));
+			const freshCandidates = workers.map(worker => createCandidate(worker, harm));
+			const terms = createTerms(freshCandidates);
 			for (const task of tasks) {
-				const places = new StepPlaces(task.step, anew, terms);
-				expect(kept.take(task)?.worker.host).toBe(places.take(task)?.worker.host);
-				expect(kept.getWaitReason()).toBe(places.getWaitReason());
+				const places = new StepPlaces(task.step, freshCandidates, terms);
+				expect(keptPlacement.take(task)?.worker.host).toBe(places.take(task)?.worker.host);
+				expect(keptPlacement.getWaitReason()).toBe(places.getWaitReason());
 			}
 		}), {numRuns: 300, seed: 11});
 	});
--- a/test/site-trials.test.ts
+++ b/test/site-trials.test.ts
@@ -1,5 +1,5 @@
 /**
-Best-effort tasks beside serving tasks while their interference is unknown.
+Best-effort tasks beside latency-critical tasks while their interference is unknown.
 */
 import {describe, expect, it} from 'vitest';
 import {FillHarm} from '../src/workflows/fill-harm.ts';
@@ -11,7 +11,7 @@
 
 const size = 20;
 
-/** Creates workers with one serving task each, of two alternating images; a job with many tasks waits. */
+/** Creates workers with one latency-critical task each, of two alternating images; a job with many tasks waits. */
 const createFleet = (waiting: number) => {
 	const {model} = load([
 		...['even', 'odd'].map(image => createWorkflow(image, createSpec([createStep({
@@ -36,10 +36,10 @@
 describe('a job with many tasks of an unknown image', () => {
 	/**
 	Guards against learning the same effect on every worker: a job of forty tasks started one on each worker at the same time. On
-	a large service all serving tasks exceeded their targets at once, for 331 s in sum over a measured load of 30 s, against 13 s
+	a large service all latency-critical tasks exceeded their targets at once, for 331 s in sum over a measured load of 30 s, against 13 s
 	with all interference known from the start. Two workers would have shown it.
 	*/
-	it('starts beside each serving image on two workers', () => {
+	it('starts beside each latency-critical image on two workers', () => {
 		const {model, workers} = createFleet(size);
 		const starts = getTasks(placeAll(model, workers));
 		expect(starts).toHaveLength(4);
@@ -56,7 +56,7 @@
 		expect(starts.every(({worker}) => workers.indexOf(worker) % 2 === 1)).toBe(true);
 	});
 
-	it('starts everywhere once the image is known to be harmless', () => {
+	it('starts everywhere once the image is known not to interfere', () => {
 		const {model, workers} = createFleet(size);
 		const harm = new FillHarm();
 		harm.restore(['even', 'odd'].map(server => ({
@@ -76,7 +76,7 @@
 		expect(starts).toHaveLength(size);
 	});
 
-	it('starts one task beside serving tasks in any case when it has waited too long', () => {
+	it('starts one task beside latency-critical tasks in any case when it has waited too long', () => {
 		const {model, workers} = createFleet(1);
 		const harm = new FillHarm();
 		harm.restore(['even', 'odd'].map(server => ({
