--- a/src/workflows/placement.ts
+++ b/src/workflows/placement.ts
@@ -57,7 +57,7 @@
 	const spareMilliCpu = getSpareMilliCpu(candidates);
 	const rank = createRank(spareMilliCpu);
 	const terms: PlaceTerms = {
-		harm, isAllowed, policy, trials: new Trials(harm, candidates), mustRun: false, isUnservedShort: isUnservedShort(tasks, candidates),
+		harm, isAllowed, policy, trials: new Trials(harm, candidates), mustRun: false, isUnservedShort: isInterferenceFreeCpuShort(tasks, candidates),
 	};
 	const getStepPlacement = createStepPlacementCache(candidates, terms);
 	const starts: Start[] = [];
@@ -124,7 +124,7 @@
 const maxStarvationMs = 1500;
 
 /** Whether waiting best-effort tasks request more CPU than is free on workers without latency-critical tasks. */
-const isUnservedShort = (tasks: LiveTask[], candidates: Candidate[]): boolean => {
+const isInterferenceFreeCpuShort = (tasks: LiveTask[], candidates: Candidate[]): boolean => {
 	let requestedMilliCpu = 0;
 	for (const {step: {spec}} of tasks) {
 		requestedMilliCpu += spec.isFilling ? spec.milliCpu : 0;
