--- a/src/workflows/fill-harm.ts
+++ b/src/workflows/fill-harm.ts
@@ -4,32 +4,32 @@
 import {RunPhase, type LiveRun} from './live-model.ts';
 import {PairEffects} from './pair-effects.ts';
 import {type HarmPair} from './records.ts';
-import {getLoadAt, saturatedLoad, ServingLoads} from './serving-load.ts';
+import {getLoadAt, saturatedLoad, LatencyCriticalLoadTracker} from './serving-load.ts';
 
 /** A latency-critical task beside which best-effort tasks may run. */
-export type Server = {
+export type LatencyCriticalTask = {
 	image: string;
 	/** Tasks of one job serve the same users, so that their loads change together. */
 	job: string;
 	/** Tail latency divided by its target, as last reported; 0 before the first report. */
-	ratio: number;
+	latencyRatio: number;
 	/** Start of the time in which it has exceeded its target continuously; undefined: it does not. */
-	overSinceMs?: number;
+	overTargetSinceMs?: number;
 	/** The same, not counting single readings below the target. */
-	mostlyOverSinceMs?: number;
+	mostlyOverTargetSinceMs?: number;
 };
 
 /** Best-effort tasks of one image on one worker. */
-export type Filler = {
+export type BestEffortGroup = {
 	image: string;
 	/** Share of the worker's CPU that they use at full speed. */
 	share: number;
 	/** Share of the worker's CPU that they used over the last half second. */
 	usedShare: number;
 	/** Peak of `usedShare` over the time that a tail takes to fall after its cause has stopped, about 1.3 s. */
-	recentShare: number;
+	peakShare: number;
 	/** Throttle percentage that was last set, 0 to 100. */
-	percent: number;
+	throttlePercent: number;
 	sinceChangeMs: number;
 };
 
@@ -50,7 +50,7 @@
 /** Learned interference between images. */
 export class FillHarm {
 	readonly #effects = new PairEffects();
-	readonly #loads = new ServingLoads();
+	readonly #loads = new LatencyCriticalLoadTracker();
 	/** Images that were observed beside each other, with the last time. */
 	readonly #latencyCriticalImages = new Map<string, number>();
 	readonly #bestEffortImages = new Map<string, number>();
@@ -58,19 +58,19 @@
 	readonly #effectCache = new Map<string, Map<string, number>>();
 
 	/** Learns from the reports of one worker's latency-critical tasks and the use of its best-effort tasks. */
-	note(servers: Server[], fillers: Filler[], nowMs: number): void {
+	observe(tasks: LatencyCriticalTask[], groups: BestEffortGroup[], nowMs: number): void {
 		this.#effectCache.clear();
-		this.#effects.fade(nowMs);
+		this.#effects.decay(nowMs);
 		this.#loads.prune(nowMs);
 		prune(this.#latencyCriticalImages, nowMs, image => {
-			this.#effects.forgetServer(image);
+			this.#effects.removeLatencyCriticalImage(image);
 		});
 		prune(this.#bestEffortImages, nowMs, image => {
-			this.#effects.forgetFiller(image);
+			this.#effects.removeBestEffortImage(image);
 		});
-		for (const server of servers) {
-			if (server.ratio > 0) {
-				this.#observeTask(server, fillers, nowMs);
+		for (const task of tasks) {
+			if (task.latencyRatio > 0) {
+				this.#observeTask(task, groups, nowMs);
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 		const pairs: HarmPair[] = [];
 		for (const server of this.#latencyCriticalImages.keys()) {
 			for (const filler of this.#bestEffortImages.keys()) {
-				if (this.#effects.isSeen(server, filler)) {
+				if (this.#effects.isObserved(server, filler)) {
 					const {mean, deviation} = this.#effects.get(server, filler);
 					pairs.push({
 						server, filler, mean: round(mean * storedEffectShare), deviation: round(deviation * storedEffectShare),
@@ -121,16 +121,16 @@
 
 	/** Whether the effect was observed recently enough to be relied on. */
 	isKnown(server: string, filler: string): boolean {
-		return this.#effects.isSeen(server, filler) && this.#effects.get(server, filler).deviation <= maxKnownDeviation;
+		return this.#effects.isObserved(server, filler) && this.#effects.get(server, filler).deviation <= maxKnownDeviation;
 	}
 
 	/** Load of a latency-critical job without interference. */
-	getLoad(job: string): number {
+	getBaseLoad(job: string): number {
 		return this.#loads.get(job);
 	}
 
-	/** The same, plus the expected rise, which is at most `mostRise`. */
-	getRisenLoad(job: string, maxRise: number): number {
+	/** The same, plus the expected rise, which is at most `maxRise`. */
+	getBaseLoadWithRise(job: string, maxRise: number): number {
 		return this.#loads.get(job) + this.#loads.getRise(job, maxRise);
 	}
 
@@ -138,46 +138,46 @@
 	Learns from one report, unless recent use explains a tail that is still falling. A tail below what current use explains,
 	or above what all recent use explains, is learned from.
 	*/
-	#observeTask({image, job, ratio}: Server, fillers: Filler[], nowMs: number): void {
-		const load = getLoadAt(ratio);
+	#observeTask({image, job, latencyRatio}: LatencyCriticalTask, groups: BestEffortGroup[], nowMs: number): void {
+		const load = getLoadAt(latencyRatio);
 		const own = this.#loads.get(job);
-		const isHigher = load > own + this.#getAddedLoad(image, fillers, ({usedShare}) => usedShare);
-		const getShare = isHigher ? ({recentShare}: Filler) => recentShare : ({usedShare}: Filler) => usedShare;
-		const added = this.#getAddedLoad(image, fillers, getShare);
-		const addedVariance = this.#getAddedVariance(image, fillers, getShare);
+		const isHigher = load > own + this.#getAddedLoad(image, groups, ({usedShare}) => usedShare);
+		const getShare = isHigher ? ({peakShare}: BestEffortGroup) => peakShare : ({usedShare}: BestEffortGroup) => usedShare;
+		const added = this.#getAddedLoad(image, groups, getShare);
+		const addedVariance = this.#getAddedVariance(image, groups, getShare);
 		const ownVariance = this.#loads.getVariance(job, nowMs);
-		const isExplained = isHigher && load <= own + added && fillers.some(({usedShare, recentShare}) => recentShare > usedShare);
+		const isExplained = isHigher && load <= own + added && groups.some(({usedShare, peakShare}) => peakShare > usedShare);
 		if (isExplained || (load >= saturatedLoad && load <= own + added)) {
 			return;
 		}
 
-		this.#loads.note({
+		this.#loads.observe({
 			job, load, added, addedVariance,
 		}, nowMs);
-		const used = fillers.flatMap(filler => getShare(filler) > 0 ? [{image: filler.image, share: getShare(filler)}] : []);
+		const used = groups.flatMap(group => getShare(group) > 0 ? [{image: group.image, share: getShare(group)}] : []);
 		if (used.length > 0) {
 			this.#latencyCriticalImages.set(image, nowMs);
-			for (const filler of fillers) {
-				this.#bestEffortImages.set(filler.image, nowMs);
+			for (const group of groups) {
+				this.#bestEffortImages.set(group.image, nowMs);
 			}
 
 			this.#effects.learn(image, used, load - own, ownVariance + reportVariance);
 		}
 	}
 
-	#getAddedLoad(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
+	#getAddedLoad(server: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
 		let added = 0;
-		for (const filler of fillers) {
-			added += Math.max(0, this.#getEffect(server, filler.image, 0)) * getShare(filler);
+		for (const group of groups) {
+			added += Math.max(0, this.#getEffect(server, group.image, 0)) * getShare(group);
 		}
 
 		return added;
 	}
 
-	#getAddedVariance(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
+	#getAddedVariance(server: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
 		let variance = 0;
-		for (const filler of fillers) {
-			variance += (this.#effects.get(server, filler.image).deviation * getShare(filler)) ** 2;
+		for (const group of groups) {
+			variance += (this.#effects.get(server, group.image).deviation * getShare(group)) ** 2;
 		}
 
 		return variance;
@@ -201,48 +201,48 @@
 const round = (value: number): number => Math.round(value * 1000) / 1000;
 
 /** Gets the latency-critical tasks among the runs of a worker, with their last report. */
-export const getServers = (runs: Iterable<LiveRun>): Server[] => {
-	const servers: Server[] = [];
+export const getLatencyCriticalTasks = (runs: Iterable<LiveRun>): LatencyCriticalTask[] => {
+	const tasks: LatencyCriticalTask[] = [];
 	for (const {phase, percent, recent, overSinceMs, mostlyOverSinceMs, task: {step: {spec, servingName}}} of runs) {
 		if (spec.targetMs > 0 && phase === RunPhase.Running) {
-			const ratio = percent === 100 ? recent / spec.targetMs : 0;
-			servers.push({
-				image: spec.image ?? '', job: servingName, ratio, overSinceMs, mostlyOverSinceMs,
+			const latencyRatio = percent === 100 ? recent / spec.targetMs : 0;
+			tasks.push({
+				image: spec.image ?? '', job: servingName, latencyRatio, overTargetSinceMs: overSinceMs, mostlyOverTargetSinceMs: mostlyOverSinceMs,
 			});
 		}
 	}
 
-	return servers;
+	return tasks;
 };
 
 /** Throttle percentage of each best-effort image on a worker. */
 export type Paces = Map<string, {percent: number; changedAtMs: number}>;
 
 /** Gets the best-effort tasks among the runs of a worker, by image. */
-export const getFillers = (runs: Iterable<LiveRun>, paces: Paces, {milliCpu, nowMs}: {milliCpu: number; nowMs: number}): Filler[] => {
-	const fillers = new Map<string, Filler>();
+export const getBestEffortGroups = (runs: Iterable<LiveRun>, throttles: Paces, {milliCpu, nowMs}: {milliCpu: number; nowMs: number}): BestEffortGroup[] => {
+	const groups = new Map<string, BestEffortGroup>();
 	for (const {phase, recent, task: {step: {spec}}} of runs) {
 		if (!spec.isFilling) {
 			continue;
 		}
 
 		const image = spec.image ?? '';
-		let filler = fillers.get(image);
-		if (!filler) {
-			const pace = paces.get(image);
-			filler = {
-				image, share: 0, usedShare: 0, recentShare: 0, percent: pace?.percent ?? 100, sinceChangeMs: nowMs - (pace?.changedAtMs ?? Number.NEGATIVE_INFINITY),
+		let group = groups.get(image);
+		if (!group) {
+			const throttle = throttles.get(image);
+			group = {
+				image, share: 0, usedShare: 0, peakShare: 0, throttlePercent: throttle?.percent ?? 100, sinceChangeMs: nowMs - (throttle?.changedAtMs ?? Number.NEGATIVE_INFINITY),
 			};
-			fillers.set(image, filler);
+			groups.set(image, group);
 		}
 
-		filler.share += spec.milliCpu / milliCpu;
-		filler.usedShare += phase === RunPhase.Starting ? 0 : recent / milliCpu;
+		group.share += spec.milliCpu / milliCpu;
+		group.usedShare += phase === RunPhase.Starting ? 0 : recent / milliCpu;
 	}
 
-	for (const filler of fillers.values()) {
-		filler.recentShare = filler.usedShare;
+	for (const group of groups.values()) {
+		group.peakShare = group.usedShare;
 	}
 
-	return [...fillers.values()];
+	return [...groups.values()];
 };
--- a/src/workflows/harm-pacing.ts
+++ b/src/workflows/harm-pacing.ts
@@ -6,13 +6,13 @@
 import {getLoadAt} from './serving-load.ts';
 
 /** Load of a latency-critical task without interference. */
-export type ServingTask = {
+export type LatencyCriticalLoad = {
 	image: string;
 	load: number;
 };
 
 /** Best-effort tasks of one image: the share of the worker's CPU that they use at full speed. */
-export type FillDemand = {
+export type BestEffortDemand = {
 	image: string;
 	share: number;
 };
@@ -31,10 +31,10 @@
 const minSpeed = 0.1;
 
 /** Computes the speed of each demand, 0 to 1, in the order of `demands`. */
-export const planSpeeds = (servers: ServingTask[], demands: FillDemand[], getEffect: GetEffect): number[] => {
+export const planSpeeds = (latencyCriticalLoads: LatencyCriticalLoad[], demands: BestEffortDemand[], getEffect: GetEffect): number[] => {
 	const speeds = demands.map(() => 1);
 	const effects = demands.map(() => 0);
-	for (const {image: server, load} of servers) {
+	for (const {image: server, load} of latencyCriticalLoads) {
 		let excess = load - maxLoad;
 		for (const [index, {image, share}] of demands.entries()) {
 			const effect = getEffect(server, image);
@@ -51,7 +51,7 @@
 };
 
 /** Lowers speeds until the excess load is gone, starting with the image of the largest effect. */
-const slowDown = (speeds: number[], demands: FillDemand[], {effects, excess}: {effects: number[]; excess: number}): void => {
+const slowDown = (speeds: number[], demands: BestEffortDemand[], {effects, excess}: {effects: number[]; excess: number}): void => {
 	let remainingExcess = excess;
 	const order = [...effects.keys()].filter(index => effects[index]! > 0).toSorted((a, b) => effects[b]! - effects[a]!);
 	for (const index of order) {
@@ -69,7 +69,7 @@
 };
 
 /** Share of the CPU that the demands use at full speed. */
-export const getAskedShare = (demands: FillDemand[]): number => {
+export const getRequestedShare = (demands: BestEffortDemand[]): number => {
 	let sum = 0;
 	for (const {share} of demands) {
 		sum += share;
@@ -79,7 +79,7 @@
 };
 
 /** Share of the CPU that the demands use at the given speeds. */
-export const getWorkingShare = (demands: FillDemand[], speeds: number[]): number => {
+export const getShareAtSpeeds = (demands: BestEffortDemand[], speeds: number[]): number => {
 	let sum = 0;
 	for (const [index, {share}] of demands.entries()) {
 		sum += share * speeds[index]!;
--- a/src/workflows/pace-keeper.ts
+++ b/src/workflows/pace-keeper.ts
@@ -6,10 +6,10 @@
 import {OrderType, type Order} from '../types/fleet.ts';
 import {type AgentLinks} from './agent-links.ts';
 import {
-	getFillers, getServers, type FillHarm, type Filler, type Server,
+	getBestEffortGroups, getLatencyCriticalTasks, type FillHarm, type BestEffortGroup, type LatencyCriticalTask,
 } from './fill-harm.ts';
 import {type FleetWorker} from './fleet-view.ts';
-import {planSpeeds, type ServingTask} from './harm-pacing.ts';
+import {planSpeeds, type LatencyCriticalLoad} from './harm-pacing.ts';
 import {RunPhase, type LiveRun} from './live-model.ts';
 import {getLoadAt} from './serving-load.ts';
 
@@ -44,30 +44,30 @@
 Estimates the load of each latency-critical task without interference: the estimate for its job, or the load that its own
 tail implies if that is higher.
 */
-const getBaseLoads = (servers: Server[], fillers: Filler[], harm: FillHarm): ServingTask[] => servers.map(({image, job, ratio}) => {
-	const load = harm.getRisenLoad(job, loadRiseMargin);
-	let measured = getLoadAt(ratio);
-	for (const filler of fillers) {
-		measured -= harm.getEffect(image, filler.image) * filler.recentShare;
+const getBaseLoads = (tasks: LatencyCriticalTask[], groups: BestEffortGroup[], interference: FillHarm): LatencyCriticalLoad[] => tasks.map(({image, job, latencyRatio}) => {
+	const load = interference.getBaseLoadWithRise(job, loadRiseMargin);
+	let measured = getLoadAt(latencyRatio);
+	for (const group of groups) {
+		measured -= interference.getEffect(image, group.image) * group.peakShare;
 	}
 
 	return {image, load: Math.max(load, measured)};
 });
 
 /** Whether a latency-critical task has exceeded its target for so long that best-effort tasks must stop. */
-const mustStopBestEffort = (servers: Server[], nowMs: number): boolean =>
-	servers.some(({overSinceMs, mostlyOverSinceMs}) => overSinceMs !== undefined
-		&& (nowMs - overSinceMs >= stopAfterMs || nowMs - (mostlyOverSinceMs ?? nowMs) >= stopMostlyOverAfterMs));
+const mustStopBestEffort = (latencyCriticalTasks: LatencyCriticalTask[], nowMs: number): boolean =>
+	latencyCriticalTasks.some(({overTargetSinceMs, mostlyOverTargetSinceMs}) => overTargetSinceMs !== undefined
+		&& (nowMs - overTargetSinceMs >= stopAfterMs || nowMs - (mostlyOverTargetSinceMs ?? nowMs) >= stopMostlyOverAfterMs));
 
 /** Decides the throttle percentage of each image on one worker; images that keep theirs are left out. */
-export const decidePaces = (servers: Server[], fillers: Filler[], harm: FillHarm, isStopped = false): Map<string, number> => {
+export const decideThrottles = (latencyCriticalTasks: LatencyCriticalTask[], groups: BestEffortGroup[], interference: FillHarm, isStopped = false): Map<string, number> => {
 	if (isStopped) {
-		return new Map(fillers.filter(({percent}) => percent > 0).map(({image}) => [image, 0]));
+		return new Map(groups.filter(({throttlePercent}) => throttlePercent > 0).map(({image}) => [image, 0]));
 	}
 
-	const speeds = planSpeeds(getBaseLoads(servers, fillers, harm), fillers, (server, filler) => harm.getEffect(server, filler));
+	const speeds = planSpeeds(getBaseLoads(latencyCriticalTasks, groups, interference), groups, (server, filler) => interference.getEffect(server, filler));
 	const throttles = new Map<string, number>();
-	for (const [index, {image, percent, sinceChangeMs}] of fillers.entries()) {
+	for (const [index, {image, throttlePercent: percent, sinceChangeMs}] of groups.entries()) {
 		const next = Math.floor(fullPercent * speeds[index]! / throttleStepPercent) * throttleStepPercent;
 		const isRaise = next > percent && sinceChangeMs >= throttleSettleMs && (next >= percent + minRaisePercent || next === fullPercent);
 		if (next < percent || isRaise) {
@@ -80,13 +80,13 @@
 
 /** Throttles the best-effort tasks of one owner. */
 export class PaceKeeper {
-	readonly #harm: FillHarm;
+	readonly #interference: FillHarm;
 	readonly #links: AgentLinks;
 	readonly #clock: Clock;
 	readonly #note: (event: string, fields: Record<string, unknown>) => void;
 
 	constructor({harm, links, clock, note}: {harm: FillHarm; links: AgentLinks; clock: Clock; note: (event: string, fields: Record<string, unknown>) => void}) {
-		this.#harm = harm;
+		this.#interference = harm;
 		this.#links = links;
 		this.#clock = clock;
 		this.#note = note;
@@ -107,21 +107,21 @@
 	}
 
 	#updateThrottles(worker: FleetWorker, milliCpu: number, nowMs: number): void {
-		const fillers = getFillers(worker.runs, worker.paces, {milliCpu, nowMs});
-		const recent = recordUsage(worker, fillers, nowMs);
+		const groups = getBestEffortGroups(worker.runs, worker.paces, {milliCpu, nowMs});
+		const recentGroups = recordUsage(worker, groups, nowMs);
 		updateOverTarget(worker.runs, nowMs);
-		const servers = getServers(worker.runs);
-		worker.isFillStopped = mustStopBestEffort(servers, nowMs);
+		const latencyCriticalTasks = getLatencyCriticalTasks(worker.runs);
+		worker.isFillStopped = mustStopBestEffort(latencyCriticalTasks, nowMs);
 		if (nowMs - worker.harmNotedAtMs >= learnIntervalMs) {
 			worker.harmNotedAtMs = nowMs;
-			this.#harm.note(servers, recent, nowMs);
+			this.#interference.observe(latencyCriticalTasks, recentGroups, nowMs);
 		}
 
-		resetThrottles(worker, fillers);
-		for (const [image, percent] of decidePaces(servers, recent, this.#harm, worker.isFillStopped)) {
+		resetThrottles(worker, groups);
+		for (const [image, percent] of decideThrottles(latencyCriticalTasks, recentGroups, this.#interference, worker.isFillStopped)) {
 			const before = worker.paces.get(image)?.percent ?? fullPercent;
 			this.#note('pace', {
-				host: worker.host, image, percent, before, worstRatio: Math.max(0, ...servers.map(({ratio}) => ratio)),
+				host: worker.host, image, percent, before, worstRatio: Math.max(0, ...latencyCriticalTasks.map(({latencyRatio}) => latencyRatio)),
 			});
 			worker.paces.set(image, {percent, changedAtMs: nowMs});
 		}
@@ -167,17 +167,17 @@
 };
 
 /** Resets the throttle of images without tasks on the worker: placement would otherwise avoid the worker for good. */
-const resetThrottles = (worker: FleetWorker, fillers: Filler[]): void => {
+const resetThrottles = (worker: FleetWorker, groups: BestEffortGroup[]): void => {
 	for (const image of worker.paces.keys()) {
-		if (!fillers.some(filler => filler.image === image)) {
+		if (!groups.some(group => group.image === image)) {
 			worker.paces.delete(image);
 		}
 	}
 };
 
-/** Records the CPU use of each image, and returns the images with their peak over `fallMs`, including those without tasks left. */
-const recordUsage = (worker: FleetWorker, fillers: Filler[], nowMs: number): Filler[] => {
-	const used = new Map(fillers.map(({image, usedShare}) => [image, usedShare]));
+/** Records the CPU use of each image, and returns the images with their peak over `tailFallMs`, including those without tasks left. */
+const recordUsage = (worker: FleetWorker, groups: BestEffortGroup[], nowMs: number): BestEffortGroup[] => {
+	const used = new Map(groups.map(({image, usedShare}) => [image, usedShare]));
 	worker.fillUses = [...worker.fillUses.filter(({atMs}) => nowMs - atMs <= tailFallMs), {atMs: nowMs, used}];
 	const peaks = new Map<string, number>();
 	for (const sample of worker.fillUses) {
@@ -186,8 +186,8 @@
 		}
 	}
 
-	const gone = [...peaks.keys()].filter(image => !used.has(image)).map((image): Filler => ({
-		image, share: 0, usedShare: 0, recentShare: 0, percent: fullPercent, sinceChangeMs: 0,
+	const gone = [...peaks.keys()].filter(image => !used.has(image)).map((image): BestEffortGroup => ({
+		image, share: 0, usedShare: 0, peakShare: 0, throttlePercent: fullPercent, sinceChangeMs: 0,
 	}));
-	return [...fillers, ...gone].map(filler => ({...filler, recentShare: peaks.get(filler.image)!}));
+	return [...groups, ...gone].map(group => ({...group, peakShare: peaks.get(group.image)!}));
 };
--- a/src/workflows/pair-effects.ts
+++ b/src/workflows/pair-effects.ts
@@ -37,7 +37,7 @@
 	}
 
 	/** Whether the pair was observed. */
-	isSeen(server: string, filler: string): boolean {
+	isObserved(server: string, filler: string): boolean {
 		return this.#pairs.get(server)?.has(filler) ?? false;
 	}
 
@@ -77,7 +77,7 @@
 	}
 
 	/** Moves variances towards the prior, by the time since the last call. */
-	fade(nowMs: number): void {
+	decay(nowMs: number): void {
 		this.#decayedAtMs ??= nowMs;
 		const passedMs = nowMs - this.#decayedAtMs;
 		if (passedMs < decayIntervalMs) {
@@ -94,7 +94,7 @@
 	}
 
 	/** Removes a best-effort image. */
-	forgetFiller(filler: string): void {
+	removeBestEffortImage(filler: string): void {
 		this.#meanEffects.delete(filler);
 		for (const pairs of this.#pairs.values()) {
 			pairs.delete(filler);
@@ -102,7 +102,7 @@
 	}
 
 	/** Removes a latency-critical image. */
-	forgetServer(server: string): void {
+	removeLatencyCriticalImage(server: string): void {
 		this.#pairs.delete(server);
 	}
 
--- a/src/workflows/placement-candidates.ts
+++ b/src/workflows/placement-candidates.ts
@@ -3,66 +3,66 @@
 */
 import {type Capacity} from '../types/fleet.ts';
 import {type WorkflowStep} from '../types/workflows.ts';
-import {getFillers, getServers, type FillHarm} from './fill-harm.ts';
+import {getBestEffortGroups, getLatencyCriticalTasks, type FillHarm} from './fill-harm.ts';
 import {
 	getFreeRoom, getMilliCpu, getRack, type FleetWorker,
 } from './fleet-view.ts';
-import {type FillDemand, type ServingTask} from './harm-pacing.ts';
+import {type BestEffortDemand, type LatencyCriticalLoad} from './harm-pacing.ts';
 import {type LiveStep, type LiveTask} from './live-model.ts';
 
 /** One worker in a cycle. */
 export type Candidate = {
 	worker: FleetWorker;
-	free: Capacity;
+	freeCapacity: Capacity;
 	rack: string | undefined;
 	/** Number of tasks on the worker, for steps that limit it. */
-	ofStep: Map<LiveStep, number>;
+	taskCounts: Map<LiveStep, number>;
 	/** Share of the CPU available to best-effort tasks, and what those on the worker request. */
 	unusedShare: number;
-	demands: FillDemand[];
+	demands: BestEffortDemand[];
 	/** One entry for each latency-critical job on the worker: its tasks have the same load. */
-	servers: ServingTask[];
+	latencyCriticalLoads: LatencyCriticalLoad[];
 	/** Cached share of the CPU at work for best-effort tasks, and gain from one more task by image and size. Cleared by an assignment. */
-	filledShare: number | undefined;
-	fillSpeeds: Map<string, number>;
+	bestEffortShare: number | undefined;
+	bestEffortGains: Map<string, number>;
 };
 
 /** Load of latency-critical tasks may rise by this much while a best-effort task runs. */
 const loadRiseMargin = 0.08;
 
 /** Creates the candidate for the current state of a worker. */
-export const createCandidate = (worker: FleetWorker, harm: FillHarm): Candidate => {
-	const ofStep = new Map<LiveStep, number>();
+export const createCandidate = (worker: FleetWorker, interference: FillHarm): Candidate => {
+	const taskCounts = new Map<LiveStep, number>();
 	for (const {task: {step}} of worker.runs) {
 		if (step.spec.maxPerWorker > 0) {
-			ofStep.set(step, (ofStep.get(step) ?? 0) + 1);
+			taskCounts.set(step, (taskCounts.get(step) ?? 0) + 1);
 		}
 	}
 
 	const {milliCpu} = worker.report!;
 	return {
 		worker,
-		free: getFreeRoom(worker),
+		freeCapacity: getFreeRoom(worker),
 		rack: getRack(worker.report!),
-		ofStep,
-		unusedShare: getUnusedShare(worker, harm),
-		demands: getFillers(worker.runs, worker.paces, {milliCpu, nowMs: 0}),
-		servers: getLatencyCriticalJobs(worker, harm),
-		filledShare: undefined,
-		fillSpeeds: new Map(),
+		taskCounts,
+		unusedShare: getUnusedShare(worker, interference),
+		demands: getBestEffortGroups(worker.runs, worker.paces, {milliCpu, nowMs: 0}),
+		latencyCriticalLoads: getLatencyCriticalJobs(worker, interference),
+		bestEffortShare: undefined,
+		bestEffortGains: new Map(),
 	};
 };
 
-const getLatencyCriticalJobs = ({runs}: FleetWorker, harm: FillHarm): ServingTask[] => {
-	const jobs = new Map(getServers(runs).map(({image, job}) => [job, image]));
-	return [...jobs].map(([job, image]) => ({image, load: harm.getRisenLoad(job, loadRiseMargin)}));
+const getLatencyCriticalJobs = ({runs}: FleetWorker, interference: FillHarm): LatencyCriticalLoad[] => {
+	const jobs = new Map(getLatencyCriticalTasks(runs).map(({image, job}) => [job, image]));
+	return [...jobs].map(([job, image]) => ({image, load: interference.getBaseLoadWithRise(job, loadRiseMargin)}));
 };
 
 /** Latency-critical tasks use their CPU in proportion to their load, other tasks all of it. */
-const getUnusedShare = ({report, runs}: FleetWorker, harm: FillHarm): number => {
+const getUnusedShare = ({report, runs}: FleetWorker, interference: FillHarm): number => {
 	let usedMilliCpu = 0;
 	for (const {task: {step: {spec, servingName}}} of runs) {
-		usedMilliCpu += getMilliCpu(spec) * (spec.targetMs > 0 ? harm.getLoad(servingName) : 1);
+		usedMilliCpu += getMilliCpu(spec) * (spec.targetMs > 0 ? interference.getBaseLoad(servingName) : 1);
 	}
 
 	return 1 - (usedMilliCpu / report!.milliCpu);
@@ -79,33 +79,33 @@
 };
 
 /** Books the capacity of a task that starts on the worker. */
-export const take = (candidate: Candidate, {step}: LiveTask, harm: FillHarm): void => {
+export const reserve = (candidate: Candidate, {step}: LiveTask, interference: FillHarm): void => {
 	const {spec} = step;
 	const {milliCpu} = candidate.worker.report!;
-	candidate.free.milliCpu -= getMilliCpu(spec);
-	candidate.free.memoryMb -= spec.memoryMb;
-	candidate.free.accelerators -= spec.accelerators;
-	candidate.ofStep.set(step, (candidate.ofStep.get(step) ?? 0) + 1);
-	candidate.filledShare = undefined;
-	candidate.fillSpeeds.clear();
+	candidate.freeCapacity.milliCpu -= getMilliCpu(spec);
+	candidate.freeCapacity.memoryMb -= spec.memoryMb;
+	candidate.freeCapacity.accelerators -= spec.accelerators;
+	candidate.taskCounts.set(step, (candidate.taskCounts.get(step) ?? 0) + 1);
+	candidate.bestEffortShare = undefined;
+	candidate.bestEffortGains.clear();
 	if (candidate.worker.health.isProbing) {
 		// A single task shows whether the worker has recovered.
-		candidate.free.milliCpu = -1;
+		candidate.freeCapacity.milliCpu = -1;
 	}
 
 	if (spec.isFilling) {
 		candidate.demands = addDemand(candidate.demands, spec, milliCpu);
 	} else if (spec.targetMs > 0) {
-		const load = harm.getLoad(step.servingName);
+		const load = interference.getBaseLoad(step.servingName);
 		candidate.unusedShare -= load * spec.milliCpu / milliCpu;
-		candidate.servers = [...candidate.servers, {image: spec.image ?? '', load: harm.getRisenLoad(step.servingName, loadRiseMargin)}];
+		candidate.latencyCriticalLoads = [...candidate.latencyCriticalLoads, {image: spec.image ?? '', load: interference.getBaseLoadWithRise(step.servingName, loadRiseMargin)}];
 	} else {
 		candidate.unusedShare -= spec.milliCpu / milliCpu;
 	}
 };
 
 /** Adds the demand of one more task. */
-export const addDemand = (demands: FillDemand[], spec: WorkflowStep, milliCpu: number): FillDemand[] => {
+export const addDemand = (demands: BestEffortDemand[], spec: WorkflowStep, milliCpu: number): BestEffortDemand[] => {
 	const image = spec.image ?? '';
 	const share = spec.milliCpu / milliCpu;
 	return demands.some(demand => demand.image === image)
--- a/src/workflows/placement.ts
+++ b/src/workflows/placement.ts
@@ -3,17 +3,17 @@
 */
 import {type FleetWorker} from './fleet-view.ts';
 import {type FillHarm} from './fill-harm.ts';
-import {getAskedShare} from './harm-pacing.ts';
+import {getRequestedShare} from './harm-pacing.ts';
 import {
 	isIdleWithin, type LiveStep, type LiveTask, type LiveWorkflow,
 } from './live-model.ts';
 import {createCandidate, getSpareMilliCpu, type Candidate} from './placement-candidates.ts';
 import {Mechanism, type Policy} from './policy.ts';
 import {
-	StepPlaces, type IsAllowed, type PlaceTerms, type WaitReason,
+	StepPlacement, type IsAllowed, type StepPlacementOptions, type WaitReason,
 } from './step-places.ts';
-import {type RankTask} from './task-order.ts';
-import {Trials} from './trials.ts';
+import {type GetRank} from './task-order.ts';
+import {InterferenceTrials} from './trials.ts';
 
 /** A decision to start a task on a worker. */
 export type Start = {
@@ -27,10 +27,10 @@
 	workers: Iterable<FleetWorker>;
 	nowMs: number;
 	/** Delay until starts of the next cycle may begin: a job whose last run ends sooner is idle until then. */
-	nextStartMs: number;
+	nextStartDelayMs: number;
 	harm: FillHarm;
 	/** Creates the order in which tasks are placed, given the spare CPU in thousandths of a core. */
-	createRank: (spareMilliCpu: number) => RankTask;
+	createRank: (spareMilliCpu: number) => GetRank;
 	/** Whether a queue's policy lets the step run on the worker. */
 	isAllowed: IsAllowed;
 	policy: Policy;
@@ -46,7 +46,7 @@
 };
 
 /** Decides which tasks start, in order of rank. */
-export const place = ({waiting, workers, nowMs, nextStartMs, harm, createRank, isAllowed, policy}: PlacementInput): PlacementResult => {
+export const place = ({waiting, workers, nowMs, nextStartDelayMs, harm, createRank, isAllowed, policy}: PlacementInput): PlacementResult => {
 	const tasks = [...waiting];
 	const waits = new Map<WaitReason, number>();
 	if (tasks.length === 0) {
@@ -56,26 +56,31 @@
 	const candidates = [...workers].map(worker => createCandidate(worker, harm));
 	const spareMilliCpu = getSpareMilliCpu(candidates);
 	const rank = createRank(spareMilliCpu);
-	const terms: PlaceTerms = {
-		harm, isAllowed, policy, trials: new Trials(harm, candidates), mustRun: false, isUnservedShort: isInterferenceFreeCpuShort(tasks, candidates),
+	const options: StepPlacementOptions = {
+		interference: harm,
+		isAllowed,
+		policy,
+		trials: new InterferenceTrials(harm, candidates),
+		isInterferenceAllowed: false,
+		isInterferenceFreeCpuShort: isInterferenceFreeCpuShort(tasks, candidates),
 	};
-	const getStepPlacement = createStepPlacementCache(candidates, terms);
+	const getStepPlacement = createStepPlacementCache(candidates, options);
 	const starts: Start[] = [];
 	const started = new Set<LiveWorkflow>();
 	for (const [step, waitingTasks] of rankSteps(tasks, rank)) {
 		if (step.spec.isGang) {
-			starts.push(...placeGang(step, candidates, terms));
+			starts.push(...placeGang(step, candidates, options));
 			continue;
 		}
 
-		const isIdleStart = policy[Mechanism.IdleStart] && !started.has(step.workflow) && isStarving(step, waitingTasks, {nowMs, nextStartMs});
+		const isIdleStart = policy[Mechanism.IdleStart] && !started.has(step.workflow) && isStarving(step, waitingTasks, {nowMs, nextStartDelayMs});
 		for (const [index, task] of waitingTasks.entries()) {
 			// A starved job starts one task even where it interferes with latency-critical tasks.
-			const places = getStepPlacement(step, isIdleStart && !started.has(step.workflow));
-			const candidate = places.take(task);
+			const placement = getStepPlacement(step, isIdleStart && !started.has(step.workflow));
+			const candidate = placement.assign(task);
 			if (!candidate) {
 				// If one task of a step finds no worker, no other task of the step does.
-				const reason = places.getWaitReason();
+				const reason = placement.getWaitReason();
 				waits.set(reason, (waits.get(reason) ?? 0) + waitingTasks.length - index);
 				break;
 			}
@@ -89,7 +94,7 @@
 };
 
 /** Groups tasks by step and orders the steps by rank; all tasks of a step have the same rank. */
-const rankSteps = (tasks: LiveTask[], rank: RankTask): Array<[LiveStep, LiveTask[]]> => {
+const rankSteps = (tasks: LiveTask[], rank: GetRank): Array<[LiveStep, LiveTask[]]> => {
 	const groups = new Map<LiveStep, LiveTask[]>();
 	for (const task of tasks) {
 		const group = groups.get(task.step);
@@ -105,14 +110,14 @@
 };
 
 /** Creates a lookup that reuses the worker costs of a step until the next step is placed, which changes the free capacity. */
-const createStepPlacementCache = (candidates: Candidate[], terms: PlaceTerms): ((step: LiveStep, mustRun: boolean) => StepPlaces) => {
-	let last: {step: LiveStep; mustRun: boolean; places: StepPlaces} | undefined;
-	return (step, mustRun) => {
-		if (last?.step !== step || last.mustRun !== mustRun) {
-			last = {step, mustRun, places: new StepPlaces(step, candidates, {...terms, mustRun})};
+const createStepPlacementCache = (candidates: Candidate[], options: StepPlacementOptions): ((step: LiveStep, isInterferenceAllowed: boolean) => StepPlacement) => {
+	let last: {step: LiveStep; isInterferenceAllowed: boolean; placement: StepPlacement} | undefined;
+	return (step, isInterferenceAllowed) => {
+		if (last?.step !== step || last.isInterferenceAllowed !== isInterferenceAllowed) {
+			last = {step, isInterferenceAllowed, placement: new StepPlacement(step, candidates, {...options, isInterferenceAllowed})};
 		}
 
-		return last.places;
+		return last.placement;
 	};
 };
 
@@ -131,17 +136,17 @@
 	}
 
 	let freeMilliCpu = 0;
-	for (const {servers, unusedShare, demands, worker: {report}} of candidates) {
-		if (servers.length === 0) {
-			freeMilliCpu += Math.max(0, unusedShare - getAskedShare(demands)) * report!.milliCpu;
+	for (const {latencyCriticalLoads, unusedShare, demands, worker: {report}} of candidates) {
+		if (latencyCriticalLoads.length === 0) {
+			freeMilliCpu += Math.max(0, unusedShare - getRequestedShare(demands)) * report!.milliCpu;
 		}
 	}
 
 	return requestedMilliCpu > freeMilliCpu;
 };
 
-const isStarving = ({spec, workflow}: LiveStep, waitingTasks: LiveTask[], {nowMs, nextStartMs}: Pick<PlacementInput, 'nowMs' | 'nextStartMs'>): boolean =>
-	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxStarvationMs) && isIdleWithin(workflow, nextStartMs, nowMs);
+const isStarving = ({spec, workflow}: LiveStep, waitingTasks: LiveTask[], {nowMs, nextStartDelayMs}: Pick<PlacementInput, 'nowMs' | 'nextStartDelayMs'>): boolean =>
+	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxStarvationMs) && isIdleWithin(workflow, nextStartDelayMs, nowMs);
 
 /**
 Creates a check whether a task would find a worker among those that it does not avoid. The workers are scanned once
@@ -149,29 +154,29 @@
 */
 export const createPlaceFinder = (workers: Iterable<FleetWorker>, {harm, isAllowed, policy}: Pick<PlacementInput, 'harm' | 'isAllowed' | 'policy'>): ((task: LiveTask) => boolean) => {
 	// The result does not depend on the cost of the workers, so rank and shortage of free CPU are left out.
-	const known = new Map<LiveStep, StepPlaces>();
+	const placements = new Map<LiveStep, StepPlacement>();
 	let candidates: Candidate[] | undefined;
-	let trials: Trials | undefined;
+	let trials: InterferenceTrials | undefined;
 	return task => {
 		candidates ??= [...workers].map(worker => createCandidate(worker, harm));
-		trials ??= new Trials(harm, candidates);
-		const places = known.get(task.step) ?? new StepPlaces(task.step, candidates, {
-			harm, isAllowed, policy, trials, mustRun: false, isUnservedShort: false,
+		trials ??= new InterferenceTrials(harm, candidates);
+		const placement = placements.get(task.step) ?? new StepPlacement(task.step, candidates, {
+			interference: harm, isAllowed, policy, trials, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
 		});
-		known.set(task.step, places);
-		return places.hasPlace(task);
+		placements.set(task.step, placement);
+		return placement.canPlace(task);
 	};
 };
 
 /** Starts all members of a gang or none; on one rack if the step asks for it and a rack has the capacity. */
-const placeGang = (step: LiveStep, candidates: Candidate[], terms: PlaceTerms): Start[] => {
+const placeGang = (step: LiveStep, candidates: Candidate[], options: StepPlacementOptions): Start[] => {
 	if (step.tasks.some(task => task.runs.length > 0)) {
 		return [];
 	}
 
 	const racks = step.spec.isSameRack ? [...new Set(candidates.map(candidate => candidate.rack))] : [];
 	for (const rack of [...racks, undefined]) {
-		const starts = tryPlaceGang(step, rack === undefined ? candidates : candidates.filter(candidate => candidate.rack === rack), terms);
+		const starts = tryPlaceGang(step, rack === undefined ? candidates : candidates.filter(candidate => candidate.rack === rack), options);
 		if (starts.length > 0) {
 			return starts;
 		}
@@ -180,14 +185,14 @@
 	return [];
 };
 
-const tryPlaceGang = (step: LiveStep, candidates: Candidate[], terms: PlaceTerms): Start[] => {
+const tryPlaceGang = (step: LiveStep, candidates: Candidate[], options: StepPlacementOptions): Start[] => {
 	const copies = candidates.map(candidate => ({
-		...candidate, free: {...candidate.free}, ofStep: new Map(candidate.ofStep), fillSpeeds: new Map(candidate.fillSpeeds),
+		...candidate, freeCapacity: {...candidate.freeCapacity}, taskCounts: new Map(candidate.taskCounts), bestEffortGains: new Map(candidate.bestEffortGains),
 	}));
-	const places = new StepPlaces(step, copies, terms);
+	const placement = new StepPlacement(step, copies, options);
 	const starts: Start[] = [];
 	for (const task of step.tasks) {
-		const candidate = places.take(task);
+		const candidate = placement.assign(task);
 		if (!candidate) {
 			return [];
 		}
--- a/src/workflows/scheduling-cycles.ts
+++ b/src/workflows/scheduling-cycles.ts
@@ -14,7 +14,7 @@
 import {type Quarantine} from './quarantine.ts';
 import {type RunTimes} from './run-times.ts';
 import {type IsAllowed, type WaitReason} from './step-places.ts';
-import {createRank, getRemainder, type Remainder} from './task-order.ts';
+import {createRank, getRemainingWork, type RemainingWork} from './task-order.ts';
 
 /** Options of the cycles. */
 export type SchedulingCyclesOptions = {
@@ -56,7 +56,7 @@
 	readonly #dutyCycle: DutyCycle;
 	#isDue = false;
 	#lastAtMs = Number.POSITIVE_INFINITY;
-	#remainingWork = new Map<LiveStep[], Remainder>();
+	#remainingWork = new Map<LiveStep[], RemainingWork>();
 	#remainingWorkAtMs = Number.NEGATIVE_INFINITY;
 	#loggedAtMs = Number.NEGATIVE_INFINITY;
 
@@ -93,7 +93,7 @@
 		} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const gapMs = Math.max(0, Math.min(maxGapMs, nowMs - this.#lastAtMs));
-		const times = {nowMs, nextStartMs: gapMs + getLeadMs()};
+		const times = {nowMs, nextStartDelayMs: gapMs + getLeadMs()};
 		this.#lastAtMs = nowMs;
 		const quarantined = quarantine.arrange({
 			nowMs, waiting: [...getWaiting(nowMs)], open: getWorkers(nowMs), place: (tasks, workers) => this.#place(tasks, workers, times).starts,
@@ -106,18 +106,18 @@
 		}
 	}
 
-	#place(waiting: LiveTask[], workers: FleetWorker[], {nowMs, nextStartMs}: {nowMs: number; nextStartMs: number}): PlacementResult {
+	#place(waiting: LiveTask[], workers: FleetWorker[], {nowMs, nextStartDelayMs}: {nowMs: number; nextStartDelayMs: number}): PlacementResult {
 		const {clock, harm, times, policy, isAllowed} = this.#options;
 		return place({
 			waiting,
 			workers,
 			nowMs,
-			nextStartMs,
+			nextStartDelayMs,
 			harm,
 			isAllowed,
 			policy,
 			createRank: spareMilliCpu => createRank({
-				nowMs, spareMilliCpu, policy, times, wallMs: clock.now().getTime(), remainders: this.#getRemainingWork(nowMs),
+				nowMs, spareMilliCpu, policy, times, wallMs: clock.now().getTime(), remainingWork: this.#getRemainingWork(nowMs),
 			}),
 		});
 	}
@@ -133,15 +133,15 @@
 			filling: filling.length,
 			fillingMilliCpu: Math.round(sum(filling.map(({recent}) => recent))),
 			spareMilliCpu: Math.round(spareMilliCpu),
-			backlogCoreMs: Math.round(sum([...this.#remainingWork.values()].map(({leftCoreMs}) => leftCoreMs))),
+			backlogCoreMs: Math.round(sum([...this.#remainingWork.values()].map(({remainingCoreMs}) => remainingCoreMs))),
 		});
 	}
 
-	#getRemainingWork(nowMs: number): Map<LiveStep[], Remainder> {
+	#getRemainingWork(nowMs: number): Map<LiveStep[], RemainingWork> {
 		if (nowMs - this.#remainingWorkAtMs >= remainingWorkIntervalMs) {
 			const {model, times} = this.#options;
 			this.#remainingWorkAtMs = nowMs;
-			this.#remainingWork = new Map(model.openOccurrences().map(steps => [steps, getRemainder(steps, times)]));
+			this.#remainingWork = new Map(model.openOccurrences().map(steps => [steps, getRemainingWork(steps, times)]));
 		}
 
 		return this.#remainingWork;
--- a/src/workflows/serving-load.ts
+++ b/src/workflows/serving-load.ts
@@ -56,7 +56,7 @@
 Tracks the load of each latency-critical job without interference. All tasks of a job see the same waves: tasks whose
 neighbours do not interfere show how much of the other tasks' tail latency is caused by neighbours.
 */
-export class ServingLoads {
+export class LatencyCriticalLoadTracker {
 	readonly #jobs = new Map<string, JobLoad>();
 
 	/** Load of the job's tasks without what their neighbours add. */
@@ -70,14 +70,14 @@
 		return known ? getVarianceAt(known, nowMs) : unknownVariance;
 	}
 
-	/** Expected rise of the load, at most `mostRise`; smaller near the peak of a job whose waves are known. */
+	/** Expected rise of the load, at most `maxRise`; smaller near the peak of a job whose waves are known. */
 	getRise(job: string, maxRise: number): number {
 		const known = this.#jobs.get(job);
 		return known?.hasPassedPeak ? Math.min(maxRise, Math.max(0, known.peak - known.load) + peakSlack) : maxRise;
 	}
 
 	/** Learns from a report; the first one of a job replaces most of the assumed load. */
-	note({job, load, added, addedVariance}: LoadReport, nowMs: number): void {
+	observe({job, load, added, addedVariance}: LoadReport, nowMs: number): void {
 		const baseLoad = Math.max(0, load - added);
 		const known = this.#jobs.get(job) ?? {
 			load: unknownLoad, variance: unknownVariance, atMs: nowMs, peak: 0, hasPassedPeak: false,
--- a/src/workflows/step-places.ts
+++ b/src/workflows/step-places.ts
@@ -7,27 +7,27 @@
 import {isFitting, isSuited} from './fleet-view.ts';
 import {type FillHarm} from './fill-harm.ts';
 import {
-	getAskedShare, getWorkingShare, planSpeeds, type FillDemand,
+	getRequestedShare, getShareAtSpeeds, planSpeeds, type BestEffortDemand,
 } from './harm-pacing.ts';
 import {type LiveStep, type LiveTask} from './live-model.ts';
-import {addDemand, take, type Candidate} from './placement-candidates.ts';
+import {addDemand, reserve, type Candidate} from './placement-candidates.ts';
 import {Mechanism, type Policy} from './policy.ts';
-import {type Trials} from './trials.ts';
+import {type InterferenceTrials} from './trials.ts';
 
 /** Tells whether tasks of the step may run on the worker. */
 export type IsAllowed = (step: LiveStep, workerId: string) => boolean;
 
 /** Constraints and models that worker costs are computed from. */
-export type PlaceTerms = {
-	harm: FillHarm;
+export type StepPlacementOptions = {
+	interference: FillHarm;
 	/** Whether a queue's policy lets the step run on the worker. */
 	isAllowed: IsAllowed;
 	policy: Policy;
-	trials: Trials;
+	trials: InterferenceTrials;
 	/** Best-effort tasks start even where they interfere with latency-critical tasks. */
-	mustRun: boolean;
+	isInterferenceAllowed: boolean;
 	/** Waiting best-effort tasks request more CPU than is free on workers without latency-critical tasks. */
-	isUnservedShort: boolean;
+	isInterferenceFreeCpuShort: boolean;
 };
 
 /** Why a waiting task does not start, ordered from the furthest from a start to the nearest. */
@@ -52,19 +52,19 @@
 const waitReasons = Object.values(WaitReason);
 
 /** Workers on which tasks of one step may start. */
-export class StepPlaces {
+export class StepPlacement {
 	readonly #step: LiveStep;
 	readonly #candidates: Candidate[];
-	readonly #options: PlaceTerms;
+	readonly #options: StepPlacementOptions;
 	/** Cost by candidate index; infinity: not allowed. */
 	readonly #costs: Float64Array;
 	/** By candidate index: position in `waitReasons` of what rules the candidate out. */
 	readonly #nearness: Uint8Array;
 
-	constructor(step: LiveStep, candidates: Candidate[], terms: PlaceTerms) {
+	constructor(step: LiveStep, candidates: Candidate[], options: StepPlacementOptions) {
 		this.#step = step;
 		this.#candidates = candidates;
-		this.#options = terms;
+		this.#options = options;
 		this.#costs = new Float64Array(candidates.length);
 		this.#nearness = new Uint8Array(candidates.length);
 		for (const index of candidates.keys()) {
@@ -73,13 +73,13 @@
 	}
 
 	/** Whether a worker that the task does not avoid can run it. */
-	hasPlace(task: LiveTask): boolean {
+	canPlace(task: LiveTask): boolean {
 		return this.#candidates.some(({worker: {host}}, index) =>
 			this.#costs[index]! < Number.POSITIVE_INFINITY && !task.avoidedHosts.has(host) && task.runs.every(run => run.host !== host));
 	}
 
 	/** Assigns the task to the candidate with the lowest cost; undefined: there is none. */
-	take(task: LiveTask): Candidate | undefined {
+	assign(task: LiveTask): Candidate | undefined {
 		for (let index = this.#findBest(task); index !== -1; index = this.#findBest(task)) {
 			const candidate = this.#candidates[index]!;
 			const isStillAllowed = this.#isStillAllowed(candidate);
@@ -109,10 +109,10 @@
 
 	#reserve(candidate: Candidate, task: LiveTask): void {
 		const {spec} = this.#step;
-		const {harm, trials} = this.#options;
-		take(candidate, task, harm);
+		const {interference, trials} = this.#options;
+		reserve(candidate, task, interference);
 		if (spec.isFilling) {
-			trials.note(candidate, spec.image ?? '');
+			trials.add(candidate, spec.image ?? '');
 		}
 	}
 
@@ -155,31 +155,31 @@
 const minThrottlePercent = 50;
 
 /** Gets the reason why no task of the step may start on the worker; undefined: it may. */
-const getObstacle = (step: LiveStep, candidate: Candidate, terms: PlaceTerms): WaitReason | undefined => {
+const getObstacle = (step: LiveStep, candidate: Candidate, options: StepPlacementOptions): WaitReason | undefined => {
 	const {spec} = step;
-	const {worker, free, ofStep} = candidate;
-	if (!isSuited(spec, worker.report!) || !terms.isAllowed(step, worker.report!.workerId)) {
+	const {worker, freeCapacity, taskCounts} = candidate;
+	if (!isSuited(spec, worker.report!) || !options.isAllowed(step, worker.report!.workerId)) {
 		return WaitReason.NoWorker;
 	}
 
-	if (!isFitting(spec, free)) {
+	if (!isFitting(spec, freeCapacity)) {
 		return WaitReason.Room;
 	}
 
-	if (spec.maxPerWorker > 0 && (ofStep.get(step) ?? 0) >= spec.maxPerWorker) {
+	if (spec.maxPerWorker > 0 && (taskCounts.get(step) ?? 0) >= spec.maxPerWorker) {
 		return WaitReason.Spread;
 	}
 
-	return spec.isFilling ? getBestEffortObstacle(spec, candidate, terms) : undefined;
+	return spec.isFilling ? getBestEffortObstacle(spec, candidate, options) : undefined;
 };
 
-const getBestEffortObstacle = (spec: WorkflowStep, candidate: Candidate, {harm, mustRun, policy, trials}: PlaceTerms): WaitReason | undefined => {
+const getBestEffortObstacle = (spec: WorkflowStep, candidate: Candidate, {interference, isInterferenceAllowed, policy, trials}: StepPlacementOptions): WaitReason | undefined => {
 	const {worker} = candidate;
 	if (worker.isFillStopped) {
 		return WaitReason.FillStopped;
 	}
 
-	if (mustRun || !policy[Mechanism.FillWait]) {
+	if (isInterferenceAllowed || !policy[Mechanism.FillWait]) {
 		return undefined;
 	}
 
@@ -187,7 +187,7 @@
 		return WaitReason.Paced;
 	}
 
-	if (getMaxBestEffortGain(spec, candidate, harm) < minBestEffortGain || getBestEffortGain(spec, candidate, harm) < minBestEffortGain) {
+	if (getMaxBestEffortGain(spec, candidate, interference) < minBestEffortGain || getBestEffortGain(spec, candidate, interference) < minBestEffortGain) {
 		return WaitReason.Harm;
 	}
 
@@ -195,29 +195,29 @@
 };
 
 /** Upper bound of the speed from unused CPU alone: avoids computing throttles for a worker that is full. */
-const getMaxBestEffortGain = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
+const getMaxBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: FillHarm): number => {
 	const {demands, unusedShare, worker: {report}} = candidate;
-	candidate.filledShare ??= getBestEffortShare(candidate, demands, harm);
-	return (unusedShare - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
+	candidate.bestEffortShare ??= getBestEffortShare(candidate, demands, interference);
+	return (unusedShare - candidate.bestEffortShare) * report!.milliCpu / spec.milliCpu;
 };
 
 /** Gain from one more task on the worker, as a share of its full speed, less what it takes from other best-effort tasks. */
-const getBestEffortGain = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
-	const {demands, fillSpeeds, worker: {report}} = candidate;
+const getBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: FillHarm): number => {
+	const {demands, bestEffortGains, worker: {report}} = candidate;
 	const key = `${spec.image} ${spec.milliCpu}`;
-	let gain = fillSpeeds.get(key);
+	let gain = bestEffortGains.get(key);
 	if (gain === undefined) {
-		candidate.filledShare ??= getBestEffortShare(candidate, demands, harm);
+		candidate.bestEffortShare ??= getBestEffortShare(candidate, demands, interference);
 		const demandsWithTask = addDemand(demands, spec, report!.milliCpu);
-		gain = (getBestEffortShare(candidate, demandsWithTask, harm) - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
-		fillSpeeds.set(key, gain);
+		gain = (getBestEffortShare(candidate, demandsWithTask, interference) - candidate.bestEffortShare) * report!.milliCpu / spec.milliCpu;
+		bestEffortGains.set(key, gain);
 	}
 
 	return gain;
 };
 
-const getBestEffortShare = ({servers, unusedShare}: Candidate, demands: FillDemand[], harm: FillHarm): number =>
-	Math.min(unusedShare, getWorkingShare(demands, planSpeeds(servers, demands, (server, filler) => harm.getEffect(server, filler))));
+const getBestEffortShare = ({latencyCriticalLoads, unusedShare}: Candidate, demands: BestEffortDemand[], interference: FillHarm): number =>
+	Math.min(unusedShare, getShareAtSpeeds(demands, planSpeeds(latencyCriticalLoads, demands, (server, filler) => interference.getEffect(server, filler))));
 
 // Last choice: a worker on which the task failed or stalled.
 const avoidedCost = 20;
@@ -234,21 +234,21 @@
 // Spreads best-effort tasks: a full worker has no capacity for an image that interferes with others elsewhere.
 const crowdingCost = 0.3;
 
-const getCost = (step: LiveStep, candidate: Candidate, {harm, policy, isUnservedShort}: PlaceTerms): number => {
+const getCost = (step: LiveStep, candidate: Candidate, {interference, policy, isInterferenceFreeCpuShort}: StepPlacementOptions): number => {
 	const {spec} = step;
-	const {worker: {report}, free, rack, servers, demands} = candidate;
+	const {worker: {report}, freeCapacity, rack, latencyCriticalLoads, demands} = candidate;
 	const dataCost = spec.dataRack !== undefined && spec.dataRack !== rack ? remoteDataCost : 0;
-	const usedShare = 1 - (free.milliCpu / Math.max(1, report!.milliCpu));
+	const usedShare = 1 - (freeCapacity.milliCpu / Math.max(1, report!.milliCpu));
 	if (spec.isFilling) {
-		const addedLoad = Math.max(0, ...servers.map(({image}) => harm.getEffect(image, spec.image ?? ''))) * spec.milliCpu / report!.milliCpu;
-		const reservation = policy[Mechanism.UnservedRoom] && isUnservedShort && servers.length === 0 ? interferenceFreeCost : 0;
-		return dataCost + (interferenceWeight * addedLoad) - getBestEffortGain(spec, candidate, harm) + (crowdingCost * getAskedShare(demands)) + reservation;
+		const addedLoad = Math.max(0, ...latencyCriticalLoads.map(({image}) => interference.getEffect(image, spec.image ?? ''))) * spec.milliCpu / report!.milliCpu;
+		const reservation = policy[Mechanism.UnservedRoom] && isInterferenceFreeCpuShort && latencyCriticalLoads.length === 0 ? interferenceFreeCost : 0;
+		return dataCost + (interferenceWeight * addedLoad) - getBestEffortGain(spec, candidate, interference) + (crowdingCost * getRequestedShare(demands)) + reservation;
 	}
 
-	const colocation = servers.length > 0 && policy[Mechanism.ServerCompany] ? colocationGain : 0;
+	const colocation = latencyCriticalLoads.length > 0 && policy[Mechanism.ServerCompany] ? colocationGain : 0;
 	if (spec.targetMs > 0) {
-		const mixedImages = policy[Mechanism.ServerGroups] && servers.some(({image}) => image !== (spec.image ?? '')) ? mixedImagesCost : 0;
-		return dataCost - colocation - usedShare + (interferenceWeight * getAddedLoad(spec, demands, harm)) + mixedImages;
+		const mixedImages = policy[Mechanism.ServerGroups] && latencyCriticalLoads.some(({image}) => image !== (spec.image ?? '')) ? mixedImagesCost : 0;
+		return dataCost - colocation - usedShare + (interferenceWeight * getAddedLoad(spec, demands, interference)) + mixedImages;
 	}
 
 	// Filling the fullest worker first keeps capacity for large tasks, and whole workers for best-effort tasks.
@@ -256,10 +256,10 @@
 };
 
 /** Load that the best-effort tasks on the worker already add to a latency-critical task of the step. */
-const getAddedLoad = (spec: WorkflowStep, demands: FillDemand[], harm: FillHarm): number => {
+const getAddedLoad = (spec: WorkflowStep, demands: BestEffortDemand[], interference: FillHarm): number => {
 	let addedLoad = 0;
 	for (const {image, share} of demands) {
-		addedLoad += harm.getEffect(spec.image ?? '', image) * share;
+		addedLoad += interference.getEffect(spec.image ?? '', image) * share;
 	}
 
 	return addedLoad;
--- a/src/workflows/task-order.ts
+++ b/src/workflows/task-order.ts
@@ -17,16 +17,16 @@
 import {type RunTimes} from './run-times.ts';
 
 /** Rank of a task; lower goes first. */
-export type RankTask = (task: LiveTask) => number;
+export type GetRank = (task: LiveTask) => number;
 
 /** Work of one occurrence of a job. */
-export type Remainder = {
+export type RemainingWork = {
 	/** CPU time of all its tasks, in core-milliseconds, and of their remaining work. */
 	totalCoreMs: number;
-	leftCoreMs: number;
+	remainingCoreMs: number;
 	/** Length of the critical path over its steps at full speed, and what remains of it. */
-	chainMs: number;
-	leftChainMs: number;
+	criticalPathMs: number;
+	remainingCriticalPathMs: number;
 };
 
 /** Share of its value that a late result keeps, up to this many times the objective: callers can still use it. */
@@ -62,9 +62,9 @@
 };
 
 /** Computes the total and remaining work of an occurrence. */
-export const getRemainder = (steps: LiveStep[], times: RunTimes): Remainder => {
-	const remainder: Remainder = {
-		totalCoreMs: 0, leftCoreMs: 0, chainMs: 0, leftChainMs: 0,
+export const getRemainingWork = (steps: LiveStep[], times: RunTimes): RemainingWork => {
+	const work: RemainingWork = {
+		totalCoreMs: 0, remainingCoreMs: 0, criticalPathMs: 0, remainingCriticalPathMs: 0,
 	};
 	// Steps are listed after the steps that they depend on, so one pass finds the longest path to each.
 	const endsMs: number[] = [];
@@ -80,8 +80,8 @@
 			longestShare = Math.max(longestShare, share);
 		}
 
-		remainder.totalCoreMs += count * taskMs * milliCpu / 1000;
-		remainder.leftCoreMs += remainingTasks * taskMs * milliCpu / 1000;
+		work.totalCoreMs += count * taskMs * milliCpu / 1000;
+		work.remainingCoreMs += remainingTasks * taskMs * milliCpu / 1000;
 		let fromMs = 0;
 		let remainingFromMs = 0;
 		for (const earlier of after) {
@@ -91,41 +91,41 @@
 
 		endsMs.push(fromMs + (count > 0 ? taskMs : 0));
 		remainingEndsMs.push(remainingFromMs + (taskMs * longestShare));
-		remainder.chainMs = Math.max(remainder.chainMs, endsMs.at(-1)!);
-		remainder.leftChainMs = Math.max(remainder.leftChainMs, remainingEndsMs.at(-1)!);
+		work.criticalPathMs = Math.max(work.criticalPathMs, endsMs.at(-1)!);
+		work.remainingCriticalPathMs = Math.max(work.remainingCriticalPathMs, remainingEndsMs.at(-1)!);
 	}
 
-	return remainder;
+	return work;
 };
 
 /** Fields of the log line for a finished job: the time it took, and the time its objective allows by the learned run times. */
 export const describeEnd = ({spec, folded, receivedAtMs, occurrences}: LiveWorkflow, times: RunTimes, nowMs: number): Record<string, unknown> => {
-	const {chainMs, totalCoreMs} = getRemainder(occurrences.get(0) ?? [], times);
+	const {criticalPathMs, totalCoreMs} = getRemainingWork(occurrences.get(0) ?? [], times);
 	return {
-		id: spec.id, queue: spec.queue, end: folded.state, tookMs: Math.round(nowMs - receivedAtMs), allowedMs: Math.round((spec.stretch * chainMs) + spec.targetLatencyMs), coreMs: Math.round(totalCoreMs),
+		id: spec.id, queue: spec.queue, end: folded.state, tookMs: Math.round(nowMs - receivedAtMs), allowedMs: Math.round((spec.stretch * criticalPathMs) + spec.targetLatencyMs), coreMs: Math.round(totalCoreMs),
 	};
 };
 
 /** Input of the rank. */
-export type OrderTerms = {
+export type RankOptions = {
 	nowMs: number;
 	/** Time of day, which determines the due times of occurrences. */
 	wallMs: number;
 	times: RunTimes;
 	/** Work of open occurrences. */
-	remainders: Map<LiveStep[], Remainder>;
+	remainingWork: Map<LiveStep[], RemainingWork>;
 	/** CPU available to waiting tasks, in thousandths of a core. */
 	spareMilliCpu: number;
 	policy: Policy;
 };
 
 /** Creates the rank of tasks for a point in time. */
-export const createRank = (terms: OrderTerms): RankTask => {
-	const {remainders, spareMilliCpu, policy} = terms;
+export const createRank = (options: RankOptions): GetRank => {
+	const {remainingWork, spareMilliCpu, policy} = options;
 	let backlogCoreMs = 0;
 	const totals = new Map<string, {sum: number; count: number}>();
-	for (const [steps, {totalCoreMs, leftCoreMs}] of remainders) {
-		backlogCoreMs += leftCoreMs;
+	for (const [steps, {totalCoreMs, remainingCoreMs}] of remainingWork) {
+		backlogCoreMs += remainingCoreMs;
 		const {queue} = steps[0]!.workflow.spec;
 		const total = totals.get(queue) ?? {sum: 0, count: 0};
 		totals.set(queue, {sum: total.sum + totalCoreMs, count: total.count + 1});
@@ -142,13 +142,13 @@
 		const steps = occurrences.get(occurrence)!;
 		let rank = ranks.get(steps);
 		if (rank === undefined) {
-			const remainder = remainders.get(steps) ?? getRemainder(steps, terms.times);
+			const work = remainingWork.get(steps) ?? getRemainingWork(steps, options.times);
 			const total = totals.get(spec.queue);
 			rank = policy[Mechanism.ValueOrder]
-				? (spec.priority * priorityRankStep) - Math.log(getExpectedValue(steps, remainder, {
-					...terms, lookaheadMs, meanCoreMs: total ? total.sum / total.count : remainder.totalCoreMs,
+				? (spec.priority * priorityRankStep) - Math.log(getExpectedValue(steps, work, {
+					...options, lookaheadMs, meanCoreMs: total ? total.sum / total.count : work.totalCoreMs,
 				}))
-				: getSlackRank(steps, remainder, terms);
+				: getSlackRank(steps, work, options);
 			ranks.set(steps, rank);
 		}
 
@@ -157,29 +157,29 @@
 };
 
 /** Ranks by least slack first; jobs that can no longer meet their objective come last. */
-const getSlackRank = (steps: LiveStep[], {chainMs, leftChainMs}: Remainder, {nowMs, wallMs}: {nowMs: number; wallMs: number}): number => {
+const getSlackRank = (steps: LiveStep[], {criticalPathMs, remainingCriticalPathMs}: RemainingWork, {nowMs, wallMs}: {nowMs: number; wallMs: number}): number => {
 	const {workflow, occurrence} = steps[0]!;
 	const {spec: {stretch, targetLatencyMs}} = workflow;
-	const slackMs = (stretch * chainMs) + targetLatencyMs - getAgeMs(workflow, occurrence, {nowMs, wallMs}) - leftChainMs;
+	const slackMs = (stretch * criticalPathMs) + targetLatencyMs - getAgeMs(workflow, occurrence, {nowMs, wallMs}) - remainingCriticalPathMs;
 	return slackMs >= 0 ? slackMs : 1e7 - slackMs;
 };
 
 const getExpectedValue = (
 	steps: LiveStep[],
-	{totalCoreMs, leftCoreMs, chainMs, leftChainMs}: Remainder,
+	{totalCoreMs, remainingCoreMs, criticalPathMs, remainingCriticalPathMs}: RemainingWork,
 	{nowMs, wallMs, lookaheadMs, meanCoreMs}: {nowMs: number; wallMs: number; lookaheadMs: number; meanCoreMs: number},
 ): number => {
 	const {workflow, occurrence} = steps[0]!;
 	const {spec} = workflow;
-	const allowedMs = (spec.stretch * chainMs) + spec.targetLatencyMs;
-	const endsAfterMs = getAgeMs(workflow, occurrence, {nowMs, wallMs}) + leftChainMs;
-	const uncertaintyMs = (uncertaintyShare * leftChainMs) + baseUncertaintyMs;
+	const allowedMs = (spec.stretch * criticalPathMs) + spec.targetLatencyMs;
+	const endsAfterMs = getAgeMs(workflow, occurrence, {nowMs, wallMs}) + remainingCriticalPathMs;
+	const uncertaintyMs = (uncertaintyShare * remainingCriticalPathMs) + baseUncertaintyMs;
 	const inTimeLikelihood = getLikelihood((allowedMs - endsAfterMs) / uncertaintyMs);
 	const lateLikelihood = getLikelihood(((lateLimitFactor * allowedMs) - endsAfterMs) / uncertaintyMs);
 	const expectedShare = ((1 - lateValueShare) * inTimeLikelihood) + (lateValueShare * lateLikelihood) + overdueValueShare;
 	const positiveSlackMs = Math.max(0, allowedMs - endsAfterMs);
 	const value = totalCoreMs + (completionValueShare * meanCoreMs);
-	return expectedShare * value / Math.max(1, leftCoreMs) * Math.exp(-positiveSlackMs / lookaheadMs);
+	return expectedShare * value / Math.max(1, remainingCoreMs) * Math.exp(-positiveSlackMs / lookaheadMs);
 };
 
 const getLikelihood = (ratio: number): number => 1 / (1 + Math.exp(-ratio));
--- a/src/workflows/trials.ts
+++ b/src/workflows/trials.ts
@@ -15,31 +15,31 @@
 type TrialCount = {isKnown: boolean; trials: number};
 
 /** Counts trials in a scheduling cycle. */
-export class Trials {
-	readonly #harm: FillHarm;
+export class InterferenceTrials {
+	readonly #interference: FillHarm;
 	/** By best-effort image and latency-critical image. */
 	readonly #counts = new Map<string, Map<string, TrialCount>>();
 
-	constructor(harm: FillHarm, candidates: Candidate[]) {
-		this.#harm = harm;
+	constructor(interference: FillHarm, candidates: Candidate[]) {
+		this.#interference = interference;
 		for (const candidate of candidates) {
 			for (const {image} of candidate.demands) {
-				this.note(candidate, image);
+				this.add(candidate, image);
 			}
 		}
 	}
 
 	/** Whether a task of the image may start on the worker without exceeding the limit. */
-	mayStart({servers}: Candidate, image: string): boolean {
-		return servers.every(server => {
+	mayStart({latencyCriticalLoads}: Candidate, image: string): boolean {
+		return latencyCriticalLoads.every(server => {
 			const {isKnown, trials} = this.#get(image, server.image);
 			return isKnown || trials < maxTrials;
 		});
 	}
 
 	/** Counts the image as a trial on the worker; each further task on it counts again within the cycle. */
-	note({servers}: Candidate, image: string): void {
-		for (const serverImage of new Set(servers.map(server => server.image))) {
+	add({latencyCriticalLoads}: Candidate, image: string): void {
+		for (const serverImage of new Set(latencyCriticalLoads.map(server => server.image))) {
 			this.#get(image, serverImage).trials++;
 		}
 	}
@@ -53,7 +53,7 @@
 
 		let pair = pairs.get(server);
 		if (!pair) {
-			pair = {isKnown: this.#harm.isKnown(server, filler), trials: 0};
+			pair = {isKnown: this.#interference.isKnown(server, filler), trials: 0};
 			pairs.set(server, pair);
 		}
 
--- a/test/pair-effects.test.ts
+++ b/test/pair-effects.test.ts
@@ -1,7 +1,7 @@
 import {
 	describe, expect, it,
 } from 'vitest';
-import {FillHarm, type Filler, type Server} from '../src/workflows/fill-harm.ts';
+import {FillHarm, type BestEffortGroup, type LatencyCriticalTask} from '../src/workflows/fill-harm.ts';
 import {PairEffects} from '../src/workflows/pair-effects.ts';
 import {getLoadAt} from '../src/workflows/serving-load.ts';
 
@@ -45,11 +45,11 @@
 
 	it('lose certainty with time', () => {
 		const effects = new PairEffects();
-		effects.fade(0);
+		effects.decay(0);
 		effects.learn('server', [{image: 'filler', share}], 1.5 * share, reportVariance);
 		const {deviation} = effects.get('server', 'filler');
 		for (let nowMs = 0; nowMs <= 60_000; nowMs += 3000) {
-			effects.fade(nowMs);
+			effects.decay(nowMs);
 		}
 
 		expect(effects.get('server', 'filler').deviation).toBeGreaterThan(2 * deviation);
@@ -68,16 +68,16 @@
 
 it('lets a job with many tasks of an unknown image proceed after the first reports of its effect', () => {
 	const harm = new FillHarm();
-	const server: Server = {image: 'server', job: 'job.0', ratio: 0.3};
+	const server: LatencyCriticalTask = {image: 'server', job: 'job.0', latencyRatio: 0.3};
 	for (let nowMs = 0; nowMs <= 3000; nowMs += 400) {
-		harm.note([server], [], nowMs);
+		harm.observe([server], [], nowMs);
 	}
 
-	const filler: Filler = {
-		image: 'filler', share, usedShare: share, recentShare: share, percent: 100, sinceChangeMs: 1000,
+	const filler: BestEffortGroup = {
+		image: 'filler', share, usedShare: share, peakShare: share, throttlePercent: 100, sinceChangeMs: 1000,
 	};
 	const ratio = (1 / 6) / (1 - (getLoadAt(0.3) + (0.5 * share)));
-	harm.note([{...server, ratio}], [filler], 3400);
-	harm.note([{...server, ratio}], [filler], 3800);
+	harm.observe([{...server, latencyRatio: ratio}], [filler], 3400);
+	harm.observe([{...server, latencyRatio: ratio}], [filler], 3800);
 	expect(harm.isKnown('server', 'filler')).toBe(true);
 });
--- a/test/site-fleet.ts
+++ b/test/site-fleet.ts
@@ -13,7 +13,7 @@
 import {createPolicy} from '../src/workflows/policy.ts';
 import {RecordType} from '../src/workflows/records.ts';
 import {RunTimes} from '../src/workflows/run-times.ts';
-import {createRank, getRemainder} from '../src/workflows/task-order.ts';
+import {createRank, getRemainingWork} from '../src/workflows/task-order.ts';
 import {queue} from './site-world.ts';
 
 export const createWorkflow = (id: string, spec: WorkflowSpec, terms: Partial<Workflow> = {}): Workflow => ({
@@ -60,16 +60,16 @@
 	return {model, fold};
 };
 
-export const placeAll = (model: LiveModel, workers: FleetWorker[], {wallMs = 0, nowMs = 0, nextStartMs = 50, harm = new FillHarm(), times = new RunTimes(), policy = createPolicy()} = {}): Start[] => place({
+export const placeAll = (model: LiveModel, workers: FleetWorker[], {wallMs = 0, nowMs = 0, nextStartDelayMs = 50, harm = new FillHarm(), times = new RunTimes(), policy = createPolicy()} = {}): Start[] => place({
 	waiting: model.waiting(0, () => false),
 	workers,
 	nowMs,
-	nextStartMs,
+	nextStartDelayMs,
 	harm,
 	isAllowed: () => true,
 	policy,
 	createRank: spareMilliCpu => createRank({
-		nowMs, wallMs, spareMilliCpu, times, policy, remainders: new Map(model.openOccurrences().map(steps => [steps, getRemainder(steps, times)])),
+		nowMs, wallMs, spareMilliCpu, times, policy, remainingWork: new Map(model.openOccurrences().map(steps => [steps, getRemainingWork(steps, times)])),
 	}),
 }).starts;
 
--- a/test/site-harm.test.ts
+++ b/test/site-harm.test.ts
@@ -4,22 +4,22 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../src/utils/manual-clock.ts';
 import {type AgentLinks} from '../src/workflows/agent-links.ts';
-import {FillHarm, type Filler, type Server} from '../src/workflows/fill-harm.ts';
+import {FillHarm, type BestEffortGroup, type LatencyCriticalTask} from '../src/workflows/fill-harm.ts';
 import {WorkflowFold} from '../src/workflows/fold.ts';
 import {planSpeeds} from '../src/workflows/harm-pacing.ts';
-import {decidePaces, PaceKeeper} from '../src/workflows/pace-keeper.ts';
+import {decideThrottles, PaceKeeper} from '../src/workflows/pace-keeper.ts';
 import {decodeRecord, encodeRecord, RecordType} from '../src/workflows/records.ts';
-import {getLoadAt, ServingLoads} from '../src/workflows/serving-load.ts';
+import {getLoadAt, LatencyCriticalLoadTracker} from '../src/workflows/serving-load.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
 import {createSpec, createStep} from './site-world.ts';
 
-const createGroup = (image: string, fields: Partial<Filler> = {}): Filler => ({
-	image, share: 0.25, usedShare: 0.25, recentShare: fields.usedShare ?? 0.25, percent: 100, sinceChangeMs: 1000, ...fields,
+const createGroup = (image: string, fields: Partial<BestEffortGroup> = {}): BestEffortGroup => ({
+	image, share: 0.25, usedShare: 0.25, peakShare: fields.usedShare ?? 0.25, throttlePercent: 100, sinceChangeMs: 1000, ...fields,
 });
 
-const createLatencyCriticalTasks = (ratio: number, job = 's.0'): Server[] => [{image: 'serve', job, ratio}];
+const createLatencyCriticalTasks = (ratio: number, job = 's.0'): LatencyCriticalTask[] => [{image: 'serve', job, latencyRatio: ratio}];
 
 /** Tail latency divided by its target at a load, as workers measure it. */
 const getRatioAt = (load: number): number => 1 / (6 * (1 - Math.min(0.99, load)));
@@ -30,8 +30,8 @@
 	for (let nowMs = 0; nowMs < 10_000; nowMs += 500) {
 		const own = 0.45 + (0.2 * Math.sin(nowMs / 1600));
 		const heavyShare = nowMs % 2000 < 1000 ? 0.2 : 0;
-		harm.note(createLatencyCriticalTasks(getRatioAt(own)), [createGroup('light')], nowMs);
-		harm.note(createLatencyCriticalTasks(getRatioAt(own + (heavyEffect * heavyShare))), [createGroup('light'), createGroup('heavy', {usedShare: heavyShare})], nowMs);
+		harm.observe(createLatencyCriticalTasks(getRatioAt(own)), [createGroup('light')], nowMs);
+		harm.observe(createLatencyCriticalTasks(getRatioAt(own + (heavyEffect * heavyShare))), [createGroup('light'), createGroup('heavy', {usedShare: heavyShare})], nowMs);
 	}
 
 	return harm;
@@ -67,7 +67,7 @@
 		const harm = learnEffects(1.5);
 		const before = harm.getEffect('serve', 'light');
 		for (let nowMs = 10_000; nowMs < 11_000; nowMs += 500) {
-			harm.note(createLatencyCriticalTasks(4), [createGroup('light'), createGroup('heavy', {usedShare: 0, recentShare: 0.4})], nowMs);
+			harm.observe(createLatencyCriticalTasks(4), [createGroup('light'), createGroup('heavy', {usedShare: 0, peakShare: 0.4})], nowMs);
 		}
 
 		expect(harm.getEffect('serve', 'light')).toBeLessThanOrEqual(before);
@@ -91,7 +91,7 @@
 	it('are not handed over', () => {
 		const harm = learnEffects(1.5);
 		expect(harm.getPairs()).toHaveLength(2);
-		harm.note([], [], 1_000_000);
+		harm.observe([], [], 1_000_000);
 		expect(harm.getPairs()).toEqual([]);
 	});
 });
@@ -121,20 +121,20 @@
 
 describe('throttles', () => {
 	it('slow an image known to interfere with a tail far above its target, and leave the others', () => {
-		const paces = decidePaces(createLatencyCriticalTasks(5), [createGroup('heavy'), createGroup('light')], learnEffects(4));
+		const paces = decideThrottles(createLatencyCriticalTasks(5), [createGroup('heavy'), createGroup('light')], learnEffects(4));
 		expect(paces.get('heavy')).toBeLessThan(50);
 		expect(paces.has('light')).toBe(false);
 	});
 
 	it('are not lowered again while the tail falls after the last change', () => {
 		const fillers = [createGroup('heavy', {
-			percent: 0, usedShare: 0, recentShare: 0.4, sinceChangeMs: 100,
+			throttlePercent: 0, usedShare: 0, peakShare: 0.4, sinceChangeMs: 100,
 		}), createGroup('light')];
-		expect(decidePaces(createLatencyCriticalTasks(2), fillers, learnEffects(1.5))).toEqual(new Map());
+		expect(decideThrottles(createLatencyCriticalTasks(2), fillers, learnEffects(1.5))).toEqual(new Map());
 	});
 
 	it('are lowered when no known effect explains the tail', () => {
-		expect(decidePaces(createLatencyCriticalTasks(5), [createGroup('new')], new FillHarm()).get('new')).toBeLessThan(50);
+		expect(decideThrottles(createLatencyCriticalTasks(5), [createGroup('new')], new FillHarm()).get('new')).toBeLessThan(50);
 	});
 
 	/**
@@ -197,16 +197,16 @@
 
 	it('are raised no further than latency-critical tasks tolerate', () => {
 		const harm = learnEffects(4);
-		expect(decidePaces(createLatencyCriticalTasks(0.3), [createGroup('heavy', {percent: 0, usedShare: 0})], harm).get('heavy') ?? 0).toBeLessThan(50);
-		expect(decidePaces(createLatencyCriticalTasks(0.3), [createGroup('light', {percent: 0, usedShare: 0})], harm)).toEqual(new Map([['light', 100]]));
+		expect(decideThrottles(createLatencyCriticalTasks(0.3), [createGroup('heavy', {throttlePercent: 0, usedShare: 0})], harm).get('heavy') ?? 0).toBeLessThan(50);
+		expect(decideThrottles(createLatencyCriticalTasks(0.3), [createGroup('light', {throttlePercent: 0, usedShare: 0})], harm)).toEqual(new Map([['light', 100]]));
 	});
 
 	it('are raised only after the last change has taken effect', () => {
-		expect(decidePaces(createLatencyCriticalTasks(0.3), [createGroup('light', {percent: 0, usedShare: 0, sinceChangeMs: 100})], learnEffects(1.5)).size).toBe(0);
+		expect(decideThrottles(createLatencyCriticalTasks(0.3), [createGroup('light', {throttlePercent: 0, usedShare: 0, sinceChangeMs: 100})], learnEffects(1.5)).size).toBe(0);
 	});
 
 	it('are raised to 100 when no latency-critical task is left', () => {
-		expect(decidePaces([], [createGroup('heavy', {percent: 0, usedShare: 0})], learnEffects(4))).toEqual(new Map([['heavy', 100]]));
+		expect(decideThrottles([], [createGroup('heavy', {throttlePercent: 0, usedShare: 0})], learnEffects(4))).toEqual(new Map([['heavy', 100]]));
 	});
 });
 
@@ -237,8 +237,8 @@
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
 		})!, worker, {percent: 75, workedMs: 1500, progressAtMs: 2000});
 		const harm = learnEffects(4);
-		expect(placeAll(model, [worker], {harm, nowMs: 2100, nextStartMs: 300})).toHaveLength(0);
-		expect(placeAll(model, [worker], {harm, nowMs: 2300, nextStartMs: 300})).toHaveLength(1);
+		expect(placeAll(model, [worker], {harm, nowMs: 2100, nextStartDelayMs: 300})).toHaveLength(0);
+		expect(placeAll(model, [worker], {harm, nowMs: 2300, nextStartDelayMs: 300})).toHaveLength(1);
 	});
 
 	/** Guards against a remaining time that counts progress made before the run was resumed from a checkpoint or adopted. */
@@ -249,7 +249,7 @@
 		})!, worker, {
 			percent: 75, basePercent: 70, workedMs: 200, sentAtMs: 1800, progressAtMs: 2000,
 		});
-		expect(placeAll(model, [worker], {harm: learnEffects(4), nowMs: 2100, nextStartMs: 300})).toHaveLength(0);
+		expect(placeAll(model, [worker], {harm: learnEffects(4), nowMs: 2100, nextStartDelayMs: 300})).toHaveLength(0);
 	});
 
 	it('places non-interfering images beside latency-critical tasks, as far as those leave CPU', () => {
@@ -274,9 +274,9 @@
 describe('the load of a latency-critical job whose waves are known', () => {
 	const job = 'job';
 	/** Reports a wave between 0.25 and 0.75 for a time. */
-	const follow = (loads: ServingLoads, fromS: number, untilS: number) => {
+	const follow = (loads: LatencyCriticalLoadTracker, fromS: number, untilS: number) => {
 		for (let atS = fromS; atS < untilS; atS += 0.5) {
-			loads.note({
+			loads.observe({
 				job, load: 0.5 + (0.25 * Math.sin(2 * Math.PI * atS / 20)), added: 0, addedVariance: 0,
 			}, atS * 1000);
 		}
@@ -288,19 +288,19 @@
 	workers were then between 0.71 and 0.77, and never higher.
 	*/
 	it('is not expected to rise further at the peak of its wave', () => {
-		const loads = new ServingLoads();
+		const loads = new LatencyCriticalLoadTracker();
 		follow(loads, 0, 25);
 		expect(loads.getRise(job, 0.08)).toBeLessThan(0.04);
 	});
 
 	it('may rise by the full margin at the bottom of its wave', () => {
-		const loads = new ServingLoads();
+		const loads = new LatencyCriticalLoadTracker();
 		follow(loads, 0, 15);
 		expect(loads.getRise(job, 0.08)).toBe(0.08);
 	});
 
 	it('may rise by the full margin until a wave has passed its peak', () => {
-		const loads = new ServingLoads();
+		const loads = new LatencyCriticalLoadTracker();
 		follow(loads, 0, 5);
 		expect(loads.getRise(job, 0.08)).toBe(0.08);
 		expect(loads.getRise('other', 0.08)).toBe(0.08);
@@ -308,16 +308,16 @@
 
 	/** Guards against a second wave far above the first: tasks placed for the old peak kept latency-critical tasks over their targets. */
 	it('may rise by the full margin again once it exceeds all earlier waves', () => {
-		const loads = new ServingLoads();
+		const loads = new LatencyCriticalLoadTracker();
 		follow(loads, 0, 17);
 		for (let atS = 17; atS < 23; atS++) {
-			loads.note({
+			loads.observe({
 				job, load: 0.35 + (0.08 * (atS - 17)), added: 0, addedVariance: 0,
 			}, atS * 1000);
 		}
 
 		expect(loads.getRise(job, 0.08)).toBeLessThan(0.08);
-		loads.note({
+		loads.observe({
 			job, load: 0.9, added: 0, addedVariance: 0,
 		}, 23_000);
 		expect(loads.getRise(job, 0.08)).toBe(0.08);
--- a/test/site-order.test.ts
+++ b/test/site-order.test.ts
@@ -7,7 +7,7 @@
 import {type LiveModel, type LiveTask} from '../src/workflows/live-model.ts';
 import {createPolicy, Mechanism} from '../src/workflows/policy.ts';
 import {RunTimes} from '../src/workflows/run-times.ts';
-import {getRemainder} from '../src/workflows/task-order.ts';
+import {getRemainingWork} from '../src/workflows/task-order.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
@@ -114,12 +114,12 @@
 			createStep({count: 2, estimateMs: 1000, milliCpu: 500}), createStep({estimateMs: 3000, after: [0]}), createStep({estimateMs: 500}),
 		]))]);
 		const steps = model.workflows.get('a')!.occurrences.get(0)!;
-		expect(getRemainder(steps, new RunTimes())).toEqual({
-			totalCoreMs: 4500, leftCoreMs: 4500, chainMs: 4000, leftChainMs: 4000,
+		expect(getRemainingWork(steps, new RunTimes())).toEqual({
+			totalCoreMs: 4500, remainingCoreMs: 4500, criticalPathMs: 4000, remainingCriticalPathMs: 4000,
 		});
 		steps[0]!.tasks[0]!.isDone = true;
 		run(steps[0]!.tasks[1]!, createWorker('x'), {percent: 40});
-		expect(getRemainder(steps, new RunTimes())).toMatchObject({leftCoreMs: 3800, leftChainMs: 3600});
+		expect(getRemainingWork(steps, new RunTimes())).toMatchObject({remainingCoreMs: 3800, remainingCriticalPathMs: 3600});
 	});
 });
 
--- a/test/site-places.test.ts
+++ b/test/site-places.test.ts
@@ -8,8 +8,8 @@
 import {type LiveTask} from '../src/workflows/live-model.ts';
 import {createCandidate, type Candidate} from '../src/workflows/placement-candidates.ts';
 import {createPolicy} from '../src/workflows/policy.ts';
-import {StepPlaces} from '../src/workflows/step-places.ts';
-import {Trials} from '../src/workflows/trials.ts';
+import {StepPlacement} from '../src/workflows/step-places.ts';
+import {InterferenceTrials} from '../src/workflows/trials.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
@@ -68,15 +68,15 @@
 		fc.assert(fc.property(scenarios, draw => {
 			const {workers, tasks, harm} = createFleet(draw);
 			const createTerms = (candidates: Candidate[]) => ({
-				harm, policy: createPolicy(), trials: new Trials(harm, candidates), isAllowed: () => true, mustRun: false, isUnservedShort: true,
+				interference: harm, policy: createPolicy(), trials: new InterferenceTrials(harm, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: true,
 			});
 			const candidates = workers.map(worker => createCandidate(worker, harm));
-			const keptPlacement = new StepPlaces(tasks[0]!.step, candidates, createTerms(candidates));
+			const keptPlacement = new StepPlacement(tasks[0]!.step, candidates, createTerms(candidates));
 			const freshCandidates = workers.map(worker => createCandidate(worker, harm));
 			const terms = createTerms(freshCandidates);
 			for (const task of tasks) {
-				const places = new StepPlaces(task.step, freshCandidates, terms);
-				expect(keptPlacement.take(task)?.worker.host).toBe(places.take(task)?.worker.host);
+				const places = new StepPlacement(task.step, freshCandidates, terms);
+				expect(keptPlacement.assign(task)?.worker.host).toBe(places.assign(task)?.worker.host);
 				expect(keptPlacement.getWaitReason()).toBe(places.getWaitReason());
 			}
 		}), {numRuns: 300, seed: 11});
@@ -97,9 +97,9 @@
 		run(task, worker);
 		const harm = new FillHarm();
 		const candidates = [createCandidate(worker, harm)];
-		const places = new StepPlaces(task.step, candidates, {
-			harm, policy: createPolicy(), trials: new Trials(harm, candidates), isAllowed: () => true, mustRun: false, isUnservedShort: false,
+		const places = new StepPlacement(task.step, candidates, {
+			interference: harm, policy: createPolicy(), trials: new InterferenceTrials(harm, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
 		});
-		expect(places.take(task)).toBeUndefined();
+		expect(places.assign(task)).toBeUndefined();
 	});
 });
