--- a/src/workflows/evacuations.ts
+++ b/src/workflows/evacuations.ts
@@ -22,7 +22,7 @@
 	}
 
 	/**
-	Replaces all requests by those in force at an offset. Once the record of a removal has been deleted, only the missing
+	Replaces all requests by those in effect at an offset. Once the record of a removal has been deleted, only the missing
 	request shows it.
 	*/
 	takeAll(failureDomains: string[], endOffset: number): void {
--- a/src/workflows/fill-harm.ts
+++ b/src/workflows/fill-harm.ts
@@ -78,12 +78,12 @@
 	/** Gets the learned effects for the next owner. */
 	getPairs(): HarmPair[] {
 		const pairs: HarmPair[] = [];
-		for (const server of this.#latencyCriticalImages.keys()) {
-			for (const filler of this.#bestEffortImages.keys()) {
-				if (this.#effects.isObserved(server, filler)) {
-					const {mean, deviation} = this.#effects.get(server, filler);
+		for (const latencyCriticalImage of this.#latencyCriticalImages.keys()) {
+			for (const bestEffortImage of this.#bestEffortImages.keys()) {
+				if (this.#effects.isObserved(latencyCriticalImage, bestEffortImage)) {
+					const {mean, deviation} = this.#effects.get(latencyCriticalImage, bestEffortImage);
 					pairs.push({
-						server, filler, mean: round(mean * storedEffectShare), deviation: round(deviation * storedEffectShare),
+						server: latencyCriticalImage, filler: bestEffortImage, mean: round(mean * storedEffectShare), deviation: round(deviation * storedEffectShare),
 					});
 				}
 			}
@@ -95,33 +95,33 @@
 	/** Restores effects that an earlier owner learned; otherwise each pair would interfere once more before it is known. */
 	restore(pairs: HarmPair[], nowMs: number): void {
 		this.#effectCache.clear();
-		for (const {server, filler, mean, deviation} of pairs) {
-			this.#latencyCriticalImages.set(server, nowMs);
-			this.#bestEffortImages.set(filler, nowMs);
-			this.#effects.set(server, filler, {mean: mean / storedEffectShare, deviation: deviation / storedEffectShare});
+		for (const {server: latencyCriticalImage, filler: bestEffortImage, mean, deviation} of pairs) {
+			this.#latencyCriticalImages.set(latencyCriticalImage, nowMs);
+			this.#bestEffortImages.set(bestEffortImage, nowMs);
+			this.#effects.set(latencyCriticalImage, bestEffortImage, {mean: mean / storedEffectShare, deviation: deviation / storedEffectShare});
 		}
 	}
 
 	/** Load that the best-effort image would add to a latency-critical task if it used all of a worker's CPU. */
-	getEffect(server: string, filler: string): number {
-		let effects = this.#effectCache.get(server);
+	getEffect(latencyCriticalImage: string, bestEffortImage: string): number {
+		let effects = this.#effectCache.get(latencyCriticalImage);
 		if (!effects) {
 			effects = new Map();
-			this.#effectCache.set(server, effects);
+			this.#effectCache.set(latencyCriticalImage, effects);
 		}
 
-		let effect = effects.get(filler);
+		let effect = effects.get(bestEffortImage);
 		if (effect === undefined) {
-			effect = Math.max(0, this.#getEffect(server, filler, unknownPairDeviations));
-			effects.set(filler, effect);
+			effect = Math.max(0, this.#getEffect(latencyCriticalImage, bestEffortImage, unknownPairDeviations));
+			effects.set(bestEffortImage, effect);
 		}
 
 		return effect;
 	}
 
 	/** Whether the effect was observed recently enough to be relied on. */
-	isKnown(server: string, filler: string): boolean {
-		return this.#effects.isObserved(server, filler) && this.#effects.get(server, filler).deviation <= maxKnownDeviation;
+	isKnown(latencyCriticalImage: string, bestEffortImage: string): boolean {
+		return this.#effects.isObserved(latencyCriticalImage, bestEffortImage) && this.#effects.get(latencyCriticalImage, bestEffortImage).deviation <= maxKnownDeviation;
 	}
 
 	/** Load of a latency-critical job without interference. */
@@ -165,26 +165,26 @@
 		}
 	}
 
-	#getAddedLoad(server: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
+	#getAddedLoad(latencyCriticalImage: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
 		let added = 0;
 		for (const group of groups) {
-			added += Math.max(0, this.#getEffect(server, group.image, 0)) * getShare(group);
+			added += Math.max(0, this.#getEffect(latencyCriticalImage, group.image, 0)) * getShare(group);
 		}
 
 		return added;
 	}
 
-	#getAddedVariance(server: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
+	#getAddedVariance(latencyCriticalImage: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
 		let variance = 0;
 		for (const group of groups) {
-			variance += (this.#effects.get(server, group.image).deviation * getShare(group)) ** 2;
+			variance += (this.#effects.get(latencyCriticalImage, group.image).deviation * getShare(group)) ** 2;
 		}
 
 		return variance;
 	}
 
-	#getEffect(server: string, filler: string, deviations: number): number {
-		const {mean, deviation} = this.#effects.get(server, filler);
+	#getEffect(latencyCriticalImage: string, bestEffortImage: string, deviations: number): number {
+		const {mean, deviation} = this.#effects.get(latencyCriticalImage, bestEffortImage);
 		return mean + (deviations * deviation);
 	}
 }
--- a/src/workflows/harm-pacing.ts
+++ b/src/workflows/harm-pacing.ts
@@ -18,7 +18,7 @@
 };
 
 /** Gets the load that the best-effort image would add to the latency-critical image if it used all of a worker's CPU. */
-export type GetEffect = (server: string, filler: string) => number;
+export type GetEffect = (latencyCriticalImage: string, bestEffortImage: string) => number;
 
 /** Latency-critical tasks are kept below this share of their target, because loads rise until the next report arrives. */
 const targetRatio = 0.9;
@@ -34,10 +34,10 @@
 export const planSpeeds = (latencyCriticalLoads: LatencyCriticalLoad[], demands: BestEffortDemand[], getEffect: GetEffect): number[] => {
 	const speeds = demands.map(() => 1);
 	const effects = demands.map(() => 0);
-	for (const {image: server, load} of latencyCriticalLoads) {
+	for (const {image: latencyCriticalImage, load} of latencyCriticalLoads) {
 		let excess = load - maxLoad;
 		for (const [index, {image, share}] of demands.entries()) {
-			const effect = getEffect(server, image);
+			const effect = getEffect(latencyCriticalImage, image);
 			effects[index] = effect > negligibleEffect ? effect : 0;
 			excess += share * effects[index] * speeds[index]!;
 		}
--- a/src/workflows/pace-keeper.ts
+++ b/src/workflows/pace-keeper.ts
@@ -65,7 +65,11 @@
 		return new Map(groups.filter(({throttlePercent}) => throttlePercent > 0).map(({image}) => [image, 0]));
 	}
 
-	const speeds = planSpeeds(getBaseLoads(latencyCriticalTasks, groups, interference), groups, (server, filler) => interference.getEffect(server, filler));
+	const speeds = planSpeeds(
+		getBaseLoads(latencyCriticalTasks, groups, interference),
+		groups,
+		(latencyCriticalImage, bestEffortImage) => interference.getEffect(latencyCriticalImage, bestEffortImage),
+	);
 	const throttles = new Map<string, number>();
 	for (const [index, {image, throttlePercent: percent, sinceChangeMs}] of groups.entries()) {
 		const next = Math.floor(fullPercent * speeds[index]! / throttleStepPercent) * throttleStepPercent;
--- a/src/workflows/pair-effects.ts
+++ b/src/workflows/pair-effects.ts
@@ -29,34 +29,34 @@
 	#decayedAtMs: number | undefined;
 
 	/** Gets the effect of a pair; of an unknown pair, the image's mean effect on others. */
-	get(server: string, filler: string): Effect {
-		const pair = this.#pairs.get(server)?.get(filler);
+	get(latencyCriticalImage: string, bestEffortImage: string): Effect {
+		const pair = this.#pairs.get(latencyCriticalImage)?.get(bestEffortImage);
 		return pair
 			? {mean: pair.mean, deviation: Math.sqrt(pair.variance)}
-			: {mean: this.#meanEffects.get(filler) ?? priorMean, deviation: Math.sqrt(priorVariance)};
+			: {mean: this.#meanEffects.get(bestEffortImage) ?? priorMean, deviation: Math.sqrt(priorVariance)};
 	}
 
 	/** Whether the pair was observed. */
-	isObserved(server: string, filler: string): boolean {
-		return this.#pairs.get(server)?.has(filler) ?? false;
+	isObserved(latencyCriticalImage: string, bestEffortImage: string): boolean {
+		return this.#pairs.get(latencyCriticalImage)?.has(bestEffortImage) ?? false;
 	}
 
 	/** Sets an effect that another process learned. */
-	set(server: string, filler: string, {mean, deviation}: Effect): void {
-		this.#getOrCreatePairs(server).set(filler, {mean, variance: Math.min(priorVariance, deviation ** 2)});
+	set(latencyCriticalImage: string, bestEffortImage: string, {mean, deviation}: Effect): void {
+		this.#getOrCreatePairs(latencyCriticalImage).set(bestEffortImage, {mean, variance: Math.min(priorVariance, deviation ** 2)});
 	}
 
 	/**
 	Learns from the load that all best-effort tasks on a worker together added to a latency-critical task. `otherVariance` is the
 	variance of `added` from other sources: the task's own load and the noise of the report.
 	*/
-	learn(server: string, used: UsedShare[], added: number, otherVariance: number): void {
-		const pairs = this.#getOrCreatePairs(server);
+	learn(latencyCriticalImage: string, used: UsedShare[], added: number, otherVariance: number): void {
+		const pairs = this.#getOrCreatePairs(latencyCriticalImage);
 		let innovation = added;
 		let variance = otherVariance;
 		for (const {image, share} of used) {
 			if (!pairs.has(image)) {
-				pairs.set(image, {mean: this.get(server, image).mean, variance: priorVariance});
+				pairs.set(image, {mean: this.get(latencyCriticalImage, image).mean, variance: priorVariance});
 			}
 
 			const pair = pairs.get(image)!;
@@ -94,23 +94,23 @@
 	}
 
 	/** Removes a best-effort image. */
-	removeBestEffortImage(filler: string): void {
-		this.#meanEffects.delete(filler);
+	removeBestEffortImage(bestEffortImage: string): void {
+		this.#meanEffects.delete(bestEffortImage);
 		for (const pairs of this.#pairs.values()) {
-			pairs.delete(filler);
+			pairs.delete(bestEffortImage);
 		}
 	}
 
 	/** Removes a latency-critical image. */
-	removeLatencyCriticalImage(server: string): void {
-		this.#pairs.delete(server);
+	removeLatencyCriticalImage(latencyCriticalImage: string): void {
+		this.#pairs.delete(latencyCriticalImage);
 	}
 
-	#getOrCreatePairs(server: string): Map<string, Pair> {
-		let pairs = this.#pairs.get(server);
+	#getOrCreatePairs(latencyCriticalImage: string): Map<string, Pair> {
+		let pairs = this.#pairs.get(latencyCriticalImage);
 		if (!pairs) {
 			pairs = new Map();
-			this.#pairs.set(server, pairs);
+			this.#pairs.set(latencyCriticalImage, pairs);
 		}
 
 		return pairs;
--- a/src/workflows/placement-candidates.ts
+++ b/src/workflows/placement-candidates.ts
@@ -78,7 +78,7 @@
 	return spareMilliCpu;
 };
 
-/** Books the capacity of a task that starts on the worker. */
+/** Reserves the capacity of a task that starts on the worker. */
 export const reserve = (candidate: Candidate, {step}: LiveTask, interference: FillHarm): void => {
 	const {spec} = step;
 	const {milliCpu} = candidate.worker.report!;
--- a/src/workflows/quarantine.ts
+++ b/src/workflows/quarantine.ts
@@ -1,6 +1,7 @@
 /**
-Quarantines tasks whose workers have crashed: from each other, and from tasks that start at the same time. A further crash
-then identifies its culprit and ends few other runs, and suspects never hold more than a share of the workers.
+Quarantines tasks under which workers have crashed: they run apart from each other and from tasks that start at the same
+time. A further crash then identifies its culprit and ends few other runs, and suspects never hold more than a share of the
+workers.
 */
 import {getQuarantineMs, isSuspect} from './crash-blame.ts';
 import {
@@ -39,8 +40,8 @@
 const maxHeldShare = 0.1;
 /** No suspect starts beside a run younger than this: after a crash, both would be suspects. */
 const minNeighbourAgeMs = 500;
-/** Added to the quarantine of a run: the agent reports a silent worker within this time. */
-const silenceReportMs = 150;
+/** Added to the quarantine of a run: the agent reports an unresponsive worker within this time. */
+const unresponsiveReportMs = 150;
 /** A suspect with several crashes waits this long for a worker that has not crashed while running it. */
 const otherHostWaitMs = 10_000;
 /** Number of least loaded workers that are tried individually for a suspect, before all are tried together. */
@@ -82,7 +83,7 @@
 
 		this.#removeCleared(cycle);
 		this.#updateClosed();
-		const starts = this.#start(cycle);
+		const starts = this.#startSuspects(cycle);
 		return {
 			starts,
 			waiting: cycle.waiting.filter(task => !isKeptApart(task)),
@@ -116,7 +117,7 @@
 	#hasSurvived({phase, host, sentAtMs, task}: LiveRun, nowMs: number): boolean {
 		const worker = this.#options.workers.get(host);
 		return phase !== RunPhase.Starting && worker !== undefined && worker.isAnswering && worker.silentSinceMs === undefined
-			&& nowMs - sentAtMs >= getQuarantineMs(task.crashes) + silenceReportMs;
+			&& nowMs - sentAtMs >= getQuarantineMs(task.crashes) + unresponsiveReportMs;
 	}
 
 	#updateClosed(): void {
@@ -144,7 +145,7 @@
 		return this.#closed.size === 0 ? Math.max(1, free) : free;
 	}
 
-	#start(cycle: QuarantineCycle): Start[] {
+	#startSuspects(cycle: QuarantineCycle): Start[] {
 		const {open, nowMs, place} = cycle;
 		const starts: Start[] = [];
 		for (const suspect of this.#getWaitingSuspects(cycle)) {
@@ -153,7 +154,7 @@
 				break;
 			}
 
-			const workers = this.#chooseWorkers(suspect, this.#getCandidates(suspect, open, nowMs), {most: free, place});
+			const workers = this.#chooseWorkers(suspect, this.#getCandidates(suspect, open, nowMs), {maxWorkers: free, place});
 			if (workers.length > 0) {
 				this.#reserve(suspect, workers);
 			}
@@ -190,17 +191,17 @@
 	*/
 	#getCandidates({step: {spec}, crashes, waitsSinceMs}: LiveTask, open: FleetWorker[], nowMs: number): FleetWorker[] {
 		const hasCrashed = ({host}: FleetWorker): boolean => crashes.some(crash => crash.host === host);
-		const mustBeOther = crashes.length > 1 && nowMs - waitsSinceMs < otherHostWaitMs
+		const mustUseOtherHost = crashes.length > 1 && nowMs - waitsSinceMs < otherHostWaitMs
 			&& [...this.#options.workers.values()].some(worker => worker.report && isSuited(spec, worker.report) && !hasCrashed(worker));
 		return open
-			.filter(worker => !this.isClosed(worker) && isSuited(spec, worker.report!) && isFitting(spec, getFreeRoom(worker)) && !(mustBeOther && hasCrashed(worker)))
+			.filter(worker => !this.isClosed(worker) && isSuited(spec, worker.report!) && isFitting(spec, getFreeRoom(worker)) && !(mustUseOtherHost && hasCrashed(worker)))
 			.map(worker => ({worker, hasCrashedThere: hasCrashed(worker), load: getLoad(worker)}))
 			.toSorted((a, b) => Number(a.hasCrashedThere) - Number(b.hasCrashedThere) || a.load - b.load)
 			.map(({worker}) => worker);
 	}
 
 	/** Chooses workers among the candidates on which the unit can be placed now. */
-	#chooseWorkers(suspect: LiveTask, candidates: FleetWorker[], {most, place}: {most: number; place: QuarantineCycle['place']}): FleetWorker[] {
+	#chooseWorkers(suspect: LiveTask, candidates: FleetWorker[], {maxWorkers, place}: {maxWorkers: number; place: QuarantineCycle['place']}): FleetWorker[] {
 		const unit = getUnit(suspect);
 		if (unit.length === 1) {
 			const chosen = candidates.slice(0, maxSingleTries).find(worker => place(unit, [worker]).length > 0) ?? place(unit, candidates)[0]?.worker;
@@ -211,7 +212,7 @@
 			const workers = [...new Set(place(unit, candidates.slice(0, count)).map(({worker}) => worker))];
 			if (workers.length > 0) {
 				// A gang that needs more workers than the limit gets them when no other suspect holds any.
-				return workers.length <= most || this.#closed.size === 0 ? workers : [];
+				return workers.length <= maxWorkers || this.#closed.size === 0 ? workers : [];
 			}
 		}
 
--- a/src/workflows/step-places.ts
+++ b/src/workflows/step-places.ts
@@ -217,7 +217,10 @@
 };
 
 const getBestEffortShare = ({latencyCriticalLoads, unusedShare}: Candidate, demands: BestEffortDemand[], interference: FillHarm): number =>
-	Math.min(unusedShare, getShareAtSpeeds(demands, planSpeeds(latencyCriticalLoads, demands, (server, filler) => interference.getEffect(server, filler))));
+	Math.min(unusedShare, getShareAtSpeeds(
+		demands,
+		planSpeeds(latencyCriticalLoads, demands, (latencyCriticalImage, bestEffortImage) => interference.getEffect(latencyCriticalImage, bestEffortImage)),
+	));
 
 // Last choice: a worker on which the task failed or stalled.
 const avoidedCost = 20;
@@ -251,7 +254,7 @@
 		return dataCost - colocation - usedShare + (interferenceWeight * getAddedLoad(spec, demands, interference)) + mixedImages;
 	}
 
-	// Filling the fullest worker first keeps capacity for large tasks, and whole workers for best-effort tasks.
+	// Using the fullest worker first keeps capacity for large tasks, and whole workers for best-effort tasks.
 	return dataCost - usedShare - colocation;
 };
 
--- a/src/workflows/trials.ts
+++ b/src/workflows/trials.ts
@@ -31,30 +31,30 @@
 
 	/** Whether a task of the image may start on the worker without exceeding the limit. */
 	mayStart({latencyCriticalLoads}: Candidate, image: string): boolean {
-		return latencyCriticalLoads.every(server => {
-			const {isKnown, trials} = this.#get(image, server.image);
+		return latencyCriticalLoads.every(load => {
+			const {isKnown, trials} = this.#get(image, load.image);
 			return isKnown || trials < maxTrials;
 		});
 	}
 
 	/** Counts the image as a trial on the worker; each further task on it counts again within the cycle. */
 	add({latencyCriticalLoads}: Candidate, image: string): void {
-		for (const serverImage of new Set(latencyCriticalLoads.map(server => server.image))) {
-			this.#get(image, serverImage).trials++;
+		for (const latencyCriticalImage of new Set(latencyCriticalLoads.map(load => load.image))) {
+			this.#get(image, latencyCriticalImage).trials++;
 		}
 	}
 
-	#get(filler: string, server: string): TrialCount {
-		let pairs = this.#counts.get(filler);
+	#get(bestEffortImage: string, latencyCriticalImage: string): TrialCount {
+		let pairs = this.#counts.get(bestEffortImage);
 		if (!pairs) {
 			pairs = new Map();
-			this.#counts.set(filler, pairs);
+			this.#counts.set(bestEffortImage, pairs);
 		}
 
-		let pair = pairs.get(server);
+		let pair = pairs.get(latencyCriticalImage);
 		if (!pair) {
-			pair = {isKnown: this.#interference.isKnown(server, filler), trials: 0};
-			pairs.set(server, pair);
+			pair = {isKnown: this.#interference.isKnown(latencyCriticalImage, bestEffortImage), trials: 0};
+			pairs.set(latencyCriticalImage, pair);
 		}
 
 		return pair;
--- a/test/site-decisions.test.ts
+++ b/test/site-decisions.test.ts
@@ -95,7 +95,7 @@
 		})).toHaveLength(1);
 	});
 
-	it('are not detected while their agent is silent', () => {
+	it('are not detected while their agent does not answer', () => {
 		const {worker} = createRun();
 		worker.silentSinceMs = 4000;
 		expect(chooseMoves({
