--- a/src/workflows/placement.ts
+++ b/src/workflows/placement.ts
@@ -152,7 +152,10 @@
 Creates a check whether a task would find a worker among those that it does not avoid. The workers are scanned once
 for all tasks that are checked, because a scan takes about as long as a scheduling cycle.
 */
-export const createPlaceFinder = (workers: Iterable<FleetWorker>, {harm, isAllowed, policy}: Pick<PlacementInput, 'harm' | 'isAllowed' | 'policy'>): ((task: LiveTask) => boolean) => {
+export const createPlaceFinder = (
+	workers: Iterable<FleetWorker>,
+	{harm, isAllowed, policy}: Pick<PlacementInput, 'harm' | 'isAllowed' | 'policy'>,
+): ((task: LiveTask) => boolean) => {
 	// The result does not depend on the cost of the workers, so rank and shortage of free CPU are left out.
 	const placements = new Map<LiveStep, StepPlacement>();
 	let candidates: Candidate[] | undefined;
--- a/test/open-workers.test.ts
+++ b/test/open-workers.test.ts
@@ -5,15 +5,15 @@
 
 const nowMs = 1000;
 const terms = {nowMs, policy: createPolicy(), evacuated: []};
-const heard = {isAnswering: true, heardAtMs: nowMs};
+const reachable = {isAnswering: true, heardAtMs: nowMs};
 
 it('includes a worker whose agent replies', () => {
-	expect(getOpenWorkers([{...createWorker('host'), ...heard}], terms)).toHaveLength(1);
+	expect(getOpenWorkers([{...createWorker('host'), ...reachable}], terms)).toHaveLength(1);
 });
 
 it('excludes a worker whose lost agent has registered again before its loss is settled: all runs there will count as lost', () => {
 	const worker = {
-		...createWorker('host'), ...heard, session: 2, lostSession: 1, lostAtMs: 0,
+		...createWorker('host'), ...reachable, session: 2, lostSession: 1, lostAtMs: 0,
 	};
 	expect(getOpenWorkers([worker], terms)).toEqual([]);
 });
--- a/test/site-harm.test.ts
+++ b/test/site-harm.test.ts
@@ -45,8 +45,8 @@
 		createWorkflow('f', createSpec([createStep({count: 2, isFilling: true, image: 'heavy'})])),
 	]);
 	const worker = createWorker('x');
-	const [server] = [...model.waiting(0, () => false)];
-	run(server!, worker, {recent: recentMs, percent: 100});
+	const [latencyCriticalTask] = [...model.waiting(0, () => false)];
+	run(latencyCriticalTask!, worker, {recent: recentMs, percent: 100});
 	return {model, worker};
 };
 
@@ -127,10 +127,10 @@
 	});
 
 	it('are not lowered again while the tail falls after the last change', () => {
-		const fillers = [createGroup('heavy', {
+		const groups = [createGroup('heavy', {
 			throttlePercent: 0, usedShare: 0, peakShare: 0.4, sinceChangeMs: 100,
 		}), createGroup('light')];
-		expect(decideThrottles(createLatencyCriticalTasks(2), fillers, learnEffects(1.5))).toEqual(new Map());
+		expect(decideThrottles(createLatencyCriticalTasks(2), groups, learnEffects(1.5))).toEqual(new Map());
 	});
 
 	it('are lowered when no known effect explains the tail', () => {
@@ -148,21 +148,21 @@
 		}], 0);
 		const {model, worker} = createScenario(30);
 		const {runs} = worker;
-		const [server] = [...runs];
+		const [latencyCriticalTask] = [...runs];
 		const [task] = [...model.waiting(0, () => false)];
 		run(task!, worker, {recent: 500});
 		const clock = new ManualClock();
 		const keeper = new PaceKeeper({
 			harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
 		});
-		server!.recent = 110;
+		latencyCriticalTask!.recent = 110;
 		keeper.take(worker);
 		expect(worker.isFillStopped).toBe(false);
 		await clock.advance(1600);
 		keeper.take(worker);
 		expect(worker.paces.get('heavy')?.percent).toBe(0);
 		expect(placeAll(model, [worker], {harm, nowMs: 10_000})).toHaveLength(0);
-		server!.recent = 20;
+		latencyCriticalTask!.recent = 20;
 		keeper.take(worker);
 		expect(worker.isFillStopped).toBe(false);
 	});
@@ -177,7 +177,7 @@
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
 		}], 0);
 		const {model, worker} = createScenario(30);
-		const [server] = [...worker.runs];
+		const [latencyCriticalTask] = [...worker.runs];
 		const [task] = [...model.waiting(0, () => false)];
 		run(task!, worker, {recent: 500});
 		const clock = new ManualClock();
@@ -187,7 +187,7 @@
 		// Users tolerate 4 s; a stop takes effect after 0.1 s, and the tail falls for 1.3 s more.
 		const boundMs = 4000 - 100 - 1300;
 		for (let nowMs = 0; nowMs < boundMs; nowMs += 100) {
-			server!.recent = nowMs % 1500 >= 1400 ? 98 : 104;
+			latencyCriticalTask!.recent = nowMs % 1500 >= 1400 ? 98 : 104;
 			keeper.take(worker);
 			await clock.advance(100);
 		}
--- a/test/site-order.test.ts
+++ b/test/site-order.test.ts
@@ -148,9 +148,9 @@
 
 	it('reserves workers without latency-critical tasks for images that would interfere elsewhere, while they are short', () => {
 		const {model} = load([serve('a', 'one'), createWorkflow('f', createSpec([createStep({isFilling: true, image: 'light', milliCpu: 500})]))]);
-		const [server] = getTasks(model);
+		const [latencyCriticalTask] = getTasks(model);
 		const workers = [createWorker('quiet', 400), createWorker('served')];
-		run(server!, workers[1]!, {percent: 100, recent: 5});
+		run(latencyCriticalTask!, workers[1]!, {percent: 100, recent: 5});
 		const harm = new FillHarm();
 		harm.restore([{
 			server: 'one', filler: 'light', mean: 0, deviation: 0.001,
