--- a/src/workflows/fill-harm.ts
+++ b/src/workflows/fill-harm.ts
@@ -1,86 +1,89 @@
 /**
-What tasks that fill do to the load of tasks that serve, learned by pairs of images from what workers report.
+Model of the load that best-effort tasks add to latency-critical tasks, learned for pairs of images from workers' reports.
 */
 import {RunPhase, type LiveRun} from './live-model.ts';
 import {PairEffects} from './pair-effects.ts';
 import {type HarmPair} from './records.ts';
-import {getLoadAt, saturatedLoad, ServingLoads} from './serving-load.ts';
+import {getLoadAt, saturatedLoad, LatencyCriticalLoadTracker} from './serving-load.ts';
 
-/** A serving task beside which others may fill. */
-export type Server = {
+/** A latency-critical task beside which best-effort tasks may run. */
+export type LatencyCriticalTask = {
 	image: string;
-	/** Tasks of one job serve the same users: their load rises and falls together. */
+	/** Tasks of one job serve the same users, so that their loads change together. */
 	job: string;
-	/** Tail latency over its target, as last reported; 0 before the first report. */
-	ratio: number;
-	/** Since when it is over its target on end; undefined: it is not. */
-	overSinceMs?: number;
-	/** The same but for single figures. */
-	mostlyOverSinceMs?: number;
+	/** Tail latency divided by its target, as last reported; 0 before the first report. */
+	latencyRatio: number;
+	/** Start of the time in which it has exceeded its target continuously; undefined: it does not. */
+	overTargetSinceMs?: number;
+	/** The same, not counting single readings below the target. */
+	mostlyOverTargetSinceMs?: number;
 };
 
-/** Tasks of one image that fill on one worker. */
-export type Filler = {
+/** Best-effort tasks of one image on one worker. */
+export type BestEffortGroup = {
 	image: string;
-	/** Share of the worker's processors that they ask for at full speed. */
+	/** Share of the worker's CPU that they use at full speed. */
 	share: number;
-	/** Share of the worker's processors that they used over the last half second. */
+	/** Share of the worker's CPU that they used over the last half second. */
 	usedShare: number;
-	/** Most that they used over the last second or so: a tail falls back as long after its cause is gone. */
-	recentShare: number;
-	/** Share of their speed that they were last told to work at, 0 to 100. */
-	percent: number;
+	/** Peak of `usedShare` over the time that a tail takes to fall after its cause has stopped, about 1.3 s. */
+	peakShare: number;
+	/** Throttle percentage that was last set, 0 to 100. */
+	throttlePercent: number;
 	sinceChangeMs: number;
 };
 
-/** Effects are recorded for a tenth of a worker: about one task. */
-const recordedShare = 0.1;
-/** What was learned has faded by then; images come and go, and what is handed on must not grow with all that ever were. */
-const forgetMs = 300_000;
-// A pair that was not seen yet is taken for somewhat harmful: one task shows what it does before more follow.
-const cautionDeviations = 0.5;
-/** Half of the doubt about a pair that was never seen. */
-const knownDeviation = 1;
-/** Tails come in whole milliseconds, half a second late, and are rough. */
+/** Effects are stored for a tenth of a worker's CPU, which is about one task. */
+const storedEffectShare = 0.1;
+/**
+Images that were not observed for this long are removed: what was learned has faded, and the record for the next owner
+must not grow with every image ever seen.
+*/
+const retentionMs = 300_000;
+// An unknown pair is assumed to interfere somewhat: the first task shows its effect before more follow.
+const unknownPairDeviations = 0.5;
+/** An effect is known at or below this deviation, which is half that of a pair never observed. */
+const maxKnownDeviation = 1;
+/** Readings of tail latency are whole milliseconds, half a second late, and noisy. */
 const reportVariance = 0.03 ** 2;
 
-/** Learned harm. */
+/** Learned interference between images. */
 export class FillHarm {
 	readonly #effects = new PairEffects();
-	readonly #loads = new ServingLoads();
-	/** Images that were measured beside each other, with the last time. */
-	readonly #servers = new Map<string, number>();
-	readonly #fillers = new Map<string, number>();
-	/** Effects that were asked for since the last report, by server and filler: each scheduling cycle asks thousands of times. */
-	readonly #knownEffects = new Map<string, Map<string, number>>();
-
-	/** Takes what serving tasks of a worker report while the others fill. */
-	note(servers: Server[], fillers: Filler[], nowMs: number): void {
-		this.#knownEffects.clear();
-		this.#effects.fade(nowMs);
+	readonly #loads = new LatencyCriticalLoadTracker();
+	/** Images that were observed beside each other, with the last time. */
+	readonly #latencyCriticalImages = new Map<string, number>();
+	readonly #bestEffortImages = new Map<string, number>();
+	/** Effects requested since the last report, by latency-critical and best-effort image: a cycle requests thousands. */
+	readonly #effectCache = new Map<string, Map<string, number>>();
+
+	/** Learns from the reports of one worker's latency-critical tasks and the use of its best-effort tasks. */
+	observe(tasks: LatencyCriticalTask[], groups: BestEffortGroup[], nowMs: number): void {
+		this.#effectCache.clear();
+		this.#effects.decay(nowMs);
 		this.#loads.prune(nowMs);
-		prune(this.#servers, nowMs, image => {
-			this.#effects.forgetServer(image);
+		prune(this.#latencyCriticalImages, nowMs, image => {
+			this.#effects.removeLatencyCriticalImage(image);
 		});
-		prune(this.#fillers, nowMs, image => {
-			this.#effects.forgetFiller(image);
+		prune(this.#bestEffortImages, nowMs, image => {
+			this.#effects.removeBestEffortImage(image);
 		});
-		for (const server of servers) {
-			if (server.ratio > 0) {
-				this.#noteOne(server, fillers, nowMs);
+		for (const task of tasks) {
+			if (task.latencyRatio > 0) {
+				this.#observeTask(task, groups, nowMs);
 			}
 		}
 	}
 
-	/** What was learned so far, for another owner. */
+	/** Gets the learned effects for the next owner. */
 	getPairs(): HarmPair[] {
 		const pairs: HarmPair[] = [];
-		for (const server of this.#servers.keys()) {
-			for (const filler of this.#fillers.keys()) {
-				if (this.#effects.isSeen(server, filler)) {
-					const {mean, deviation} = this.#effects.get(server, filler);
+		for (const latencyCriticalImage of this.#latencyCriticalImages.keys()) {
+			for (const bestEffortImage of this.#bestEffortImages.keys()) {
+				if (this.#effects.isObserved(latencyCriticalImage, bestEffortImage)) {
+					const {mean, deviation} = this.#effects.get(latencyCriticalImage, bestEffortImage);
 					pairs.push({
-						server, filler, mean: round(mean * recordedShare), deviation: round(deviation * recordedShare),
+						server: latencyCriticalImage, filler: bestEffortImage, mean: round(mean * storedEffectShare), deviation: round(deviation * storedEffectShare),
 					});
 				}
 			}
@@ -89,157 +92,157 @@
 		return pairs;
 	}
 
-	/** Takes what an earlier owner has learned: without it, each pair would do its harm once more to be known. */
+	/** Restores effects that an earlier owner learned; otherwise each pair would interfere once more before it is known. */
 	restore(pairs: HarmPair[], nowMs: number): void {
-		this.#knownEffects.clear();
-		for (const {server, filler, mean, deviation} of pairs) {
-			this.#servers.set(server, nowMs);
-			this.#fillers.set(filler, nowMs);
-			this.#effects.set(server, filler, {mean: mean / recordedShare, deviation: deviation / recordedShare});
+		this.#effectCache.clear();
+		for (const {server: latencyCriticalImage, filler: bestEffortImage, mean, deviation} of pairs) {
+			this.#latencyCriticalImages.set(latencyCriticalImage, nowMs);
+			this.#bestEffortImages.set(bestEffortImage, nowMs);
+			this.#effects.set(latencyCriticalImage, bestEffortImage, {mean: mean / storedEffectShare, deviation: deviation / storedEffectShare});
 		}
 	}
 
-	/** Load that the image adds to the server's, for a whole worker of its tasks. */
-	getEffect(server: string, filler: string): number {
-		let effects = this.#knownEffects.get(server);
+	/** Load that the best-effort image would add to a latency-critical task if it used all of a worker's CPU. */
+	getEffect(latencyCriticalImage: string, bestEffortImage: string): number {
+		let effects = this.#effectCache.get(latencyCriticalImage);
 		if (!effects) {
 			effects = new Map();
-			this.#knownEffects.set(server, effects);
+			this.#effectCache.set(latencyCriticalImage, effects);
 		}
 
-		let effect = effects.get(filler);
+		let effect = effects.get(bestEffortImage);
 		if (effect === undefined) {
-			effect = Math.max(0, this.#getEffect(server, filler, cautionDeviations));
-			effects.set(filler, effect);
+			effect = Math.max(0, this.#getEffect(latencyCriticalImage, bestEffortImage, unknownPairDeviations));
+			effects.set(bestEffortImage, effect);
 		}
 
 		return effect;
 	}
 
-	/** Whether it was measured of late what the image does to the server's. */
-	isKnown(server: string, filler: string): boolean {
-		return this.#effects.isSeen(server, filler) && this.#effects.get(server, filler).deviation <= knownDeviation;
+	/** Whether the effect was observed recently enough to be relied on. */
+	isKnown(latencyCriticalImage: string, bestEffortImage: string): boolean {
+		return this.#effects.isObserved(latencyCriticalImage, bestEffortImage) && this.#effects.get(latencyCriticalImage, bestEffortImage).deviation <= maxKnownDeviation;
 	}
 
-	/** Load of a server by itself. */
-	getLoad(job: string): number {
+	/** Load of a latency-critical job without interference. */
+	getBaseLoad(job: string): number {
 		return this.#loads.get(job);
 	}
 
-	/** The same with what it may rise, at most by the rise given. */
-	getRisenLoad(job: string, mostRise: number): number {
-		return this.#loads.get(job) + this.#loads.getRise(job, mostRise);
+	/** The same, plus the expected rise, which is at most `maxRise`. */
+	getBaseLoadWithRise(job: string, maxRise: number): number {
+		return this.#loads.get(job) + this.#loads.getRise(job, maxRise);
 	}
 
 	/**
-	What was used shortly before explains a tail that is still falling: such a report is passed over. A tail that is shorter
-	than what works now explains, or longer than all that worked shortly before does, teaches.
+	Learns from one report, unless recent use explains a tail that is still falling. A tail below what current use explains,
+	or above what all recent use explains, is learned from.
 	*/
-	#noteOne({image, job, ratio}: Server, fillers: Filler[], nowMs: number): void {
-		const load = getLoadAt(ratio);
+	#observeTask({image, job, latencyRatio}: LatencyCriticalTask, groups: BestEffortGroup[], nowMs: number): void {
+		const load = getLoadAt(latencyRatio);
 		const own = this.#loads.get(job);
-		const isHigher = load > own + this.#getAdded(image, fillers, ({usedShare}) => usedShare);
-		const getShare = isHigher ? ({recentShare}: Filler) => recentShare : ({usedShare}: Filler) => usedShare;
-		const added = this.#getAdded(image, fillers, getShare);
-		const addedVariance = this.#getVariance(image, fillers, getShare);
+		const isHigher = load > own + this.#getAddedLoad(image, groups, ({usedShare}) => usedShare);
+		const getShare = isHigher ? ({peakShare}: BestEffortGroup) => peakShare : ({usedShare}: BestEffortGroup) => usedShare;
+		const added = this.#getAddedLoad(image, groups, getShare);
+		const addedVariance = this.#getAddedVariance(image, groups, getShare);
 		const ownVariance = this.#loads.getVariance(job, nowMs);
-		const isExplained = isHigher && load <= own + added && fillers.some(({usedShare, recentShare}) => recentShare > usedShare);
+		const isExplained = isHigher && load <= own + added && groups.some(({usedShare, peakShare}) => peakShare > usedShare);
 		if (isExplained || (load >= saturatedLoad && load <= own + added)) {
 			return;
 		}
 
-		this.#loads.note({
+		this.#loads.observe({
 			job, load, added, addedVariance,
 		}, nowMs);
-		const used = fillers.flatMap(filler => getShare(filler) > 0 ? [{image: filler.image, share: getShare(filler)}] : []);
+		const used = groups.flatMap(group => getShare(group) > 0 ? [{image: group.image, share: getShare(group)}] : []);
 		if (used.length > 0) {
-			this.#servers.set(image, nowMs);
-			for (const filler of fillers) {
-				this.#fillers.set(filler.image, nowMs);
+			this.#latencyCriticalImages.set(image, nowMs);
+			for (const group of groups) {
+				this.#bestEffortImages.set(group.image, nowMs);
 			}
 
 			this.#effects.learn(image, used, load - own, ownVariance + reportVariance);
 		}
 	}
 
-	#getAdded(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
+	#getAddedLoad(latencyCriticalImage: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
 		let added = 0;
-		for (const filler of fillers) {
-			added += Math.max(0, this.#getEffect(server, filler.image, 0)) * getShare(filler);
+		for (const group of groups) {
+			added += Math.max(0, this.#getEffect(latencyCriticalImage, group.image, 0)) * getShare(group);
 		}
 
 		return added;
 	}
 
-	#getVariance(server: string, fillers: Filler[], getShare: (filler: Filler) => number): number {
+	#getAddedVariance(latencyCriticalImage: string, groups: BestEffortGroup[], getShare: (group: BestEffortGroup) => number): number {
 		let variance = 0;
-		for (const filler of fillers) {
-			variance += (this.#effects.get(server, filler.image).deviation * getShare(filler)) ** 2;
+		for (const group of groups) {
+			variance += (this.#effects.get(latencyCriticalImage, group.image).deviation * getShare(group)) ** 2;
 		}
 
 		return variance;
 	}
 
-	#getEffect(server: string, filler: string, deviations: number): number {
-		const {mean, deviation} = this.#effects.get(server, filler);
+	#getEffect(latencyCriticalImage: string, bestEffortImage: string, deviations: number): number {
+		const {mean, deviation} = this.#effects.get(latencyCriticalImage, bestEffortImage);
 		return mean + (deviations * deviation);
 	}
 }
 
-const prune = (images: Map<string, number>, nowMs: number, onGone: (image: string) => void): void => {
+const prune = (images: Map<string, number>, nowMs: number, onRemoved: (image: string) => void): void => {
 	for (const [image, seenAtMs] of images) {
-		if (nowMs - seenAtMs > forgetMs) {
+		if (nowMs - seenAtMs > retentionMs) {
 			images.delete(image);
-			onGone(image);
+			onRemoved(image);
 		}
 	}
 };
 
 const round = (value: number): number => Math.round(value * 1000) / 1000;
 
-/** Serving tasks among the runs of a worker, with what was last reported of them. */
-export const getServers = (runs: Iterable<LiveRun>): Server[] => {
-	const servers: Server[] = [];
+/** Gets the latency-critical tasks among the runs of a worker, with their last report. */
+export const getLatencyCriticalTasks = (runs: Iterable<LiveRun>): LatencyCriticalTask[] => {
+	const tasks: LatencyCriticalTask[] = [];
 	for (const {phase, percent, recent, overSinceMs, mostlyOverSinceMs, task: {step: {spec, servingName}}} of runs) {
 		if (spec.targetMs > 0 && phase === RunPhase.Running) {
-			const ratio = percent === 100 ? recent / spec.targetMs : 0;
-			servers.push({
-				image: spec.image ?? '', job: servingName, ratio, overSinceMs, mostlyOverSinceMs,
+			const latencyRatio = percent === 100 ? recent / spec.targetMs : 0;
+			tasks.push({
+				image: spec.image ?? '', job: servingName, latencyRatio, overTargetSinceMs: overSinceMs, mostlyOverTargetSinceMs: mostlyOverSinceMs,
 			});
 		}
 	}
 
-	return servers;
+	return tasks;
 };
 
-/** Pace of each image that fills on a worker. */
+/** Throttle percentage of each best-effort image on a worker. */
 export type Paces = Map<string, {percent: number; changedAtMs: number}>;
 
-/** Tasks that fill among the runs of a worker, by image. */
-export const getFillers = (runs: Iterable<LiveRun>, paces: Paces, {milliCpu, nowMs}: {milliCpu: number; nowMs: number}): Filler[] => {
-	const fillers = new Map<string, Filler>();
+/** Gets the best-effort tasks among the runs of a worker, by image. */
+export const getBestEffortGroups = (runs: Iterable<LiveRun>, throttles: Paces, {milliCpu, nowMs}: {milliCpu: number; nowMs: number}): BestEffortGroup[] => {
+	const groups = new Map<string, BestEffortGroup>();
 	for (const {phase, recent, task: {step: {spec}}} of runs) {
 		if (!spec.isFilling) {
 			continue;
 		}
 
 		const image = spec.image ?? '';
-		let filler = fillers.get(image);
-		if (!filler) {
-			const pace = paces.get(image);
-			filler = {
-				image, share: 0, usedShare: 0, recentShare: 0, percent: pace?.percent ?? 100, sinceChangeMs: nowMs - (pace?.changedAtMs ?? Number.NEGATIVE_INFINITY),
+		let group = groups.get(image);
+		if (!group) {
+			const throttle = throttles.get(image);
+			group = {
+				image, share: 0, usedShare: 0, peakShare: 0, throttlePercent: throttle?.percent ?? 100, sinceChangeMs: nowMs - (throttle?.changedAtMs ?? Number.NEGATIVE_INFINITY),
 			};
-			fillers.set(image, filler);
+			groups.set(image, group);
 		}
 
-		filler.share += spec.milliCpu / milliCpu;
-		filler.usedShare += phase === RunPhase.Starting ? 0 : recent / milliCpu;
+		group.share += spec.milliCpu / milliCpu;
+		group.usedShare += phase === RunPhase.Starting ? 0 : recent / milliCpu;
 	}
 
-	for (const filler of fillers.values()) {
-		filler.recentShare = filler.usedShare;
+	for (const group of groups.values()) {
+		group.peakShare = group.usedShare;
 	}
 
-	return [...fillers.values()];
+	return [...groups.values()];
 };
--- a/src/workflows/harm-pacing.ts
+++ b/src/workflows/harm-pacing.ts
@@ -1,47 +1,48 @@
 /**
-How fast tasks that fill may work beside tasks that serve: as fast as keeps each serving task below its target, by what
-is known of its load and of what each image adds to it. The most harmful image slows down first, and no more than needed.
+Computes how fast best-effort tasks may run beside latency-critical tasks: as fast as keeps each latency-critical task below
+its target, by its estimated load and the load that each image adds. The image with the largest effect slows down first,
+and no more than needed.
 */
 import {getLoadAt} from './serving-load.ts';
 
-/** Load of a serving task by itself. */
-export type ServingTask = {
+/** Load of a latency-critical task without interference. */
+export type LatencyCriticalLoad = {
 	image: string;
 	load: number;
 };
 
-/** Tasks of one image that want to fill: their share of the worker's processors at full speed. */
-export type FillDemand = {
+/** Best-effort tasks of one image: the share of the worker's CPU that they use at full speed. */
+export type BestEffortDemand = {
 	image: string;
 	share: number;
 };
 
-/** Load that a whole worker of the filling image adds to the server's. */
-export type GetEffect = (server: string, filler: string) => number;
+/** Gets the load that the best-effort image would add to the latency-critical image if it used all of a worker's CPU. */
+export type GetEffect = (latencyCriticalImage: string, bestEffortImage: string) => number;
 
-/** Serving tasks are kept below this share of their target: reports are late, and loads rise meanwhile. */
-const aimRatio = 0.9;
-const maxLoad = getLoadAt(aimRatio);
-/** Images that add less than this for a whole worker are not worth slowing down. */
+/** Latency-critical tasks are kept below this share of their target, because loads rise until the next report arrives. */
+const targetRatio = 0.9;
+const maxLoad = getLoadAt(targetRatio);
+/** Images whose effect is below this are not slowed down. */
 const negligibleEffect = 0.05;
-/** Load that is not worth an order; what is left of sums of fractions is far less. */
-const tolerance = 0.005;
-/** Slower than this is as good as stopped. */
+/** Excess load that is not worth an order; well above rounding errors. */
+const minExcess = 0.005;
+/** A lower speed is replaced by 0. */
 const minSpeed = 0.1;
 
-/** Speed of each demand, 0 to 1, in their order. */
-export const planSpeeds = (servers: ServingTask[], demands: FillDemand[], getEffect: GetEffect): number[] => {
+/** Computes the speed of each demand, 0 to 1, in the order of `demands`. */
+export const planSpeeds = (latencyCriticalLoads: LatencyCriticalLoad[], demands: BestEffortDemand[], getEffect: GetEffect): number[] => {
 	const speeds = demands.map(() => 1);
 	const effects = demands.map(() => 0);
-	for (const {image: server, load} of servers) {
+	for (const {image: latencyCriticalImage, load} of latencyCriticalLoads) {
 		let excess = load - maxLoad;
 		for (const [index, {image, share}] of demands.entries()) {
-			const effect = getEffect(server, image);
+			const effect = getEffect(latencyCriticalImage, image);
 			effects[index] = effect > negligibleEffect ? effect : 0;
 			excess += share * effects[index] * speeds[index]!;
 		}
 
-		if (excess > tolerance) {
+		if (excess > minExcess) {
 			slowDown(speeds, demands, {effects, excess});
 		}
 	}
@@ -49,26 +50,26 @@
 	return speeds;
 };
 
-/** Takes the excess off, the most harmful image first. */
-const slowDown = (speeds: number[], demands: FillDemand[], {effects, excess}: {effects: number[]; excess: number}): void => {
-	let leftExcess = excess;
+/** Lowers speeds until the excess load is gone, starting with the image of the largest effect. */
+const slowDown = (speeds: number[], demands: BestEffortDemand[], {effects, excess}: {effects: number[]; excess: number}): void => {
+	let remainingExcess = excess;
 	const order = [...effects.keys()].filter(index => effects[index]! > 0).toSorted((a, b) => effects[b]! - effects[a]!);
 	for (const index of order) {
-		if (leftExcess <= tolerance) {
+		if (remainingExcess <= minExcess) {
 			return;
 		}
 
-		const full = demands[index]!.share * effects[index]!;
+		const fullSpeedLoad = demands[index]!.share * effects[index]!;
 		const speed = speeds[index]!;
-		const taken = Math.min(speed, leftExcess / full);
-		const left = speed - taken < minSpeed ? 0 : speed - taken;
-		leftExcess -= full * (speed - left);
-		speeds[index] = left;
+		const reduction = Math.min(speed, remainingExcess / fullSpeedLoad);
+		const newSpeed = speed - reduction < minSpeed ? 0 : speed - reduction;
+		remainingExcess -= fullSpeedLoad * (speed - newSpeed);
+		speeds[index] = newSpeed;
 	}
 };
 
-/** Processors' share that is asked for at full speed. */
-export const getAskedShare = (demands: FillDemand[]): number => {
+/** Share of the CPU that the demands use at full speed. */
+export const getRequestedShare = (demands: BestEffortDemand[]): number => {
 	let sum = 0;
 	for (const {share} of demands) {
 		sum += share;
@@ -77,8 +78,8 @@
 	return sum;
 };
 
-/** Processors' share at work under the speeds. */
-export const getWorkingShare = (demands: FillDemand[], speeds: number[]): number => {
+/** Share of the CPU that the demands use at the given speeds. */
+export const getShareAtSpeeds = (demands: BestEffortDemand[], speeds: number[]): number => {
 	let sum = 0;
 	for (const [index, {share}] of demands.entries()) {
 		sum += share * speeds[index]!;
--- a/src/workflows/pair-effects.ts
+++ b/src/workflows/pair-effects.ts
@@ -1,116 +1,116 @@
 /**
-What images that fill add to the load of images that serve, learned by pairs: a Kalman filter that keeps the diagonal alone. Effects
-are loads that a whole worker of the filling image adds.
+Effects of best-effort images on latency-critical images, learned per pair by a Kalman filter with a diagonal covariance. An
+effect is the load that a best-effort image would add if it used all of a worker's CPU.
 */
 
-/** Effect of a pair, and how far it may be off. */
+/** Estimated effect of a pair, with its standard deviation. */
 export type Effect = {mean: number; deviation: number};
 
-/** Share of a worker's processors that one image used. */
+/** Share of a worker's CPU that one image used. */
 export type UsedShare = {image: string; share: number};
 
 type Pair = {mean: number; variance: number};
 
 const priorMean = 0.2;
 const priorVariance = 2 ** 2;
-/** Harm changes within seconds: what was learned fades. */
+/** Interference changes within seconds, so that the certainty of what was learned decays. */
 const halfLifeMs = 60_000;
-const fadeEveryMs = 3000;
-/** How fast the mean of an image over all that it stands beside follows its pairs. */
-const usualRate = 0.05;
-/** One wild report moves an effect no more than so many deviations would. */
+const decayIntervalMs = 3000;
+/** Rate at which an image's mean effect over all latency-critical images follows its pairs. */
+const meanEffectRate = 0.05;
+/** Limits how far one outlier moves an effect, in standard deviations. */
 const clipDeviations = 3;
 
 /** Learned effects. */
 export class PairEffects {
-	readonly #servers = new Map<string, Map<string, Pair>>();
-	/** Mean effect of an image, for pairs that were not seen. */
-	readonly #usual = new Map<string, number>();
-	#fadedAtMs: number | undefined;
-
-	/** Effect of a pair; of one that was not seen, what the image does to others. */
-	get(server: string, filler: string): Effect {
-		const pair = this.#servers.get(server)?.get(filler);
+	readonly #pairs = new Map<string, Map<string, Pair>>();
+	/** Mean effect of an image over all latency-critical images, the prior of unknown pairs. */
+	readonly #meanEffects = new Map<string, number>();
+	#decayedAtMs: number | undefined;
+
+	/** Gets the effect of a pair; of an unknown pair, the image's mean effect on others. */
+	get(latencyCriticalImage: string, bestEffortImage: string): Effect {
+		const pair = this.#pairs.get(latencyCriticalImage)?.get(bestEffortImage);
 		return pair
 			? {mean: pair.mean, deviation: Math.sqrt(pair.variance)}
-			: {mean: this.#usual.get(filler) ?? priorMean, deviation: Math.sqrt(priorVariance)};
+			: {mean: this.#meanEffects.get(bestEffortImage) ?? priorMean, deviation: Math.sqrt(priorVariance)};
 	}
 
-	/** Whether something was learned of the pair. */
-	isSeen(server: string, filler: string): boolean {
-		return this.#servers.get(server)?.has(filler) ?? false;
+	/** Whether the pair was observed. */
+	isObserved(latencyCriticalImage: string, bestEffortImage: string): boolean {
+		return this.#pairs.get(latencyCriticalImage)?.has(bestEffortImage) ?? false;
 	}
 
-	/** Takes what another process has learned. */
-	set(server: string, filler: string, {mean, deviation}: Effect): void {
-		this.#open(server).set(filler, {mean, variance: Math.min(priorVariance, deviation ** 2)});
+	/** Sets an effect that another process learned. */
+	set(latencyCriticalImage: string, bestEffortImage: string, {mean, deviation}: Effect): void {
+		this.#getOrCreatePairs(latencyCriticalImage).set(bestEffortImage, {mean, variance: Math.min(priorVariance, deviation ** 2)});
 	}
 
 	/**
-	Learns from the load that was added to a server by all that filled beside it. `otherVariance`: how far it may be off for other reasons than
-	the effects, the load of the server itself and the report.
+	Learns from the load that all best-effort tasks on a worker together added to a latency-critical task. `otherVariance` is the
+	variance of `added` from other sources: the task's own load and the noise of the report.
 	*/
-	learn(server: string, used: UsedShare[], added: number, otherVariance: number): void {
-		const pairs = this.#open(server);
-		let surprise = added;
+	learn(latencyCriticalImage: string, used: UsedShare[], added: number, otherVariance: number): void {
+		const pairs = this.#getOrCreatePairs(latencyCriticalImage);
+		let innovation = added;
 		let variance = otherVariance;
 		for (const {image, share} of used) {
 			if (!pairs.has(image)) {
-				pairs.set(image, {mean: this.get(server, image).mean, variance: priorVariance});
+				pairs.set(image, {mean: this.get(latencyCriticalImage, image).mean, variance: priorVariance});
 			}
 
 			const pair = pairs.get(image)!;
-			surprise -= share * pair.mean;
+			innovation -= share * pair.mean;
 			variance += (share ** 2) * pair.variance;
 		}
 
 		const bound = clipDeviations * Math.sqrt(variance);
-		const clipped = Math.max(-bound, Math.min(bound, surprise));
+		const clippedInnovation = Math.max(-bound, Math.min(bound, innovation));
 		for (const {image, share} of used) {
 			const pair = pairs.get(image)!;
 			const gain = share * pair.variance / variance;
-			pair.mean += gain * clipped;
+			pair.mean += gain * clippedInnovation;
 			pair.variance *= 1 - (gain * share);
-			const usual = this.#usual.get(image) ?? priorMean;
-			this.#usual.set(image, usual + (usualRate * (pair.mean - usual)));
+			const meanEffect = this.#meanEffects.get(image) ?? priorMean;
+			this.#meanEffects.set(image, meanEffect + (meanEffectRate * (pair.mean - meanEffect)));
 		}
 	}
 
-	/** Lets what was learned fade. */
-	fade(nowMs: number): void {
-		this.#fadedAtMs ??= nowMs;
-		const passedMs = nowMs - this.#fadedAtMs;
-		if (passedMs < fadeEveryMs) {
+	/** Moves variances towards the prior, by the time since the last call. */
+	decay(nowMs: number): void {
+		this.#decayedAtMs ??= nowMs;
+		const passedMs = nowMs - this.#decayedAtMs;
+		if (passedMs < decayIntervalMs) {
 			return;
 		}
 
-		this.#fadedAtMs = nowMs;
-		const kept = 2 ** (-passedMs / halfLifeMs);
-		for (const pairs of this.#servers.values()) {
+		this.#decayedAtMs = nowMs;
+		const remainingShare = 2 ** (-passedMs / halfLifeMs);
+		for (const pairs of this.#pairs.values()) {
 			for (const pair of pairs.values()) {
-				pair.variance = priorVariance + ((pair.variance - priorVariance) * kept);
+				pair.variance = priorVariance + ((pair.variance - priorVariance) * remainingShare);
 			}
 		}
 	}
 
-	/** Forgets an image that fills. */
-	forgetFiller(filler: string): void {
-		this.#usual.delete(filler);
-		for (const pairs of this.#servers.values()) {
-			pairs.delete(filler);
+	/** Removes a best-effort image. */
+	removeBestEffortImage(bestEffortImage: string): void {
+		this.#meanEffects.delete(bestEffortImage);
+		for (const pairs of this.#pairs.values()) {
+			pairs.delete(bestEffortImage);
 		}
 	}
 
-	/** Forgets an image that serves. */
-	forgetServer(server: string): void {
-		this.#servers.delete(server);
+	/** Removes a latency-critical image. */
+	removeLatencyCriticalImage(latencyCriticalImage: string): void {
+		this.#pairs.delete(latencyCriticalImage);
 	}
 
-	#open(server: string): Map<string, Pair> {
-		let pairs = this.#servers.get(server);
+	#getOrCreatePairs(latencyCriticalImage: string): Map<string, Pair> {
+		let pairs = this.#pairs.get(latencyCriticalImage);
 		if (!pairs) {
 			pairs = new Map();
-			this.#servers.set(server, pairs);
+			this.#pairs.set(latencyCriticalImage, pairs);
 		}
 
 		return pairs;
--- a/src/workflows/placement.ts
+++ b/src/workflows/placement.ts
@@ -1,52 +1,52 @@
 /**
-Decides which waiting tasks start now, and where. Pure: it is given the tasks, the workers and the time.
+Decides which waiting tasks start now, and on which workers. Pure: tasks, workers and the time are arguments.
 */
 import {type FleetWorker} from './fleet-view.ts';
 import {type FillHarm} from './fill-harm.ts';
-import {getAskedShare} from './harm-pacing.ts';
+import {getRequestedShare} from './harm-pacing.ts';
 import {
 	isIdleWithin, type LiveStep, type LiveTask, type LiveWorkflow,
 } from './live-model.ts';
 import {createCandidate, getSpareMilliCpu, type Candidate} from './placement-candidates.ts';
 import {Mechanism, type Policy} from './policy.ts';
 import {
-	StepPlaces, type IsAllowed, type PlaceTerms, type WaitReason,
+	StepPlacement, type IsAllowed, type StepPlacementOptions, type WaitReason,
 } from './step-places.ts';
-import {type RankTask} from './task-order.ts';
-import {Trials} from './trials.ts';
+import {type GetRank} from './task-order.ts';
+import {InterferenceTrials} from './trials.ts';
 
-/** A start that was decided. */
+/** A decision to start a task on a worker. */
 export type Start = {
 	task: LiveTask;
 	worker: FleetWorker;
 };
 
-/** What is decided with. */
+/** Input of a placement. */
 export type PlacementInput = {
 	waiting: Iterable<LiveTask>;
 	workers: Iterable<FleetWorker>;
 	nowMs: number;
-	/** In how long starts of the next cycle may begin: what ends before leaves its job idle until then. */
-	nextStartMs: number;
+	/** Delay until starts of the next cycle may begin: a job whose last run ends sooner is idle until then. */
+	nextStartDelayMs: number;
 	harm: FillHarm;
-	/** In which order tasks are served, given the processors that nothing else uses, in thousandths of a core. */
-	createRank: (spareMilliCpu: number) => RankTask;
+	/** Creates the order in which tasks are placed, given the spare CPU in thousandths of a core. */
+	createRank: (spareMilliCpu: number) => GetRank;
 	/** Whether a queue's policy lets the step run on the worker. */
 	isAllowed: IsAllowed;
 	policy: Policy;
 };
 
-/** What was decided in a cycle. */
+/** Result of a placement. */
 export type PlacementResult = {
 	starts: Start[];
-	/** Tasks that wait on, by reason. */
+	/** Number of tasks that were not placed, by reason. */
 	waits: Map<WaitReason, number>;
-	/** Processors that nothing but filling tasks uses, in thousandths of a core. */
+	/** CPU used by no task other than best-effort tasks, in thousandths of a core. */
 	spareMilliCpu: number;
 };
 
-/** Decides starts, most urgent first. */
-export const place = ({waiting, workers, nowMs, nextStartMs, harm, createRank, isAllowed, policy}: PlacementInput): PlacementResult => {
+/** Decides which tasks start, in order of rank. */
+export const place = ({waiting, workers, nowMs, nextStartDelayMs, harm, createRank, isAllowed, policy}: PlacementInput): PlacementResult => {
 	const tasks = [...waiting];
 	const waits = new Map<WaitReason, number>();
 	if (tasks.length === 0) {
@@ -56,26 +56,31 @@
 	const candidates = [...workers].map(worker => createCandidate(worker, harm));
 	const spareMilliCpu = getSpareMilliCpu(candidates);
 	const rank = createRank(spareMilliCpu);
-	const terms: PlaceTerms = {
-		harm, isAllowed, policy, trials: new Trials(harm, candidates), mustRun: false, isUnservedShort: isUnservedShort(tasks, candidates),
+	const options: StepPlacementOptions = {
+		interference: harm,
+		isAllowed,
+		policy,
+		trials: new InterferenceTrials(harm, candidates),
+		isInterferenceAllowed: false,
+		isInterferenceFreeCpuShort: isInterferenceFreeCpuShort(tasks, candidates),
 	};
-	const findPlaces = createPlacesFinder(candidates, terms);
+	const getStepPlacement = createStepPlacementCache(candidates, options);
 	const starts: Start[] = [];
 	const started = new Set<LiveWorkflow>();
 	for (const [step, waitingTasks] of rankSteps(tasks, rank)) {
 		if (step.spec.isGang) {
-			starts.push(...placeGang(step, candidates, terms));
+			starts.push(...placeGang(step, candidates, options));
 			continue;
 		}
 
-		const isIdleStart = policy[Mechanism.IdleStart] && !started.has(step.workflow) && isStarving(step, waitingTasks, {nowMs, nextStartMs});
+		const isIdleStart = policy[Mechanism.IdleStart] && !started.has(step.workflow) && isStarving(step, waitingTasks, {nowMs, nextStartDelayMs});
 		for (const [index, task] of waitingTasks.entries()) {
-			// A job that starves starts one task where it disturbs.
-			const places = findPlaces(step, isIdleStart && !started.has(step.workflow));
-			const candidate = places.take(task);
+			// A starved job starts one task even where it interferes with latency-critical tasks.
+			const placement = getStepPlacement(step, isIdleStart && !started.has(step.workflow));
+			const candidate = placement.assign(task);
 			if (!candidate) {
-				// A step of which one task found no place has none for its equals either.
-				const reason = places.getWaitReason();
+				// If one task of a step finds no worker, no other task of the step does.
+				const reason = placement.getWaitReason();
 				waits.set(reason, (waits.get(reason) ?? 0) + waitingTasks.length - index);
 				break;
 			}
@@ -88,8 +93,8 @@
 	return {starts, waits, spareMilliCpu};
 };
 
-/** Groups tasks by step, most urgent first: tasks of a step have one rank. */
-const rankSteps = (tasks: LiveTask[], rank: RankTask): Array<[LiveStep, LiveTask[]]> => {
+/** Groups tasks by step and orders the steps by rank; all tasks of a step have the same rank. */
+const rankSteps = (tasks: LiveTask[], rank: GetRank): Array<[LiveStep, LiveTask[]]> => {
 	const groups = new Map<LiveStep, LiveTask[]>();
 	for (const task of tasks) {
 		const group = groups.get(task.step);
@@ -104,73 +109,77 @@
 	return [...groups].toSorted(([a], [b]) => ranks.get(a)! - ranks.get(b)!);
 };
 
-/** Tasks of a step come one after the other: its places are kept until another step's turn changes what is free. */
-const createPlacesFinder = (candidates: Candidate[], terms: PlaceTerms): ((step: LiveStep, mustRun: boolean) => StepPlaces) => {
-	let last: {step: LiveStep; mustRun: boolean; places: StepPlaces} | undefined;
-	return (step, mustRun) => {
-		if (last?.step !== step || last.mustRun !== mustRun) {
-			last = {step, mustRun, places: new StepPlaces(step, candidates, {...terms, mustRun})};
+/** Creates a lookup that reuses the worker costs of a step until the next step is placed, which changes the free capacity. */
+const createStepPlacementCache = (candidates: Candidate[], options: StepPlacementOptions): ((step: LiveStep, isInterferenceAllowed: boolean) => StepPlacement) => {
+	let last: {step: LiveStep; isInterferenceAllowed: boolean; placement: StepPlacement} | undefined;
+	return (step, isInterferenceAllowed) => {
+		if (last?.step !== step || last.isInterferenceAllowed !== isInterferenceAllowed) {
+			last = {step, isInterferenceAllowed, placement: new StepPlacement(step, candidates, {...options, isInterferenceAllowed})};
 		}
 
-		return last.places;
+		return last.placement;
 	};
 };
 
 /**
-A job of which nothing runs waits at most so long for a place where it disturbs nobody. Where serving tasks are on every
-worker there may never be one, and callers would wait for ever beside free room; the paces then decide what it gets.
+A job without an active run waits at most this long for a worker where its tasks interfere with no other. If all workers
+run latency-critical tasks, there may never be such a worker, and the job would never start although CPU is idle. The
+throttle controller then limits what the task uses.
 */
-const maxWaitMs = 1500;
+const maxStarvationMs = 1500;
 
-/** Whether tasks that fill ask for more processors than are free on workers where nobody serves. */
-const isUnservedShort = (tasks: LiveTask[], candidates: Candidate[]): boolean => {
-	let askedMilliCpu = 0;
+/** Whether waiting best-effort tasks request more CPU than is free on workers without latency-critical tasks. */
+const isInterferenceFreeCpuShort = (tasks: LiveTask[], candidates: Candidate[]): boolean => {
+	let requestedMilliCpu = 0;
 	for (const {step: {spec}} of tasks) {
-		askedMilliCpu += spec.isFilling ? spec.milliCpu : 0;
+		requestedMilliCpu += spec.isFilling ? spec.milliCpu : 0;
 	}
 
 	let freeMilliCpu = 0;
-	for (const {servers, unusedShare, demands, worker: {report}} of candidates) {
-		if (servers.length === 0) {
-			freeMilliCpu += Math.max(0, unusedShare - getAskedShare(demands)) * report!.milliCpu;
+	for (const {latencyCriticalLoads, unusedShare, demands, worker: {report}} of candidates) {
+		if (latencyCriticalLoads.length === 0) {
+			freeMilliCpu += Math.max(0, unusedShare - getRequestedShare(demands)) * report!.milliCpu;
 		}
 	}
 
-	return askedMilliCpu > freeMilliCpu;
+	return requestedMilliCpu > freeMilliCpu;
 };
 
-const isStarving = ({spec, workflow}: LiveStep, waitingTasks: LiveTask[], {nowMs, nextStartMs}: Pick<PlacementInput, 'nowMs' | 'nextStartMs'>): boolean =>
-	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxWaitMs) && isIdleWithin(workflow, nextStartMs, nowMs);
+const isStarving = ({spec, workflow}: LiveStep, waitingTasks: LiveTask[], {nowMs, nextStartDelayMs}: Pick<PlacementInput, 'nowMs' | 'nextStartDelayMs'>): boolean =>
+	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxStarvationMs) && isIdleWithin(workflow, nextStartDelayMs, nowMs);
 
 /**
-Creates the question whether a task would find a place on a worker that it does not avoid. The workers are looked at once,
-for all tasks that are asked about: each look takes about as long as a scheduling cycle.
+Creates a check whether a task would find a worker among those that it does not avoid. The workers are scanned once
+for all tasks that are checked, because a scan takes about as long as a scheduling cycle.
 */
-export const createPlaceFinder = (workers: Iterable<FleetWorker>, {harm, isAllowed, policy}: Pick<PlacementInput, 'harm' | 'isAllowed' | 'policy'>): ((task: LiveTask) => boolean) => {
-	// Whether there is a place does not depend on which one would be best.
-	const known = new Map<LiveStep, StepPlaces>();
+export const createPlaceFinder = (
+	workers: Iterable<FleetWorker>,
+	{harm, isAllowed, policy}: Pick<PlacementInput, 'harm' | 'isAllowed' | 'policy'>,
+): ((task: LiveTask) => boolean) => {
+	// The result does not depend on the cost of the workers, so rank and shortage of free CPU are left out.
+	const placements = new Map<LiveStep, StepPlacement>();
 	let candidates: Candidate[] | undefined;
-	let trials: Trials | undefined;
+	let trials: InterferenceTrials | undefined;
 	return task => {
 		candidates ??= [...workers].map(worker => createCandidate(worker, harm));
-		trials ??= new Trials(harm, candidates);
-		const places = known.get(task.step) ?? new StepPlaces(task.step, candidates, {
-			harm, isAllowed, policy, trials, mustRun: false, isUnservedShort: false,
+		trials ??= new InterferenceTrials(harm, candidates);
+		const placement = placements.get(task.step) ?? new StepPlacement(task.step, candidates, {
+			interference: harm, isAllowed, policy, trials, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
 		});
-		known.set(task.step, places);
-		return places.hasPlace(task);
+		placements.set(task.step, placement);
+		return placement.canPlace(task);
 	};
 };
 
-/** All members or none; on one rack if the step asks for it and one has the room. */
-const placeGang = (step: LiveStep, candidates: Candidate[], terms: PlaceTerms): Start[] => {
+/** Starts all members of a gang or none; on one rack if the step asks for it and a rack has the capacity. */
+const placeGang = (step: LiveStep, candidates: Candidate[], options: StepPlacementOptions): Start[] => {
 	if (step.tasks.some(task => task.runs.length > 0)) {
 		return [];
 	}
 
 	const racks = step.spec.isSameRack ? [...new Set(candidates.map(candidate => candidate.rack))] : [];
 	for (const rack of [...racks, undefined]) {
-		const starts = tryGang(step, rack === undefined ? candidates : candidates.filter(candidate => candidate.rack === rack), terms);
+		const starts = tryPlaceGang(step, rack === undefined ? candidates : candidates.filter(candidate => candidate.rack === rack), options);
 		if (starts.length > 0) {
 			return starts;
 		}
@@ -179,14 +188,14 @@
 	return [];
 };
 
-const tryGang = (step: LiveStep, candidates: Candidate[], terms: PlaceTerms): Start[] => {
-	const trial = candidates.map(candidate => ({
-		...candidate, free: {...candidate.free}, ofStep: new Map(candidate.ofStep), fillSpeeds: new Map(candidate.fillSpeeds),
+const tryPlaceGang = (step: LiveStep, candidates: Candidate[], options: StepPlacementOptions): Start[] => {
+	const copies = candidates.map(candidate => ({
+		...candidate, freeCapacity: {...candidate.freeCapacity}, taskCounts: new Map(candidate.taskCounts), bestEffortGains: new Map(candidate.bestEffortGains),
 	}));
-	const places = new StepPlaces(step, trial, terms);
+	const placement = new StepPlacement(step, copies, options);
 	const starts: Start[] = [];
 	for (const task of step.tasks) {
-		const candidate = places.take(task);
+		const candidate = placement.assign(task);
 		if (!candidate) {
 			return [];
 		}
@@ -195,7 +204,7 @@
 	}
 
 	for (const [index, candidate] of candidates.entries()) {
-		Object.assign(candidate, trial[index]);
+		Object.assign(candidate, copies[index]);
 	}
 
 	return starts;
--- a/src/workflows/quarantine.ts
+++ b/src/workflows/quarantine.ts
@@ -1,6 +1,7 @@
 /**
-Keeps tasks under which workers have crashed apart: from each other, and from tasks that start meanwhile. So a further crash
-names its culprit, takes little along, and suspects never hold more than a share of the workers at a time.
+Quarantines tasks under which workers have crashed: they run apart from each other and from tasks that start at the same
+time. A further crash then identifies its culprit and ends few other runs, and suspects never hold more than a share of the
+workers.
 */
 import {getQuarantineMs, isSuspect} from './crash-blame.ts';
 import {
@@ -13,40 +14,40 @@
 
 /** Options of the quarantine. */
 export type QuarantineOptions = {
-	/** All workers by host, also those that are not open. */
+	/** All workers by host, also those that are not schedulable. */
 	workers: ReadonlyMap<string, FleetWorker>;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** What a cycle decides with. */
+/** Input of a scheduling cycle. */
 export type QuarantineCycle = {
 	waiting: LiveTask[];
-	/** Workers that may be given something. */
+	/** Workers that may get new tasks. */
 	open: FleetWorker[];
 	nowMs: number;
 	/** Places the tasks of one unit on the workers, all or none. */
 	place: (tasks: LiveTask[], workers: FleetWorker[]) => Start[];
 };
 
-/** What is left to ordinary placement, and what starts in quarantine. */
+/** Starts of suspects, and the tasks and workers that remain for ordinary placement. */
 export type QuarantineResult = {
 	starts: Start[];
 	waiting: LiveTask[];
 	open: FleetWorker[];
 };
 
-/** Share of the workers that suspects may hold at a time, with those that are away. */
+/** Share of the workers that may be held by suspects or unresponsive at the same time. */
 const maxHeldShare = 0.1;
-/** No suspect starts beside a run that is younger than this: a crash would name two. */
-const quietMs = 500;
-/** Beyond the time that a run has to live: its agent tells within this that the worker fell silent. */
-const tellMs = 150;
-/** A suspect with several crashes waits so long for a worker that has not crashed under it. */
-const otherHostMs = 10_000;
-/** Workers with least to lose that are tried for a suspect one by one, before any that takes it. */
-const maxTries = 4;
-
-/** Whether the next run of the task has to be kept apart. */
+/** No suspect starts beside a run younger than this: after a crash, both would be suspects. */
+const minNeighbourAgeMs = 500;
+/** Added to the quarantine of a run: the agent reports an unresponsive worker within this time. */
+const unresponsiveReportMs = 150;
+/** A suspect with several crashes waits this long for a worker that has not crashed while running it. */
+const otherHostWaitMs = 10_000;
+/** Number of least loaded workers that are tried individually for a suspect, before all are tried together. */
+const maxSingleTries = 4;
+
+/** Whether the next run of the task must be quarantined. */
 export const isKeptApart = ({crashes, clearedRun}: LiveTask): boolean => crashes.some(({run}) => run > clearedRun) && isSuspect(crashes);
 
 /** The quarantine of one owner. */
@@ -54,21 +55,21 @@
 	readonly #options: QuarantineOptions;
 	/** Suspects that are not cleared yet: tasks, or the first task of a gang. */
 	readonly #suspects = new Set<LiveTask>();
-	/** Workers that are kept for a suspect until nothing on them is young. */
+	/** Workers reserved for a suspect until all runs on them are old enough. */
 	readonly #reserved = new Map<LiveTask, FleetWorker[]>();
-	/** Hosts of workers on which nothing else starts. */
+	/** Hosts of workers that accept no other tasks. */
 	#closed = new Set<string>();
 
 	constructor(options: QuarantineOptions) {
 		this.#options = options;
 	}
 
-	/** Whether nothing but a suspect may start on the worker. */
+	/** Whether only a suspect may start on the worker. */
 	isClosed({host}: FleetWorker): boolean {
 		return this.#closed.has(host);
 	}
 
-	/** Starts suspects, and gives what is left for ordinary placement. */
+	/** Starts suspects, and returns what remains for ordinary placement. */
 	arrange(cycle: QuarantineCycle): QuarantineResult {
 		for (const task of cycle.waiting) {
 			if (isKeptApart(task)) {
@@ -80,9 +81,9 @@
 			return {starts: [], waiting: cycle.waiting, open: cycle.open};
 		}
 
-		this.#release(cycle);
-		this.#close();
-		const starts = this.#start(cycle);
+		this.#removeCleared(cycle);
+		this.#updateClosed();
+		const starts = this.#startSuspects(cycle);
 		return {
 			starts,
 			waiting: cycle.waiting.filter(task => !isKeptApart(task)),
@@ -90,11 +91,11 @@
 		};
 	}
 
-	/** Lets go of suspects that are over, or of which a run has lived. */
-	#release({waiting, open, nowMs}: QuarantineCycle): void {
+	/** Removes suspects that have finished, or whose run has survived its quarantine. */
+	#removeCleared({waiting, open, nowMs}: QuarantineCycle): void {
 		const waitingTasks = new Set(waiting);
 		for (const suspect of this.#suspects) {
-			if (suspect.runs.length > 0 && suspect.runs.every(run => this.#hasLived(run, nowMs))) {
+			if (suspect.runs.length > 0 && suspect.runs.every(run => this.#hasSurvived(run, nowMs))) {
 				this.#options.note('task cleared', {taskId: suspect.taskId, run: suspect.lastRun, crashes: suspect.crashes.length});
 				for (const member of getUnit(suspect)) {
 					member.clearedRun = suspect.lastRun;
@@ -113,13 +114,13 @@
 		}
 	}
 
-	#hasLived({phase, host, sentAtMs, task}: LiveRun, nowMs: number): boolean {
+	#hasSurvived({phase, host, sentAtMs, task}: LiveRun, nowMs: number): boolean {
 		const worker = this.#options.workers.get(host);
 		return phase !== RunPhase.Starting && worker !== undefined && worker.isAnswering && worker.silentSinceMs === undefined
-			&& nowMs - sentAtMs >= getQuarantineMs(task.crashes) + tellMs;
+			&& nowMs - sentAtMs >= getQuarantineMs(task.crashes) + unresponsiveReportMs;
 	}
 
-	#close(): void {
+	#updateClosed(): void {
 		this.#closed = new Set([...this.#reserved.values()].flat().map(({host}) => host));
 		for (const suspect of this.#suspects) {
 			for (const {runs} of getUnit(suspect)) {
@@ -130,7 +131,7 @@
 		}
 	}
 
-	/** Workers that suspects may still take. */
+	/** Number of workers that suspects may still take. */
 	#countFree(): number {
 		const {workers} = this.#options;
 		let held = this.#closed.size;
@@ -144,23 +145,23 @@
 		return this.#closed.size === 0 ? Math.max(1, free) : free;
 	}
 
-	#start(cycle: QuarantineCycle): Start[] {
+	#startSuspects(cycle: QuarantineCycle): Start[] {
 		const {open, nowMs, place} = cycle;
 		const starts: Start[] = [];
-		for (const suspect of this.#getNext(cycle)) {
+		for (const suspect of this.#getWaitingSuspects(cycle)) {
 			const free = this.#countFree();
 			if (free <= 0) {
 				break;
 			}
 
-			const workers = this.#choose(suspect, this.#getCandidates(suspect, open, nowMs), {most: free, place});
+			const workers = this.#chooseWorkers(suspect, this.#getCandidates(suspect, open, nowMs), {maxWorkers: free, place});
 			if (workers.length > 0) {
 				this.#reserve(suspect, workers);
 			}
 		}
 
 		for (const [suspect, workers] of this.#reserved) {
-			if (workers.every(worker => isQuiet(worker, nowMs))) {
+			if (workers.every(worker => hasOnlyOldRuns(worker, nowMs))) {
 				starts.push(...place(getUnit(suspect), workers));
 				this.#reserved.delete(suspect);
 			}
@@ -169,12 +170,12 @@
 		return starts;
 	}
 
-	/** Suspects that wait, those first that are most likely innocent: few crashes, and their like have succeeded. */
-	#getNext({waiting}: QuarantineCycle): LiveTask[] {
+	/** Waiting suspects, those most likely innocent first: with few crashes, then with many tasks of the same step done. */
+	#getWaitingSuspects({waiting}: QuarantineCycle): LiveTask[] {
 		const waitingTasks = new Set(waiting);
 		return [...this.#suspects]
 			.filter(suspect => waitingTasks.has(suspect) && !this.#reserved.has(suspect))
-			.toSorted((a, b) => a.crashes.length - b.crashes.length || getOpenShare(a) - getOpenShare(b));
+			.toSorted((a, b) => a.crashes.length - b.crashes.length || getRemainingShare(a) - getRemainingShare(b));
 	}
 
 	#reserve(suspect: LiveTask, workers: FleetWorker[]): void {
@@ -184,31 +185,34 @@
 		}
 	}
 
-	/** Workers with room for the suspect: those that have not crashed under it first, then where a crash takes least along. */
+	/**
+	Workers with free capacity for the suspect: first those that have not crashed while running it, then by least load, which
+	a crash would end.
+	*/
 	#getCandidates({step: {spec}, crashes, waitsSinceMs}: LiveTask, open: FleetWorker[], nowMs: number): FleetWorker[] {
 		const hasCrashed = ({host}: FleetWorker): boolean => crashes.some(crash => crash.host === host);
-		const mustBeOther = crashes.length > 1 && nowMs - waitsSinceMs < otherHostMs
+		const mustUseOtherHost = crashes.length > 1 && nowMs - waitsSinceMs < otherHostWaitMs
 			&& [...this.#options.workers.values()].some(worker => worker.report && isSuited(spec, worker.report) && !hasCrashed(worker));
 		return open
-			.filter(worker => !this.isClosed(worker) && isSuited(spec, worker.report!) && isFitting(spec, getFreeRoom(worker)) && !(mustBeOther && hasCrashed(worker)))
-			.map(worker => ({worker, isLast: hasCrashed(worker), load: getLoad(worker)}))
-			.toSorted((a, b) => Number(a.isLast) - Number(b.isLast) || a.load - b.load)
+			.filter(worker => !this.isClosed(worker) && isSuited(spec, worker.report!) && isFitting(spec, getFreeRoom(worker)) && !(mustUseOtherHost && hasCrashed(worker)))
+			.map(worker => ({worker, hasCrashedThere: hasCrashed(worker), load: getLoad(worker)}))
+			.toSorted((a, b) => Number(a.hasCrashedThere) - Number(b.hasCrashedThere) || a.load - b.load)
 			.map(({worker}) => worker);
 	}
 
-	/** Workers among the candidates on which the unit would be placed now. */
-	#choose(suspect: LiveTask, candidates: FleetWorker[], {most, place}: {most: number; place: QuarantineCycle['place']}): FleetWorker[] {
+	/** Chooses workers among the candidates on which the unit can be placed now. */
+	#chooseWorkers(suspect: LiveTask, candidates: FleetWorker[], {maxWorkers, place}: {maxWorkers: number; place: QuarantineCycle['place']}): FleetWorker[] {
 		const unit = getUnit(suspect);
 		if (unit.length === 1) {
-			const chosen = candidates.slice(0, maxTries).find(worker => place(unit, [worker]).length > 0) ?? place(unit, candidates)[0]?.worker;
+			const chosen = candidates.slice(0, maxSingleTries).find(worker => place(unit, [worker]).length > 0) ?? place(unit, candidates)[0]?.worker;
 			return chosen ? [chosen] : [];
 		}
 
 		for (let count = 1; count < 2 * candidates.length; count *= 2) {
 			const workers = [...new Set(place(unit, candidates.slice(0, count)).map(({worker}) => worker))];
 			if (workers.length > 0) {
-				// A gang that needs more workers than the share has them when no other suspect holds any.
-				return workers.length <= most || this.#closed.size === 0 ? workers : [];
+				// A gang that needs more workers than the limit gets them when no other suspect holds any.
+				return workers.length <= maxWorkers || this.#closed.size === 0 ? workers : [];
 			}
 		}
 
@@ -216,9 +220,9 @@
 	}
 }
 
-const getOpenShare = ({step: {remaining, spec}}: LiveTask): number => remaining / spec.count;
+const getRemainingShare = ({step: {remaining, spec}}: LiveTask): number => remaining / spec.count;
 
-/** Processors at work that a crash would take along. */
+/** CPU requested by the active runs, which a crash would end. */
 const getLoad = ({runs}: FleetWorker): number => {
 	let milliCpu = 0;
 	for (const {task: {step: {spec}}} of runs) {
@@ -228,5 +232,5 @@
 	return milliCpu;
 };
 
-const isQuiet = ({runs}: FleetWorker, nowMs: number): boolean =>
-	[...runs].every(({phase, sentAtMs}) => phase !== RunPhase.Starting && nowMs - sentAtMs >= quietMs);
+const hasOnlyOldRuns = ({runs}: FleetWorker, nowMs: number): boolean =>
+	[...runs].every(({phase, sentAtMs}) => phase !== RunPhase.Starting && nowMs - sentAtMs >= minNeighbourAgeMs);
--- a/src/workflows/scheduling-cycles.ts
+++ b/src/workflows/scheduling-cycles.ts
@@ -1,5 +1,5 @@
 /**
-Scheduling cycles: gather what has changed, decide starts in order, and tell what keeps the others waiting.
+Scheduling cycles: batch changes, decide starts in order of rank, and log why other tasks wait.
 */
 import {type Clock} from '../types/clock.ts';
 import {DutyCycle} from '../utils/duty-cycle.ts';
@@ -14,9 +14,9 @@
 import {type Quarantine} from './quarantine.ts';
 import {type RunTimes} from './run-times.ts';
 import {type IsAllowed, type WaitReason} from './step-places.ts';
-import {createRank, getRemainder, type Remainder} from './task-order.ts';
+import {createRank, getRemainingWork, type RemainingWork} from './task-order.ts';
 
-/** What cycles are decided with. */
+/** Options of the cycles. */
 export type SchedulingCyclesOptions = {
 	clock: Clock;
 	signal: AbortSignal;
@@ -29,36 +29,36 @@
 	quarantine: Quarantine;
 	/** Tasks that may start now. */
 	getWaiting: (nowMs: number) => Iterable<LiveTask>;
-	/** Workers that may be given something. */
+	/** Workers that may get new tasks. */
 	getWorkers: (nowMs: number) => FleetWorker[];
-	/** Runs that are out on any worker. */
+	/** Active runs on all workers. */
 	getRuns: () => LiveRun[];
-	/** How long a start takes to be delivered. */
+	/** Delay between a decision and the delivery of a start. */
 	getLeadMs: () => number;
 	onStarts: (starts: Start[]) => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Changes gather for so long before a cycle. */
-const cycleDelayMs = 4;
+/** Changes are batched for this long before a cycle. */
+const batchDelayMs = 4;
 /** Caps scheduling at a quarter of the thread so that replies are still handled. */
 const cycleRestFactor = 3;
-/** A longer gap than this, as after a freeze, says nothing of the next one. */
+/** A longer gap, as after a suspended process, does not predict the next one. */
 const maxGapMs = 1000;
-/** What is left of jobs changes by the second; cycles come many times a second. */
-const remainderEveryMs = 100;
-/** What waits is told this often at most. */
-const noteEveryMs = 1000;
+/** Remaining work changes within seconds, while cycles run many times a second. */
+const remainingWorkIntervalMs = 100;
+/** Interval of the log line on waiting tasks. */
+const logIntervalMs = 1000;
 
-/** The cycles of one owner. */
+/** The scheduling cycles of one owner. */
 export class SchedulingCycles {
 	readonly #options: SchedulingCyclesOptions;
 	readonly #dutyCycle: DutyCycle;
 	#isDue = false;
 	#lastAtMs = Number.POSITIVE_INFINITY;
-	#remainders = new Map<LiveStep[], Remainder>();
-	#remaindersAtMs = Number.NEGATIVE_INFINITY;
-	#notedAtMs = Number.NEGATIVE_INFINITY;
+	#remainingWork = new Map<LiveStep[], RemainingWork>();
+	#remainingWorkAtMs = Number.NEGATIVE_INFINITY;
+	#loggedAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(options: SchedulingCyclesOptions) {
 		this.#options = options;
@@ -84,7 +84,7 @@
 					this.#run();
 				});
 			});
-		}, Math.max(cycleDelayMs, this.#dutyCycle.restMs));
+		}, Math.max(batchDelayMs, this.#dutyCycle.restMs));
 	}
 
 	#run(): void {
@@ -93,36 +93,36 @@
 		} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const gapMs = Math.max(0, Math.min(maxGapMs, nowMs - this.#lastAtMs));
-		const times = {nowMs, nextStartMs: gapMs + getLeadMs()};
+		const times = {nowMs, nextStartDelayMs: gapMs + getLeadMs()};
 		this.#lastAtMs = nowMs;
-		const apart = quarantine.arrange({
+		const quarantined = quarantine.arrange({
 			nowMs, waiting: [...getWaiting(nowMs)], open: getWorkers(nowMs), place: (tasks, workers) => this.#place(tasks, workers, times).starts,
 		});
-		const {starts, waits, spareMilliCpu} = this.#place(apart.waiting, apart.open, times);
-		onStarts([...apart.starts, ...starts]);
-		if (waits.size > 0 && nowMs - this.#notedAtMs >= noteEveryMs) {
-			this.#notedAtMs = nowMs;
-			this.#noteWaits(waits, spareMilliCpu);
+		const {starts, waits, spareMilliCpu} = this.#place(quarantined.waiting, quarantined.open, times);
+		onStarts([...quarantined.starts, ...starts]);
+		if (waits.size > 0 && nowMs - this.#loggedAtMs >= logIntervalMs) {
+			this.#loggedAtMs = nowMs;
+			this.#logWaits(waits, spareMilliCpu);
 		}
 	}
 
-	#place(waiting: LiveTask[], workers: FleetWorker[], {nowMs, nextStartMs}: {nowMs: number; nextStartMs: number}): PlacementResult {
+	#place(waiting: LiveTask[], workers: FleetWorker[], {nowMs, nextStartDelayMs}: {nowMs: number; nextStartDelayMs: number}): PlacementResult {
 		const {clock, harm, times, policy, isAllowed} = this.#options;
 		return place({
 			waiting,
 			workers,
 			nowMs,
-			nextStartMs,
+			nextStartDelayMs,
 			harm,
 			isAllowed,
 			policy,
 			createRank: spareMilliCpu => createRank({
-				nowMs, spareMilliCpu, policy, times, wallMs: clock.now().getTime(), remainders: this.#getRemainders(nowMs),
+				nowMs, spareMilliCpu, policy, times, wallMs: clock.now().getTime(), remainingWork: this.#getRemainingWork(nowMs),
 			}),
 		});
 	}
 
-	#noteWaits(waits: Map<WaitReason, number>, spareMilliCpu: number): void {
+	#logWaits(waits: Map<WaitReason, number>, spareMilliCpu: number): void {
 		const {model, getRuns, note} = this.#options;
 		const runs = getRuns();
 		const filling = runs.filter(run => run.task.step.spec.isFilling);
@@ -133,18 +133,18 @@
 			filling: filling.length,
 			fillingMilliCpu: Math.round(sum(filling.map(({recent}) => recent))),
 			spareMilliCpu: Math.round(spareMilliCpu),
-			backlogCoreMs: Math.round(sum([...this.#remainders.values()].map(({leftCoreMs}) => leftCoreMs))),
+			backlogCoreMs: Math.round(sum([...this.#remainingWork.values()].map(({remainingCoreMs}) => remainingCoreMs))),
 		});
 	}
 
-	#getRemainders(nowMs: number): Map<LiveStep[], Remainder> {
-		if (nowMs - this.#remaindersAtMs >= remainderEveryMs) {
+	#getRemainingWork(nowMs: number): Map<LiveStep[], RemainingWork> {
+		if (nowMs - this.#remainingWorkAtMs >= remainingWorkIntervalMs) {
 			const {model, times} = this.#options;
-			this.#remaindersAtMs = nowMs;
-			this.#remainders = new Map(model.openOccurrences().map(steps => [steps, getRemainder(steps, times)]));
+			this.#remainingWorkAtMs = nowMs;
+			this.#remainingWork = new Map(model.openOccurrences().map(steps => [steps, getRemainingWork(steps, times)]));
 		}
 
-		return this.#remainders;
+		return this.#remainingWork;
 	}
 }
 
--- a/src/workflows/step-places.ts
+++ b/src/workflows/step-places.ts
@@ -1,94 +1,94 @@
 /**
-Where the tasks of one step may run in a cycle, and which place is best. What each worker costs is worked out once, and
-again only for a worker that was given something: on a service of hundreds of workers, with hundreds of tasks waiting, a
-cycle that weighs each pair anew takes longer than the tasks.
+Selects workers for the tasks of one step in a cycle. The cost of each worker is computed once, and again only after a
+task was assigned to it: with hundreds of workers and hundreds of waiting tasks, a cycle that computes the cost of each
+pair takes longer than the tasks run.
 */
 import {type WorkflowStep} from '../types/workflows.ts';
 import {isFitting, isSuited} from './fleet-view.ts';
 import {type FillHarm} from './fill-harm.ts';
 import {
-	getAskedShare, getWorkingShare, planSpeeds, type FillDemand,
+	getRequestedShare, getShareAtSpeeds, planSpeeds, type BestEffortDemand,
 } from './harm-pacing.ts';
 import {type LiveStep, type LiveTask} from './live-model.ts';
-import {addDemand, take, type Candidate} from './placement-candidates.ts';
+import {addDemand, reserve, type Candidate} from './placement-candidates.ts';
 import {Mechanism, type Policy} from './policy.ts';
-import {type Trials} from './trials.ts';
+import {type InterferenceTrials} from './trials.ts';
 
 /** Tells whether tasks of the step may run on the worker. */
 export type IsAllowed = (step: LiveStep, workerId: string) => boolean;
 
-/** What places are weighed by. */
-export type PlaceTerms = {
-	harm: FillHarm;
+/** Constraints and models that worker costs are computed from. */
+export type StepPlacementOptions = {
+	interference: FillHarm;
 	/** Whether a queue's policy lets the step run on the worker. */
 	isAllowed: IsAllowed;
 	policy: Policy;
-	trials: Trials;
-	/** A task that fills starts also where it disturbs. */
-	mustRun: boolean;
-	/** What fills and waits asks for more than is free where nobody serves. */
-	isUnservedShort: boolean;
+	trials: InterferenceTrials;
+	/** Best-effort tasks start even where they interfere with latency-critical tasks. */
+	isInterferenceAllowed: boolean;
+	/** Waiting best-effort tasks request more CPU than is free on workers without latency-critical tasks. */
+	isInterferenceFreeCpuShort: boolean;
 };
 
-/** What keeps a task that waits from starting; the last one is the nearest to a start. */
+/** Why a waiting task does not start, ordered from the furthest from a start to the nearest. */
 export enum WaitReason {
-	/** No worker has the label, the size or the advice that it needs, or none is open. */
+	/** No schedulable worker has the required label, size or advice ticket. */
 	NoWorker = 'no-worker',
 	Room = 'room',
-	/** As many of its step as may be are on every worker with room. */
+	/** Every worker with capacity already has the maximum number of tasks of the step. */
 	Spread = 'spread',
-	/** A serving task there was over its target for too long: nothing may fill. */
+	/** A latency-critical task on the worker exceeded its target for too long: no best-effort task may run there. */
 	FillStopped = 'fill-stopped',
-	/** Its image is paced down there. */
+	/** The image is throttled too much on the worker. */
 	Paced = 'paced',
-	/** It would disturb, or get too little. */
+	/** It would interfere with a latency-critical task, or run too slowly. */
 	Harm = 'harm',
-	/** Other workers are trying what its image does to what serves there. */
+	/** Enough workers already run the image to measure its unknown interference with the latency-critical images there. */
 	Trial = 'trial',
-	/** A worker would take it, but another run of the task is there already. */
+	/** The worker would accept the step, but another run of the task is already on its host. */
 	Other = 'other',
 }
 
 const waitReasons = Object.values(WaitReason);
 
-/** Places of one step. */
-export class StepPlaces {
+/** Workers on which tasks of one step may start. */
+export class StepPlacement {
 	readonly #step: LiveStep;
 	readonly #candidates: Candidate[];
-	readonly #terms: PlaceTerms;
-	/** By candidate; infinity: no place. */
+	readonly #options: StepPlacementOptions;
+	/** Cost by candidate index; infinity: not allowed. */
 	readonly #costs: Float64Array;
-	/** By candidate: how near it came to taking a task. */
+	/** By candidate index: position in `waitReasons` of what rules the candidate out. */
 	readonly #nearness: Uint8Array;
 
-	constructor(step: LiveStep, candidates: Candidate[], terms: PlaceTerms) {
+	constructor(step: LiveStep, candidates: Candidate[], options: StepPlacementOptions) {
 		this.#step = step;
 		this.#candidates = candidates;
-		this.#terms = terms;
+		this.#options = options;
 		this.#costs = new Float64Array(candidates.length);
 		this.#nearness = new Uint8Array(candidates.length);
 		for (const index of candidates.keys()) {
-			this.#weigh(index);
+			this.#updateCost(index);
 		}
 	}
 
-	/** Whether a worker that the task does not avoid has a place for it. */
-	hasPlace(task: LiveTask): boolean {
+	/** Whether a worker that the task does not avoid can run it. */
+	canPlace(task: LiveTask): boolean {
 		return this.#candidates.some(({worker: {host}}, index) =>
 			this.#costs[index]! < Number.POSITIVE_INFINITY && !task.avoidedHosts.has(host) && task.runs.every(run => run.host !== host));
 	}
 
-	/** Takes the best place for the task; undefined: there is none. */
-	take(task: LiveTask): Candidate | undefined {
+	/** Assigns the task to the candidate with the lowest cost; undefined: there is none. */
+	assign(task: LiveTask): Candidate | undefined {
 		for (let index = this.#findBest(task); index !== -1; index = this.#findBest(task)) {
 			const candidate = this.#candidates[index]!;
-			const isOpen = this.#isOpen(candidate);
-			if (isOpen) {
-				this.#give(candidate, task);
+			const isStillAllowed = this.#isStillAllowed(candidate);
+			if (isStillAllowed) {
+				this.#reserve(candidate, task);
 			}
 
-			this.#weigh(index);
-			if (isOpen) {
+			this.#updateCost(index);
+			if (isStillAllowed) {
 				return candidate;
 			}
 		}
@@ -96,35 +96,35 @@
 		return undefined;
 	}
 
-	/** Of all workers, the reason of the one that came nearest to taking a task. */
+	/** Gets the reason of the candidate that is nearest to a start. */
 	getWaitReason(): WaitReason {
 		return waitReasons[Math.max(0, ...this.#nearness)]!;
 	}
 
-	/** Trials that began since the place was weighed may have closed it. */
-	#isOpen(candidate: Candidate): boolean {
+	/** Trials that began after the cost was computed may have ruled the candidate out. */
+	#isStillAllowed(candidate: Candidate): boolean {
 		const {spec} = this.#step;
-		return !spec.isFilling || getFillObstacle(spec, candidate, this.#terms) === undefined;
+		return !spec.isFilling || getBestEffortObstacle(spec, candidate, this.#options) === undefined;
 	}
 
-	#give(candidate: Candidate, task: LiveTask): void {
+	#reserve(candidate: Candidate, task: LiveTask): void {
 		const {spec} = this.#step;
-		const {harm, trials} = this.#terms;
-		take(candidate, task, harm);
+		const {interference, trials} = this.#options;
+		reserve(candidate, task, interference);
 		if (spec.isFilling) {
-			trials.note(candidate, spec.image ?? '');
+			trials.add(candidate, spec.image ?? '');
 		}
 	}
 
-	#weigh(index: number): void {
+	#updateCost(index: number): void {
 		const candidate = this.#candidates[index]!;
-		const obstacle = getObstacle(this.#step, candidate, this.#terms);
-		this.#costs[index] = obstacle === undefined ? getCost(this.#step, candidate, this.#terms) : Number.POSITIVE_INFINITY;
+		const obstacle = getObstacle(this.#step, candidate, this.#options);
+		this.#costs[index] = obstacle === undefined ? getCost(this.#step, candidate, this.#options) : Number.POSITIVE_INFINITY;
 		this.#nearness[index] = waitReasons.indexOf(obstacle ?? WaitReason.Other);
 	}
 
 	#findBest({avoidedHosts, runs}: LiveTask): number {
-		const isPlain = avoidedHosts.size === 0 && runs.length === 0;
+		const isUnconstrained = avoidedHosts.size === 0 && runs.length === 0;
 		let best = -1;
 		let bestCost = Number.POSITIVE_INFINITY;
 		for (let index = 0; index < this.#costs.length; index++) {
@@ -133,7 +133,7 @@
 				continue;
 			}
 
-			if (!isPlain) {
+			if (!isUnconstrained) {
 				const {host} = this.#candidates[index]!.worker;
 				cost += avoidedHosts.has(host) ? avoidedCost : 0;
 				if (cost >= bestCost || runs.some(run => run.host === host)) {
@@ -149,119 +149,122 @@
 	}
 }
 
-/** A task that fills waits rather than start where it, and what it slows down, would get less than this share of its speed. */
-const minFillSpeed = 0.7;
-/** An image that is held at less than this on a worker gets no more tasks there. */
-const minPercent = 50;
+/** A best-effort task waits if its gain, less what it takes from other best-effort tasks, is below this share of its full speed. */
+const minBestEffortGain = 0.7;
+/** An image whose throttle percentage on a worker is below this gets no more tasks there. */
+const minThrottlePercent = 50;
 
-/** What keeps a task of the step off the worker; undefined: nothing. */
-const getObstacle = (step: LiveStep, candidate: Candidate, terms: PlaceTerms): WaitReason | undefined => {
+/** Gets the reason why no task of the step may start on the worker; undefined: it may. */
+const getObstacle = (step: LiveStep, candidate: Candidate, options: StepPlacementOptions): WaitReason | undefined => {
 	const {spec} = step;
-	const {worker, free, ofStep} = candidate;
-	if (!isSuited(spec, worker.report!) || !terms.isAllowed(step, worker.report!.workerId)) {
+	const {worker, freeCapacity, taskCounts} = candidate;
+	if (!isSuited(spec, worker.report!) || !options.isAllowed(step, worker.report!.workerId)) {
 		return WaitReason.NoWorker;
 	}
 
-	if (!isFitting(spec, free)) {
+	if (!isFitting(spec, freeCapacity)) {
 		return WaitReason.Room;
 	}
 
-	if (spec.maxPerWorker > 0 && (ofStep.get(step) ?? 0) >= spec.maxPerWorker) {
+	if (spec.maxPerWorker > 0 && (taskCounts.get(step) ?? 0) >= spec.maxPerWorker) {
 		return WaitReason.Spread;
 	}
 
-	return spec.isFilling ? getFillObstacle(spec, candidate, terms) : undefined;
+	return spec.isFilling ? getBestEffortObstacle(spec, candidate, options) : undefined;
 };
 
-const getFillObstacle = (spec: WorkflowStep, candidate: Candidate, {harm, mustRun, policy, trials}: PlaceTerms): WaitReason | undefined => {
+const getBestEffortObstacle = (spec: WorkflowStep, candidate: Candidate, {interference, isInterferenceAllowed, policy, trials}: StepPlacementOptions): WaitReason | undefined => {
 	const {worker} = candidate;
 	if (worker.isFillStopped) {
 		return WaitReason.FillStopped;
 	}
 
-	if (mustRun || !policy[Mechanism.FillWait]) {
+	if (isInterferenceAllowed || !policy[Mechanism.FillWait]) {
 		return undefined;
 	}
 
-	if ((worker.paces.get(spec.image ?? '')?.percent ?? 100) < minPercent) {
+	if ((worker.paces.get(spec.image ?? '')?.percent ?? 100) < minThrottlePercent) {
 		return WaitReason.Paced;
 	}
 
-	if (getMostFillSpeed(spec, candidate, harm) < minFillSpeed || getFillSpeed(spec, candidate, harm) < minFillSpeed) {
+	if (getMaxBestEffortGain(spec, candidate, interference) < minBestEffortGain || getBestEffortGain(spec, candidate, interference) < minBestEffortGain) {
 		return WaitReason.Harm;
 	}
 
 	return policy[Mechanism.FewTrials] && !trials.mayStart(candidate, spec.image ?? '') ? WaitReason.Trial : undefined;
 };
 
-/** What the processors that nothing uses allow at most: spares planning the speeds on a worker that is full. */
-const getMostFillSpeed = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
+/** Upper bound of the speed from unused CPU alone: avoids computing throttles for a worker that is full. */
+const getMaxBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: FillHarm): number => {
 	const {demands, unusedShare, worker: {report}} = candidate;
-	candidate.filledShare ??= getFilledShare(candidate, demands, harm);
-	return (unusedShare - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
+	candidate.bestEffortShare ??= getBestEffortShare(candidate, demands, interference);
+	return (unusedShare - candidate.bestEffortShare) * report!.milliCpu / spec.milliCpu;
 };
 
-/** Work that a task more would add on the worker, as a share of its full speed: what it would take from others is taken off. */
-const getFillSpeed = (spec: WorkflowStep, candidate: Candidate, harm: FillHarm): number => {
-	const {demands, fillSpeeds, worker: {report}} = candidate;
+/** Gain from one more task on the worker, as a share of its full speed, less what it takes from other best-effort tasks. */
+const getBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: FillHarm): number => {
+	const {demands, bestEffortGains, worker: {report}} = candidate;
 	const key = `${spec.image} ${spec.milliCpu}`;
-	let speed = fillSpeeds.get(key);
-	if (speed === undefined) {
-		candidate.filledShare ??= getFilledShare(candidate, demands, harm);
-		const more = addDemand(demands, spec, report!.milliCpu);
-		speed = (getFilledShare(candidate, more, harm) - candidate.filledShare) * report!.milliCpu / spec.milliCpu;
-		fillSpeeds.set(key, speed);
+	let gain = bestEffortGains.get(key);
+	if (gain === undefined) {
+		candidate.bestEffortShare ??= getBestEffortShare(candidate, demands, interference);
+		const demandsWithTask = addDemand(demands, spec, report!.milliCpu);
+		gain = (getBestEffortShare(candidate, demandsWithTask, interference) - candidate.bestEffortShare) * report!.milliCpu / spec.milliCpu;
+		bestEffortGains.set(key, gain);
 	}
 
-	return speed;
+	return gain;
 };
 
-const getFilledShare = ({servers, unusedShare}: Candidate, demands: FillDemand[], harm: FillHarm): number =>
-	Math.min(unusedShare, getWorkingShare(demands, planSpeeds(servers, demands, (server, filler) => harm.getEffect(server, filler))));
+const getBestEffortShare = ({latencyCriticalLoads, unusedShare}: Candidate, demands: BestEffortDemand[], interference: FillHarm): number =>
+	Math.min(unusedShare, getShareAtSpeeds(
+		demands,
+		planSpeeds(latencyCriticalLoads, demands, (latencyCriticalImage, bestEffortImage) => interference.getEffect(latencyCriticalImage, bestEffortImage)),
+	));
 
-// A worker on which the task failed or stood still is the last choice.
+// Last choice: a worker on which the task failed or stalled.
 const avoidedCost = 20;
-// Far from its data a task takes `farFactor` times as long: that outweighs how well it fits.
-const farCost = 10;
-// Tasks that serve go together, so that other workers are left to what fills.
-const companyGain = 2;
-// Weight of the load that a task that fills adds to a serving task.
-const harmCost = 3;
-// Room on workers where nobody serves is kept for images that would disturb elsewhere, while it is short.
-const unservedCost = 0.5;
-// Serving tasks of another image bring other sensitivities: what fills finds a place more easily where all are alike.
-const otherImageCost = 3;
-// Tasks that fill spread: a full worker leaves no room for what is harmful elsewhere.
-const crowdCost = 0.3;
-
-const getCost = (step: LiveStep, candidate: Candidate, {harm, policy, isUnservedShort}: PlaceTerms): number => {
+// Remote data multiplies the run time by `farFactor`, which outweighs how well the task fits.
+const remoteDataCost = 10;
+// Colocates latency-critical tasks, which leaves other workers to best-effort tasks.
+const colocationGain = 2;
+// Weight of the load that a best-effort task adds to a latency-critical task.
+const interferenceWeight = 3;
+// Reserves workers without latency-critical tasks, while they are short, for images that would interfere elsewhere.
+const interferenceFreeCost = 0.5;
+// Latency-critical images differ in what interferes with them: a best-effort image is placed more easily where all are of one image.
+const mixedImagesCost = 3;
+// Spreads best-effort tasks: a full worker has no capacity for an image that interferes with others elsewhere.
+const crowdingCost = 0.3;
+
+const getCost = (step: LiveStep, candidate: Candidate, {interference, policy, isInterferenceFreeCpuShort}: StepPlacementOptions): number => {
 	const {spec} = step;
-	const {worker: {report}, free, rack, servers, demands} = candidate;
-	const farness = spec.dataRack !== undefined && spec.dataRack !== rack ? farCost : 0;
-	const usedShare = 1 - (free.milliCpu / Math.max(1, report!.milliCpu));
+	const {worker: {report}, freeCapacity, rack, latencyCriticalLoads, demands} = candidate;
+	const dataCost = spec.dataRack !== undefined && spec.dataRack !== rack ? remoteDataCost : 0;
+	const usedShare = 1 - (freeCapacity.milliCpu / Math.max(1, report!.milliCpu));
 	if (spec.isFilling) {
-		const rise = Math.max(0, ...servers.map(({image}) => harm.getEffect(image, spec.image ?? ''))) * spec.milliCpu / report!.milliCpu;
-		const unserved = policy[Mechanism.UnservedRoom] && isUnservedShort && servers.length === 0 ? unservedCost : 0;
-		return farness + (harmCost * rise) - getFillSpeed(spec, candidate, harm) + (crowdCost * getAskedShare(demands)) + unserved;
+		const addedLoad = Math.max(0, ...latencyCriticalLoads.map(({image}) => interference.getEffect(image, spec.image ?? ''))) * spec.milliCpu / report!.milliCpu;
+		const reservation = policy[Mechanism.UnservedRoom] && isInterferenceFreeCpuShort && latencyCriticalLoads.length === 0 ? interferenceFreeCost : 0;
+		return dataCost + (interferenceWeight * addedLoad) - getBestEffortGain(spec, candidate, interference) + (crowdingCost * getRequestedShare(demands)) + reservation;
 	}
 
-	const company = servers.length > 0 && policy[Mechanism.ServerCompany] ? companyGain : 0;
+	const colocation = latencyCriticalLoads.length > 0 && policy[Mechanism.ServerCompany] ? colocationGain : 0;
 	if (spec.targetMs > 0) {
-		const otherImages = policy[Mechanism.ServerGroups] && servers.some(({image}) => image !== (spec.image ?? '')) ? otherImageCost : 0;
-		return farness - company - usedShare + (harmCost * getHarmOf(spec, demands, harm)) + otherImages;
+		const mixedImages = policy[Mechanism.ServerGroups] && latencyCriticalLoads.some(({image}) => image !== (spec.image ?? '')) ? mixedImagesCost : 0;
+		return dataCost - colocation - usedShare + (interferenceWeight * getAddedLoad(spec, demands, interference)) + mixedImages;
 	}
 
-	// Filling up the fullest first keeps room for wide tasks elsewhere, and leaves whole workers to what fills.
-	return farness - usedShare - company;
+	// Using the fullest worker first keeps capacity for large tasks, and whole workers for best-effort tasks.
+	return dataCost - usedShare - colocation;
 };
 
-/** Load that what fills there already adds to a serving task. */
-const getHarmOf = (spec: WorkflowStep, demands: FillDemand[], harm: FillHarm): number => {
-	let rise = 0;
+/** Load that the best-effort tasks on the worker already add to a latency-critical task of the step. */
+const getAddedLoad = (spec: WorkflowStep, demands: BestEffortDemand[], interference: FillHarm): number => {
+	let addedLoad = 0;
 	for (const {image, share} of demands) {
-		rise += harm.getEffect(spec.image ?? '', image) * share;
+		addedLoad += interference.getEffect(spec.image ?? '', image) * share;
 	}
 
-	return rise;
+	return addedLoad;
 };
 
--- a/src/workflows/task-order.ts
+++ b/src/workflows/task-order.ts
@@ -1,13 +1,13 @@
 /**
-In which order waiting tasks are served.
+Order in which waiting tasks are placed.
 
-While there is room for all, what matters is that each job meets its objective: the one with the least time to spare goes
-first. When more is asked for than there is room, that order makes every job just late, one after the other. Then what
-counts is how much of value ends in time for the room that it takes: jobs of which little is left, before jobs that have
-hardly begun; and what cannot be in time any more waits for what can.
+While there is capacity for all jobs, each should meet its objective: the job with the least slack goes first. Under
+overload that order makes every job slightly late, one after the other. What counts then is the value that completes in
+time for the capacity that it takes: nearly finished jobs go before jobs that have hardly begun, and jobs that can no
+longer meet their objective wait for those that can.
 
-Both are one rank: value in prospect for each core-second that is left, falling with the time to spare. How fast it falls
-depends on the backlog: beside a long one, time to spare counts for little.
+One rank covers both: the expected value per remaining core-second, which falls exponentially with the slack. The longer
+the backlog, the more slowly it falls, so that slack counts for little under overload.
 */
 import {type Workflow} from '../types/workflows.ts';
 import {
@@ -16,39 +16,39 @@
 import {Mechanism, type Policy} from './policy.ts';
 import {type RunTimes} from './run-times.ts';
 
-/** Lower goes first. */
-export type RankTask = (task: LiveTask) => number;
+/** Rank of a task; lower goes first. */
+export type GetRank = (task: LiveTask) => number;
 
-/** What is left of an occurrence of a job. */
-export type Remainder = {
-	/** Processor time of all its tasks, in ms of a core, and of what is left of them. */
+/** Work of one occurrence of a job. */
+export type RemainingWork = {
+	/** CPU time of all its tasks, in core-milliseconds, and of their remaining work. */
 	totalCoreMs: number;
-	leftCoreMs: number;
-	/** Longest chain of steps at full speed, and what is left of it. */
-	chainMs: number;
-	leftChainMs: number;
+	remainingCoreMs: number;
+	/** Length of the critical path over its steps at full speed, and what remains of it. */
+	criticalPathMs: number;
+	remainingCriticalPathMs: number;
 };
 
-/** Worth of a late answer, up to so many times the objective: callers can still use it. */
-const lateShare = 0.15;
-const lateTimes = 3;
-/** What earns nothing any more is still worked on where nothing else is. */
-const overdueShare = 0.01;
-/** How far the time that is left may be off: a share of it, and a part for all that happens between tasks. */
-const doubtShare = 0.25;
-const doubtMs = 500;
-/** A job is worth a part for being done at all, beside its work: this share of the mean work of its queue. */
-const fixedShare = 0.3 / 0.7;
-/** With less of a backlog than this, the time to spare decides. */
+/** Share of its value that a late result keeps, up to this many times the objective: callers can still use it. */
+const lateValueShare = 0.15;
+const lateLimitFactor = 3;
+/** Value share of a result that is too late to count: such jobs still run when nothing else waits. */
+const overdueValueShare = 0.01;
+/** Uncertainty of the remaining time: a share of it, and a constant for delays between tasks. */
+const uncertaintyShare = 0.25;
+const baseUncertaintyMs = 500;
+/** Value of completing a job at all, in addition to its work: this share of the mean work of a job in its queue. */
+const completionValueShare = 0.3 / 0.7;
+/** Lower bound for the time constant of the slack discount; with a shorter backlog, slack decides the order. */
 const minLookaheadMs = 1000;
-/** Tasks that last come first: users are without them at once. */
-const lastingRank = -1e9;
-/** Larger than any difference within a priority. */
-const priorityStep = 1e6;
-const whole = 100;
-
-/** How much of a task is left, by its run that is furthest on. */
-const getLeftShare = ({isDone, runs}: LiveTask): number => {
+/** Long-running tasks come first: users notice at once when they are missing. */
+const longRunningRank = -1e9;
+/** Larger than any rank difference within a priority. */
+const priorityRankStep = 1e6;
+const fullPercent = 100;
+
+/** Share of a task's work that remains, by the run with the most progress. */
+const getRemainingShare = ({isDone, runs}: LiveTask): number => {
 	if (isDone) {
 		return 0;
 	}
@@ -58,74 +58,74 @@
 		percent = Math.max(percent, run.percent);
 	}
 
-	return 1 - (percent / whole);
+	return 1 - (percent / fullPercent);
 };
 
-/** Works out what is left of an occurrence. */
-export const getRemainder = (steps: LiveStep[], times: RunTimes): Remainder => {
-	const remainder: Remainder = {
-		totalCoreMs: 0, leftCoreMs: 0, chainMs: 0, leftChainMs: 0,
+/** Computes the total and remaining work of an occurrence. */
+export const getRemainingWork = (steps: LiveStep[], times: RunTimes): RemainingWork => {
+	const work: RemainingWork = {
+		totalCoreMs: 0, remainingCoreMs: 0, criticalPathMs: 0, remainingCriticalPathMs: 0,
 	};
-	// Steps come after those that they wait for: one pass finds the longest way to the end of each.
+	// Steps are listed after the steps that they depend on, so one pass finds the longest path to each.
 	const endsMs: number[] = [];
-	const leftEndsMs: number[] = [];
+	const remainingEndsMs: number[] = [];
 	for (const step of steps) {
 		const {spec: {count, milliCpu, after}, tasks} = step;
 		const taskMs = times.getTaskMs(step);
-		let leftTasks = 0;
+		let remainingTasks = 0;
 		let longestShare = 0;
 		for (const task of tasks) {
-			const share = getLeftShare(task);
-			leftTasks += share;
+			const share = getRemainingShare(task);
+			remainingTasks += share;
 			longestShare = Math.max(longestShare, share);
 		}
 
-		remainder.totalCoreMs += count * taskMs * milliCpu / 1000;
-		remainder.leftCoreMs += leftTasks * taskMs * milliCpu / 1000;
+		work.totalCoreMs += count * taskMs * milliCpu / 1000;
+		work.remainingCoreMs += remainingTasks * taskMs * milliCpu / 1000;
 		let fromMs = 0;
-		let leftFromMs = 0;
+		let remainingFromMs = 0;
 		for (const earlier of after) {
 			fromMs = Math.max(fromMs, endsMs[earlier]!);
-			leftFromMs = Math.max(leftFromMs, leftEndsMs[earlier]!);
+			remainingFromMs = Math.max(remainingFromMs, remainingEndsMs[earlier]!);
 		}
 
 		endsMs.push(fromMs + (count > 0 ? taskMs : 0));
-		leftEndsMs.push(leftFromMs + (taskMs * longestShare));
-		remainder.chainMs = Math.max(remainder.chainMs, endsMs.at(-1)!);
-		remainder.leftChainMs = Math.max(remainder.leftChainMs, leftEndsMs.at(-1)!);
+		remainingEndsMs.push(remainingFromMs + (taskMs * longestShare));
+		work.criticalPathMs = Math.max(work.criticalPathMs, endsMs.at(-1)!);
+		work.remainingCriticalPathMs = Math.max(work.remainingCriticalPathMs, remainingEndsMs.at(-1)!);
 	}
 
-	return remainder;
+	return work;
 };
 
-/** What the log tells of a job that is over: what it took, and what it was allowed by what is known of its run times. */
+/** Fields of the log line for a finished job: the time it took, and the time its objective allows by the learned run times. */
 export const describeEnd = ({spec, folded, receivedAtMs, occurrences}: LiveWorkflow, times: RunTimes, nowMs: number): Record<string, unknown> => {
-	const {chainMs, totalCoreMs} = getRemainder(occurrences.get(0) ?? [], times);
+	const {criticalPathMs, totalCoreMs} = getRemainingWork(occurrences.get(0) ?? [], times);
 	return {
-		id: spec.id, queue: spec.queue, end: folded.state, tookMs: Math.round(nowMs - receivedAtMs), allowedMs: Math.round((spec.stretch * chainMs) + spec.targetLatencyMs), coreMs: Math.round(totalCoreMs),
+		id: spec.id, queue: spec.queue, end: folded.state, tookMs: Math.round(nowMs - receivedAtMs), allowedMs: Math.round((spec.stretch * criticalPathMs) + spec.targetLatencyMs), coreMs: Math.round(totalCoreMs),
 	};
 };
 
-/** What an order is decided with. */
-export type OrderTerms = {
+/** Input of the rank. */
+export type RankOptions = {
 	nowMs: number;
-	/** Time of day, by which occurrences are due. */
+	/** Time of day, which determines the due times of occurrences. */
 	wallMs: number;
 	times: RunTimes;
-	/** Remainders of what is open, by occurrence. */
-	remainders: Map<LiveStep[], Remainder>;
-	/** Processors that are left to what waits, in thousandths of a core. */
+	/** Work of open occurrences. */
+	remainingWork: Map<LiveStep[], RemainingWork>;
+	/** CPU available to waiting tasks, in thousandths of a core. */
 	spareMilliCpu: number;
 	policy: Policy;
 };
 
-/** Creates the rank of tasks at a time. */
-export const createRank = (terms: OrderTerms): RankTask => {
-	const {remainders, spareMilliCpu, policy} = terms;
+/** Creates the rank of tasks for a point in time. */
+export const createRank = (options: RankOptions): GetRank => {
+	const {remainingWork, spareMilliCpu, policy} = options;
 	let backlogCoreMs = 0;
 	const totals = new Map<string, {sum: number; count: number}>();
-	for (const [steps, {totalCoreMs, leftCoreMs}] of remainders) {
-		backlogCoreMs += leftCoreMs;
+	for (const [steps, {totalCoreMs, remainingCoreMs}] of remainingWork) {
+		backlogCoreMs += remainingCoreMs;
 		const {queue} = steps[0]!.workflow.spec;
 		const total = totals.get(queue) ?? {sum: 0, count: 0};
 		totals.set(queue, {sum: total.sum + totalCoreMs, count: total.count + 1});
@@ -136,19 +136,19 @@
 	return ({step}) => {
 		const {workflow: {spec, occurrences}, occurrence} = step;
 		if (step.spec.isLasting) {
-			return lastingRank;
+			return longRunningRank;
 		}
 
 		const steps = occurrences.get(occurrence)!;
 		let rank = ranks.get(steps);
 		if (rank === undefined) {
-			const remainder = remainders.get(steps) ?? getRemainder(steps, terms.times);
+			const work = remainingWork.get(steps) ?? getRemainingWork(steps, options.times);
 			const total = totals.get(spec.queue);
 			rank = policy[Mechanism.ValueOrder]
-				? (spec.priority * priorityStep) - Math.log(getIndex(steps, remainder, {
-					...terms, lookaheadMs, meanCoreMs: total ? total.sum / total.count : remainder.totalCoreMs,
+				? (spec.priority * priorityRankStep) - Math.log(getExpectedValue(steps, work, {
+					...options, lookaheadMs, meanCoreMs: total ? total.sum / total.count : work.totalCoreMs,
 				}))
-				: getSlackRank(steps, remainder, terms);
+				: getSlackRank(steps, work, options);
 			ranks.set(steps, rank);
 		}
 
@@ -156,35 +156,35 @@
 	};
 };
 
-/** Least time to spare first; what is too late waits for the others. */
-const getSlackRank = (steps: LiveStep[], {chainMs, leftChainMs}: Remainder, {nowMs, wallMs}: {nowMs: number; wallMs: number}): number => {
+/** Ranks by least slack first; jobs that can no longer meet their objective come last. */
+const getSlackRank = (steps: LiveStep[], {criticalPathMs, remainingCriticalPathMs}: RemainingWork, {nowMs, wallMs}: {nowMs: number; wallMs: number}): number => {
 	const {workflow, occurrence} = steps[0]!;
 	const {spec: {stretch, targetLatencyMs}} = workflow;
-	const slackMs = (stretch * chainMs) + targetLatencyMs - getAgeMs(workflow, occurrence, {nowMs, wallMs}) - leftChainMs;
+	const slackMs = (stretch * criticalPathMs) + targetLatencyMs - getAgeMs(workflow, occurrence, {nowMs, wallMs}) - remainingCriticalPathMs;
 	return slackMs >= 0 ? slackMs : 1e7 - slackMs;
 };
 
-const getIndex = (
+const getExpectedValue = (
 	steps: LiveStep[],
-	{totalCoreMs, leftCoreMs, chainMs, leftChainMs}: Remainder,
+	{totalCoreMs, remainingCoreMs, criticalPathMs, remainingCriticalPathMs}: RemainingWork,
 	{nowMs, wallMs, lookaheadMs, meanCoreMs}: {nowMs: number; wallMs: number; lookaheadMs: number; meanCoreMs: number},
 ): number => {
 	const {workflow, occurrence} = steps[0]!;
 	const {spec} = workflow;
-	const allowedMs = (spec.stretch * chainMs) + spec.targetLatencyMs;
-	const endsAfterMs = getAgeMs(workflow, occurrence, {nowMs, wallMs}) + leftChainMs;
-	const doubt = (doubtShare * leftChainMs) + doubtMs;
-	const inTime = getLikelihood((allowedMs - endsAfterMs) / doubt);
-	const late = getLikelihood(((lateTimes * allowedMs) - endsAfterMs) / doubt);
-	const prospect = ((1 - lateShare) * inTime) + (lateShare * late) + overdueShare;
-	const spareMs = Math.max(0, allowedMs - endsAfterMs);
-	const value = totalCoreMs + (fixedShare * meanCoreMs);
-	return prospect * value / Math.max(1, leftCoreMs) * Math.exp(-spareMs / lookaheadMs);
+	const allowedMs = (spec.stretch * criticalPathMs) + spec.targetLatencyMs;
+	const endsAfterMs = getAgeMs(workflow, occurrence, {nowMs, wallMs}) + remainingCriticalPathMs;
+	const uncertaintyMs = (uncertaintyShare * remainingCriticalPathMs) + baseUncertaintyMs;
+	const inTimeLikelihood = getLikelihood((allowedMs - endsAfterMs) / uncertaintyMs);
+	const lateLikelihood = getLikelihood(((lateLimitFactor * allowedMs) - endsAfterMs) / uncertaintyMs);
+	const expectedShare = ((1 - lateValueShare) * inTimeLikelihood) + (lateValueShare * lateLikelihood) + overdueValueShare;
+	const positiveSlackMs = Math.max(0, allowedMs - endsAfterMs);
+	const value = totalCoreMs + (completionValueShare * meanCoreMs);
+	return expectedShare * value / Math.max(1, remainingCoreMs) * Math.exp(-positiveSlackMs / lookaheadMs);
 };
 
 const getLikelihood = (ratio: number): number => 1 / (1 + Math.exp(-ratio));
 
 const getAgeMs = ({spec, receivedAtMs}: LiveWorkflow, occurrence: number, {nowMs, wallMs}: {nowMs: number; wallMs: number}): number =>
-	isTimed(spec) ? wallMs - getDueAtMs(spec, occurrence) : nowMs - receivedAtMs;
+	isRepeated(spec) ? wallMs - getDueAtMs(spec, occurrence) : nowMs - receivedAtMs;
 
-const isTimed = ({repeatCount}: Workflow): boolean => repeatCount > 0;
+const isRepeated = ({repeatCount}: Workflow): boolean => repeatCount > 0;
--- a/src/workflows/trials.ts
+++ b/src/workflows/trials.ts
@@ -1,58 +1,60 @@
 /**
-Bounds how many workers try at once what an image that fills does to one that serves, while that is not known.
+Limits how many workers run a best-effort image beside a latency-critical image at the same time while the effect is
+unknown.
 
-A wide job of a new image would else start on all workers in the same moment, and learn on each of them what one would have
-shown half a second later. Its other tasks wait for the first reports, or go where the image is known to leave users alone.
+Otherwise a job with many tasks of a new image would start on all workers at once and interfere on each, although one
+worker shows the effect half a second later. Its other tasks wait for the first reports, or go where the image is known
+not to interfere.
 */
 import {type FillHarm} from './fill-harm.ts';
 import {type Candidate} from './placement-candidates.ts';
 
-/** One report may be off; two workers that agree are not. */
+/** A single report may be wrong; two workers that agree are reliable. */
 const maxTrials = 2;
 
-type Pair = {isKnown: boolean; trials: number};
+type TrialCount = {isKnown: boolean; trials: number};
 
-/** Trials in a scheduling cycle. */
-export class Trials {
-	readonly #harm: FillHarm;
-	/** By image that fills and image that serves. */
-	readonly #pairs = new Map<string, Map<string, Pair>>();
+/** Counts trials in a scheduling cycle. */
+export class InterferenceTrials {
+	readonly #interference: FillHarm;
+	/** By best-effort image and latency-critical image. */
+	readonly #counts = new Map<string, Map<string, TrialCount>>();
 
-	constructor(harm: FillHarm, candidates: Candidate[]) {
-		this.#harm = harm;
+	constructor(interference: FillHarm, candidates: Candidate[]) {
+		this.#interference = interference;
 		for (const candidate of candidates) {
 			for (const {image} of candidate.demands) {
-				this.note(candidate, image);
+				this.add(candidate, image);
 			}
 		}
 	}
 
-	/** Whether a task of the image may start there without one trial too many. */
-	mayStart({servers}: Candidate, image: string): boolean {
-		return servers.every(server => {
-			const {isKnown, trials} = this.#get(image, server.image);
+	/** Whether a task of the image may start on the worker without exceeding the limit. */
+	mayStart({latencyCriticalLoads}: Candidate, image: string): boolean {
+		return latencyCriticalLoads.every(load => {
+			const {isKnown, trials} = this.#get(image, load.image);
 			return isKnown || trials < maxTrials;
 		});
 	}
 
-	/** Notes that the image fills there; a task more on the same worker counts as one more trial within the cycle. */
-	note({servers}: Candidate, image: string): void {
-		for (const serverImage of new Set(servers.map(server => server.image))) {
-			this.#get(image, serverImage).trials++;
+	/** Counts the image as a trial on the worker; each further task on it counts again within the cycle. */
+	add({latencyCriticalLoads}: Candidate, image: string): void {
+		for (const latencyCriticalImage of new Set(latencyCriticalLoads.map(load => load.image))) {
+			this.#get(image, latencyCriticalImage).trials++;
 		}
 	}
 
-	#get(filler: string, server: string): Pair {
-		let pairs = this.#pairs.get(filler);
+	#get(bestEffortImage: string, latencyCriticalImage: string): TrialCount {
+		let pairs = this.#counts.get(bestEffortImage);
 		if (!pairs) {
 			pairs = new Map();
-			this.#pairs.set(filler, pairs);
+			this.#counts.set(bestEffortImage, pairs);
 		}
 
-		let pair = pairs.get(server);
+		let pair = pairs.get(latencyCriticalImage);
 		if (!pair) {
-			pair = {isKnown: this.#harm.isKnown(server, filler), trials: 0};
-			pairs.set(server, pair);
+			pair = {isKnown: this.#interference.isKnown(latencyCriticalImage, bestEffortImage), trials: 0};
+			pairs.set(latencyCriticalImage, pair);
 		}
 
 		return pair;
--- a/test/site-places.test.ts
+++ b/test/site-places.test.ts
@@ -1,5 +1,5 @@
 /**
-Places of the tasks of one step on a service of many workers.
+Worker selection for the tasks of one step on a service of many workers.
 */
 import * as fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
@@ -8,8 +8,8 @@
 import {type LiveTask} from '../src/workflows/live-model.ts';
 import {createCandidate, type Candidate} from '../src/workflows/placement-candidates.ts';
 import {createPolicy} from '../src/workflows/policy.ts';
-import {StepPlaces} from '../src/workflows/step-places.ts';
-import {Trials} from '../src/workflows/trials.ts';
+import {StepPlacement} from '../src/workflows/step-places.ts';
+import {InterferenceTrials} from '../src/workflows/trials.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
@@ -17,8 +17,8 @@
 
 const images = ['a', 'b', 'c'];
 
-/** Serving and filling work on each worker; the last job waits. */
-const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Drawn): {workers: FleetWorker[]; tasks: LiveTask[]; harm: FillHarm} => {
+/** Creates workers with latency-critical and best-effort tasks; the last job waits. */
+const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Scenario): {workers: FleetWorker[]; tasks: LiveTask[]; harm: FillHarm} => {
 	const {model} = load([
 		...running.map(({isServing, image}, index) => createWorkflow(`r${index}`, createSpec([createStep({
 			milliCpu: 1500, image: images[image], ...(isServing ? {isLasting: true, targetMs: 24} : {isFilling: true}),
@@ -41,7 +41,7 @@
 	return {workers, harm, tasks: model.workflows.get('w')!.occurrences.get(0)![0]!.tasks};
 };
 
-type Drawn = {
+type Scenario = {
 	sizes: number[];
 	running: Array<{worker: number; isServing: boolean; image: number}>;
 	waiting: number;
@@ -50,7 +50,7 @@
 	effects: number[];
 };
 
-const drawn: fc.Arbitrary<Drawn> = fc.record({
+const scenarios: fc.Arbitrary<Scenario> = fc.record({
 	sizes: fc.array(fc.constantFrom(4000, 16_000), {minLength: 1, maxLength: 6}),
 	running: fc.array(fc.record({worker: fc.nat(5), isServing: fc.boolean(), image: fc.nat(2)}), {maxLength: 12}),
 	waiting: fc.integer({min: 1, max: 30}),
@@ -59,31 +59,30 @@
 	effects: fc.array(fc.constantFrom(0, 0.05, 0.2), {minLength: 9, maxLength: 9}),
 });
 
-describe('places of a step', () => {
+describe('workers for the tasks of a step', () => {
 	/**
-	On a service of 160 workers a cycle took 60 ms while 400 tasks waited, since each of them weighed each worker anew; cycles
-	came a tenth as often as work changed, and tasks that could run stood waiting. What is kept from task to task must not
-	change what is decided.
+	Guards against slow cycles: with 160 workers and 400 waiting tasks, computing the cost of every pair took 60 ms, so that
+	cycles ran at a tenth of the rate of changes and startable tasks waited. Costs kept between tasks must not change decisions.
 	*/
-	it('are the same whether they are weighed once or anew for each task', () => {
-		fc.assert(fc.property(drawn, draw => {
+	it('are the same whether costs are kept or computed anew for each task', () => {
+		fc.assert(fc.property(scenarios, draw => {
 			const {workers, tasks, harm} = createFleet(draw);
 			const createTerms = (candidates: Candidate[]) => ({
-				harm, policy: createPolicy(), trials: new Trials(harm, candidates), isAllowed: () => true, mustRun: false, isUnservedShort: true,
+				interference: harm, policy: createPolicy(), trials: new InterferenceTrials(harm, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: true,
 			});
 			const candidates = workers.map(worker => createCandidate(worker, harm));
-			const kept = new StepPlaces(tasks[0]!.step, candidates, createTerms(candidates));
-			const anew = workers.map(worker => createCandidate(worker, harm));
-			const terms = createTerms(anew);
+			const keptPlacement = new StepPlacement(tasks[0]!.step, candidates, createTerms(candidates));
+			const freshCandidates = workers.map(worker => createCandidate(worker, harm));
+			const terms = createTerms(freshCandidates);
 			for (const task of tasks) {
-				const places = new StepPlaces(task.step, anew, terms);
-				expect(kept.take(task)?.worker.host).toBe(places.take(task)?.worker.host);
-				expect(kept.getWaitReason()).toBe(places.getWaitReason());
+				const places = new StepPlacement(task.step, freshCandidates, terms);
+				expect(keptPlacement.assign(task)?.worker.host).toBe(places.assign(task)?.worker.host);
+				expect(keptPlacement.getWaitReason()).toBe(places.getWaitReason());
 			}
 		}), {numRuns: 300, seed: 11});
 	});
 
-	it('are taken one after the other until none is left', () => {
+	it('are assigned one after the other until no capacity is left', () => {
 		const {model} = load([createWorkflow('w', createSpec([createStep({count: 12, milliCpu: 1000})]))]);
 		const workers = Array.from({length: 2}, (_, index) => createWorker(`host-${index}`));
 		const starts = placeAll(model, workers);
@@ -91,16 +90,16 @@
 		expect(starts.filter(({worker}) => worker === workers[0])).toHaveLength(4);
 	});
 
-	it('are never on a worker where another run of the task is', () => {
+	it('exclude a host with another run of the task', () => {
 		const {model} = load([createWorkflow('w', createSpec([createStep({isSpeculative: true})]))]);
 		const worker = createWorker('host-0');
 		const task = [...model.waiting(0, () => false)][0]!;
 		run(task, worker);
 		const harm = new FillHarm();
 		const candidates = [createCandidate(worker, harm)];
-		const places = new StepPlaces(task.step, candidates, {
-			harm, policy: createPolicy(), trials: new Trials(harm, candidates), isAllowed: () => true, mustRun: false, isUnservedShort: false,
+		const places = new StepPlacement(task.step, candidates, {
+			interference: harm, policy: createPolicy(), trials: new InterferenceTrials(harm, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
 		});
-		expect(places.take(task)).toBeUndefined();
+		expect(places.assign(task)).toBeUndefined();
 	});
 });
