--- a/src/workflows/agent-links.ts
+++ b/src/workflows/agent-links.ts
@@ -1,6 +1,6 @@
 /**
-The owner's connections to the agents of its service: finds them by their registrations, keeps one task for each that
-waits for news, and sends orders.
+The owner's connections to the agents of its service: finds them by their registrations, keeps one long poll for each
+agent's state open, and sends orders.
 */
 import {decodeRegistration} from '../agents/control-records.ts';
 import {getMessage} from '../core/errors.ts';
@@ -12,7 +12,7 @@
 import {PeerClock} from '../utils/peer-clock.ts';
 import {type FleetWorker} from './fleet-view.ts';
 
-/** Calls to agents. Throw `peer-unavailable` without an answer. */
+/** Calls to agents. They throw `peer-unavailable` if there is no answer. */
 export type AgentClient = {
 	watch(address: string, request: WatchRequest, timeoutMs: number, signal: AbortSignal): Promise<WatchReply>;
 	order(address: string, request: OrdersRequest, timeoutMs: number): Promise<OrdersReply>;
@@ -27,31 +27,31 @@
 	client: AgentClient;
 	clock: Clock;
 	epoch: number;
-	/** Latest store read that showed this owner as the newest, by the start of the read. */
+	/** Start of the last store read that reached the end of the stream and showed this owner as the newest. */
 	getProvenAtMs: () => number;
 	onReply: (worker: FleetWorker, reply: WatchReply) => void;
 	onDeposed: (newerEpoch: number) => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** A state without news is told again after this. Longer than the time between two listings, each of which brings new figures. */
-const watchWaitMs = 600;
-/** A silent agent shows after this beyond the wait. */
-const watchSlackMs = 500;
+/** An agent answers a poll after this even if its state has not changed. Longer than the time between two listings, each of which has new measurements. */
+const pollWaitMs = 600;
+/** Time-out of a poll beyond its wait. */
+const pollSlackMs = 500;
 const retryMs = 100;
 const registryWaitMs = 2000;
-/** An order is good for so long on the agent's clock; later it is refused as expired. */
+/** How long an order is valid, on the agent's clock; later it is refused as expired. */
 export const orderGoodMs = 1500;
 const orderTimeoutMs = 1600;
 
-/** While nothing was heard of runs, their progress was not either: that is no sign that they stand still. */
-const restartProgress = (worker: FleetWorker, nowMs: number): void => {
+/** Restarts the stall detection of a worker's runs: no progress was reported while the agent or worker did not answer, which does not mean that they stalled. */
+const restartStallDetection = (worker: FleetWorker, nowMs: number): void => {
 	for (const run of worker.runs) {
 		run.progressAtMs = nowMs;
 	}
 };
 
-/** The links of one owner. */
+/** Connections of one owner. */
 export class AgentLinks {
 	readonly workers = new Map<string, FleetWorker>();
 	readonly #options: AgentLinksOptions;
@@ -62,12 +62,12 @@
 		this.#options = options;
 	}
 
-	/** Whether the registrations were read. */
+	/** Whether the registrations have been read to their end. */
 	get isRegistryRead(): boolean {
 		return this.#isRegistryRead;
 	}
 
-	/** Runs until the signal aborts. */
+	/** Follows registrations and connects to their agents until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		const {store, registrations, clock, note} = this.#options;
 		while (!signal.aborted) {
@@ -75,14 +75,14 @@
 				if (this.#isRegistryRead) {
 					const {records, endOffset} = await store.readKeyed(registrations, this.#registryOffset, registryWaitMs, signal);
 					for (const {key, value, offset} of records) {
-						this.#take(key, value, offset, signal);
+						this.#applyRegistration(key, value, offset, signal);
 					}
 
 					this.#registryOffset = Math.max(this.#registryOffset, records.length > 0 ? records.at(-1)!.offset + 1 : Math.min(endOffset, this.#registryOffset));
 				} else {
 					const {records, endOffset} = await store.newest(registrations, signal);
 					for (const {key, value, offset} of records) {
-						this.#take(key, value, offset, signal);
+						this.#applyRegistration(key, value, offset, signal);
 					}
 
 					this.#registryOffset = endOffset;
@@ -93,7 +93,7 @@
 					return;
 				}
 
-				// Also when old registrations were trimmed: the newest of each agent is always kept.
+				// Read all again, also if old registrations were trimmed: the store always keeps the newest of each agent.
 				this.#isRegistryRead = false;
 				note('registrations not read', {error: getMessage(error)});
 				await clock.sleep(retryMs, signal);
@@ -101,7 +101,7 @@
 		}
 	}
 
-	/** Sends orders; undefined without an answer: they may have been carried out. */
+	/** Sends orders; resolves to undefined if there is no answer, in which case they may have been carried out. */
 	async order(worker: FleetWorker, orders: Order[], notAfterMs = this.getNotAfterMs(worker, orderGoodMs)): Promise<OrdersReply | undefined> {
 		const {client, epoch, note} = this.#options;
 		const {workerId, milliCpu, memoryMb, accelerators} = worker.report!;
@@ -115,12 +115,12 @@
 		}
 	}
 
-	/** Until when an order that is good for so long from now is good on the agent's clock. */
+	/** Converts a period of validity from now to an expiry time on the agent's clock. */
 	getNotAfterMs(worker: FleetWorker, goodMs: number): number {
 		return worker.agentClock.read(this.#options.clock.monotonicMs()) + goodMs;
 	}
 
-	#take(host: string, value: Buffer | undefined, offset: number, signal: AbortSignal): void {
+	#applyRegistration(host: string, value: Buffer | undefined, offset: number, signal: AbortSignal): void {
 		if (value === undefined) {
 			return;
 		}
@@ -165,10 +165,10 @@
 			harmNotedAtMs: Number.NEGATIVE_INFINITY,
 		};
 		this.workers.set(host, worker);
-		void this.#follow(worker, signal);
+		void this.#keepWatching(worker, signal);
 	}
 
-	/** A record that cannot be read names no agent; the others hold. */
+	/** Decodes a registration; an invalid one is logged and ignored. */
 	#decode(host: string, value: Buffer): AgentRegistration | undefined {
 		try {
 			return decodeRegistration(value);
@@ -178,11 +178,11 @@
 		}
 	}
 
-	async #follow(worker: FleetWorker, signal: AbortSignal): Promise<void> {
+	async #keepWatching(worker: FleetWorker, signal: AbortSignal): Promise<void> {
 		const {clock, note} = this.#options;
 		while (!signal.aborted && this.workers.get(worker.host) === worker) {
 			try {
-				await this.#watch(worker, signal);
+				await this.#poll(worker, signal);
 			} catch (error) {
 				if (signal.aborted) {
 					return;
@@ -198,7 +198,7 @@
 		}
 	}
 
-	async #watch(worker: FleetWorker, signal: AbortSignal): Promise<void> {
+	async #poll(worker: FleetWorker, signal: AbortSignal): Promise<void> {
 		const {client, clock, epoch, onDeposed, onReply, note} = this.#options;
 		const workerId = worker.report?.workerId;
 		const hasProof = workerId !== undefined && this.#options.getProvenAtMs() >= worker.heardAtMs && worker.lostSession !== worker.session;
@@ -207,11 +207,11 @@
 			epoch,
 			agentLife: worker.agentLife,
 			knownVersion: worker.version,
-			waitMs: watchWaitMs,
+			waitMs: pollWaitMs,
 			crashesStored: worker.storedCrash,
 			...(workerId !== undefined && {forget: {workerId, upTo: worker.storedEnd}}),
 			...(hasProof && {proof: {workerId, clockMs: worker.workerClockMs, session: worker.session}}),
-		}, watchWaitMs + watchSlackMs, signal);
+		}, pollWaitMs + pollSlackMs, signal);
 		if (signal.aborted) {
 			return;
 		}
@@ -223,7 +223,7 @@
 
 		if (worker.silentSinceMs !== undefined || (reply.isAnswering && !worker.isAnswering)) {
 			worker.silentSinceMs = undefined;
-			restartProgress(worker, clock.monotonicMs());
+			restartStallDetection(worker, clock.monotonicMs());
 			note('agent answers', {host: worker.host, session: reply.session, workerId: reply.worker?.workerId});
 		}
 
--- a/src/workflows/config-follower.ts
+++ b/src/workflows/config-follower.ts
@@ -1,6 +1,6 @@
 /**
-Keeps what the operators last declared: the configuration, and which failure domains are evacuated. Within one life of the
-process it never goes back: offsets decide, not the order in which answers arrive.
+Follows the operators' declarations: the configuration, and which failure domains are evacuated. Within one incarnation of
+the process it never returns to an older state: offsets decide, not the order in which answers arrive.
 */
 import {type Buffer} from 'node:buffer';
 import {getMessage} from '../core/errors.ts';
@@ -13,8 +13,9 @@
 export type ConfigFollowerOptions = {
 	store: StoreClient;
 	ref: PartitionRef;
+	/** Key of the configuration's records. */
 	key: string;
-	/** Failure domain that a key asks to evacuate; undefined: the key says something else. */
+	/** Failure domain that a record with this key asks to evacuate; undefined: the key is of another kind. */
 	getEvacuatedDomain: (key: string) => string | undefined;
 	decode: (text: string) => SiteConfig;
 	clock: Clock;
@@ -22,13 +23,13 @@
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** A wait without news ends after this: a silent connection shows soon enough for a change to be in force in time. */
+/** Long polls end after this even without a new record, so that a dead connection is noticed early enough for a change to take effect in time. */
 const readWaitMs = 1000;
 const retryMs = 100;
 
-/** The follower. */
+/** Follows the declarations of one site. */
 export class ConfigFollower {
-	/** Newest configuration; undefined before the first. */
+	/** Newest valid configuration; undefined before the first. */
 	config: SiteConfig | undefined;
 	readonly #options: ConfigFollowerOptions;
 	#configOffset = -1;
@@ -52,7 +53,7 @@
 				if (this.#nextOffset === undefined) {
 					const {records, endOffset} = await store.newest(ref, signal);
 					for (const {key, value, offset} of records) {
-						this.#takeConfig(key, value, offset);
+						this.#applyConfig(key, value, offset);
 					}
 
 					this.#evacuations.takeAll(records.flatMap(({key}) => getEvacuatedDomain(key) ?? []), endOffset);
@@ -60,7 +61,7 @@
 				} else {
 					const {records} = await store.readKeyed(ref, this.#nextOffset, readWaitMs, signal);
 					for (const {key, value, offset} of records) {
-						this.#takeConfig(key, value, offset);
+						this.#applyConfig(key, value, offset);
 						const failureDomain = getEvacuatedDomain(key);
 						if (failureDomain !== undefined) {
 							this.#evacuations.take(failureDomain, value !== undefined, offset);
@@ -74,7 +75,7 @@
 					return;
 				}
 
-				// Records may be deleted at any time, but for the newest of each key.
+				// Start over from the newest record of each key: the store may delete any other record at any time.
 				this.#nextOffset = undefined;
 				note('configuration not read', {error: getMessage(error)});
 				await clock.sleep(retryMs, signal);
@@ -82,7 +83,7 @@
 		}
 	}
 
-	#takeConfig(key: string, value: Buffer | undefined, offset: number): void {
+	#applyConfig(key: string, value: Buffer | undefined, offset: number): void {
 		const {key: configKey, decode, onConfig, note} = this.#options;
 		if (key !== configKey || value === undefined || offset <= this.#configOffset) {
 			return;
--- a/src/workflows/crash-blame.ts
+++ b/src/workflows/crash-blame.ts
@@ -1,61 +1,62 @@
 /**
-Which of the tasks on a worker that crashed may have caused it, and when one is given up as a query of death. Pure.
+Decides which of the tasks on a crashed worker may have caused the crash, and when a task fails because it crashes workers (a
+poison task). Pure functions.
 
-A crash takes down all that runs there, and most of it is innocent. A culprit shows by crashing again where it is the newest
-run by far; an innocent one is cleared by the next run that lives.
+A crash ends all runs on the worker, and most of them did not cause it. The task that did crashes again while its run is by
+far the newest on the worker; any other is cleared by its next run that outlives the quarantine.
 */
 import {type TaskCrash} from '../types/workflows.ts';
 
-/** One run that was on a worker as it fell silent. */
+/** A run that was on a worker when the worker crashed. */
 export type AboardTask = {
 	crash: TaskCrash;
-	/** Earlier crashes under the task. */
+	/** Crashes attributed to earlier runs of the task. */
 	earlier: TaskCrash[];
 };
 
-/** A run this young is a suspect at once. */
-const promptMs = 500;
-/** A run that was there for longer is not counted: its worker had every chance to crash before. */
-const countedMs = 5000;
-/** So many crashes under runs that were not that young make a suspect as well. */
-const slowCrashes = 3;
-/** A run has lived when it outlasts the longest of its crashes by this. */
-const outlastTimes = 1.5;
-/** Crashes in quarantine, each on a host that is sound, after which a task is given up. One may be a coincidence. */
-const maxSoundCrashes = 2;
-/** The same on any hosts, as long as they are not all one. */
+/** A crash this soon after the start of a run makes its task a suspect at once. */
+const promptCrashMs = 500;
+/** A crash is not attributed to runs older than this: they had run for long without a crash. */
+const maxCountedAgeMs = 5000;
+/** This many crashes make a task a suspect, however long after their start its runs crashed. */
+const minSuspectCrashes = 3;
+/** The quarantine of a run lasts this many times the longest time that a run of the task took to crash. */
+const quarantineFactor = 1.5;
+/** A task fails after this many crashes in quarantine on sound hosts. A single one may be a coincidence. */
+const maxSoundHostCrashes = 2;
+/** A task also fails after this many crashes in quarantine on any hosts, unless all of its crashes were on one host. */
 const maxQuarantineCrashes = 3;
 
-/** Crashes are forgotten after this: over months every task that lasts meets some. */
-const countedForMs = 600_000;
+/** Crashes older than this do not count: over months every long-running task sees some. */
+const crashRetentionMs = 600_000;
 
-/** Adds a crash to those of a task. */
+/** Adds a crash to those of a task and drops old ones. */
 export const addCrash = (crashes: TaskCrash[], crash: TaskCrash): TaskCrash[] =>
-	[...crashes.filter(({atMs}) => crash.atMs - atMs <= countedForMs), crash];
+	[...crashes.filter(({atMs}) => crash.atMs - atMs <= crashRetentionMs), crash];
 
-/** Whether the next run has to be kept apart. */
+/** Whether the next run has to start in quarantine. */
 export const isSuspect = (crashes: TaskCrash[]): boolean =>
-	crashes.length >= slowCrashes || crashes.some(({ageMs}) => ageMs <= promptMs);
+	crashes.length >= minSuspectCrashes || crashes.some(({ageMs}) => ageMs <= promptCrashMs);
 
-/** How long a run of a suspect is kept apart. */
+/** How long a run of a suspect stays in quarantine. */
 export const getQuarantineMs = (crashes: TaskCrash[]): number => {
 	let longestMs = 0;
 	for (const {ageMs} of crashes) {
 		longestMs = Math.max(longestMs, ageMs);
 	}
 
-	return Math.max(promptMs, outlastTimes * longestMs);
+	return Math.max(promptCrashMs, quarantineFactor * longestMs);
 };
 
-/** A host that crashes whatever it starts tells nothing of a task. */
+/** Whether a crash on the host is evidence against the task: another task has succeeded there since its last crash, or the task has not crashed there before. */
 const isHostSound = ({host, isHostProven}: TaskCrash, earlier: TaskCrash[]): boolean =>
 	isHostProven || earlier.every(crash => crash.host !== host);
 
-/** Whether the crash came in quarantine, with nothing newer on the worker. */
+/** Whether the run crashed in quarantine and was the newest on the worker. */
 const isInQuarantine = ({ageMs, isNewest}: TaskCrash, earlier: TaskCrash[]): boolean =>
 	isNewest && isSuspect(earlier) && ageMs <= getQuarantineMs(earlier);
 
-/** Whether the task is given up. Runs are numbered, so that it does not matter in which order crashes are heard of. */
+/** Whether the task fails because of its crashes. They are judged by run number, so the order in which they are reported does not matter. */
 export const isGivenUp = (crashes: TaskCrash[]): boolean => {
 	const hosts = new Set<string>();
 	const earlier: TaskCrash[] = [];
@@ -71,11 +72,11 @@
 		hosts.add(crash.host);
 	}
 
-	return soundCrashes >= maxSoundCrashes || (quarantineCrashes >= maxQuarantineCrashes && hosts.size > 1);
+	return soundCrashes >= maxSoundHostCrashes || (quarantineCrashes >= maxQuarantineCrashes && hosts.size > 1);
 };
 
-/** Chooses whom a crash counts for. A run in quarantine explains it; what ran beside that one is innocent. */
-export const chooseSuspects = <Aboard extends AboardTask>(aboard: Aboard[]): Aboard[] => {
-	const culprit = aboard.find(({crash, earlier}) => isInQuarantine(crash, earlier));
-	return culprit ? [culprit] : aboard.filter(({crash}) => crash.ageMs <= countedMs);
+/** Chooses the tasks that a crash is attributed to: only the one in quarantine if there is one, else all with a recent start. */
+export const chooseSuspects = <Resident extends AboardTask>(resident: Resident[]): Resident[] => {
+	const culprit = resident.find(({crash, earlier}) => isInQuarantine(crash, earlier));
+	return culprit ? [culprit] : resident.filter(({crash}) => crash.ageMs <= maxCountedAgeMs);
 };
--- a/src/workflows/crash-watch.ts
+++ b/src/workflows/crash-watch.ts
@@ -1,5 +1,5 @@
 /**
-Workers that crash under their tasks: takes what agents tell of them, decides which tasks each crash counts for, and stores it.
+Handles worker crashes that agents report: decides which tasks each crash is attributed to, and stores the result.
 */
 import {type Clock} from '../types/clock.ts';
 import {type CrashedRun, type WatchReply} from '../types/fleet.ts';
@@ -12,24 +12,24 @@
 import {type CrashedTask} from './records.ts';
 import {LossReason, type RunTracker} from './run-tracker.ts';
 
-/** Options of the watch. */
+/** Options of the monitor. */
 export type CrashWatchOptions = {
 	clock: Clock;
 	tracker: RunTracker;
-	/** Finds a task, also of a job that is over. */
+	/** Finds a task, also of a finished job. */
 	getTask: (ref: TaskRef) => LiveTask | undefined;
-	/** Writes crashes to the log; resolves to whether they are stored. */
+	/** Appends crashes to the jobs stream; resolves to whether they are stored. */
 	store: (crashes: CrashedTask[]) => Promise<boolean>;
-	/** The worker crashed, and the task is the likeliest cause, if it is not the worker itself. */
+	/** The worker crashed, and the task is the most likely cause other than the worker itself. */
 	onCulprit: (worker: FleetWorker, task: LiveTask) => void;
-	/** Workers have crashed under the task as often as they may. */
+	/** The task has reached the limit of worker crashes. */
 	onGivenUp: (task: LiveTask) => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-type Aboard = AboardTask & {task: LiveTask};
+type TaskOnWorker = AboardTask & {task: LiveTask};
 
-/** The watch. */
+/** Handles the worker crashes of one owner. */
 export class CrashWatch {
 	readonly #options: CrashWatchOptions;
 
@@ -37,23 +37,23 @@
 		this.#options = options;
 	}
 
-	/** Takes crashed runs from an agent's state. */
+	/** Handles the crashed runs in an agent's state. */
 	take(worker: FleetWorker, {agentLife, crashed}: WatchReply, nowMs: number): void {
-		const fresh = crashed.filter(({number}) => number > worker.takenCrash);
-		if (fresh.length === 0) {
+		const newRows = crashed.filter(({number}) => number > worker.takenCrash);
+		if (newRows.length === 0) {
 			return;
 		}
 
-		const counted: CrashedTask[] = [];
-		for (const workerId of new Set(fresh.map(row => row.workerId))) {
-			counted.push(...this.#judge(worker, fresh.filter(row => row.workerId === workerId), nowMs));
+		const attributed: CrashedTask[] = [];
+		for (const workerId of new Set(newRows.map(row => row.workerId))) {
+			attributed.push(...this.#handleCrash(worker, newRows.filter(row => row.workerId === workerId), nowMs));
 		}
 
-		worker.takenCrash = fresh.at(-1)!.number;
-		void this.#store(worker, agentLife, worker.takenCrash, counted);
+		worker.takenCrash = newRows.at(-1)!.number;
+		void this.#store(worker, agentLife, worker.takenCrash, attributed);
 	}
 
-	/** Only crashes that are in the log may be forgotten by the agent: a later owner has to learn of them. */
+	/** The agent may forget a crash only once the stream holds it, because a later owner needs it. */
 	async #store(worker: FleetWorker, agentLife: string, upTo: number, crashes: CrashedTask[]): Promise<void> {
 		const isStored = await this.#options.store(crashes);
 		if (isStored && worker.agentLife === agentLife) {
@@ -61,16 +61,16 @@
 		}
 	}
 
-	/** Takes the runs of one crash; gives the tasks that it counts for. */
-	#judge(worker: FleetWorker, rows: CrashedRun[], nowMs: number): CrashedTask[] {
-		const aboard = this.#findTasks(worker, rows);
+	/** Handles the runs of one crash; returns the crashes to be stored for the tasks that it is attributed to. */
+	#handleCrash(worker: FleetWorker, rows: CrashedRun[], nowMs: number): CrashedTask[] {
+		const resident = this.#findTasks(worker, rows);
 		worker.isProven = false;
 		const {workerId} = rows[0]!;
-		const suspects = chooseSuspects(aboard.filter(({task}) => !task.isDone && !task.step.workflow.isOver));
+		const suspects = chooseSuspects(resident.filter(({task}) => !task.isDone && !task.step.workflow.isOver));
 		this.#options.note('worker crashed', {
 			host: worker.host, workerId, runs: rows.length, suspects: suspects.length,
 		});
-		for (const {task, crash} of aboard) {
+		for (const {task, crash} of resident) {
 			task.lastRun = Math.max(task.lastRun, crash.run);
 			const live = task.runs.find(known => known.run === crash.run && known.workerId === workerId);
 			if (live) {
@@ -78,18 +78,18 @@
 			}
 		}
 
-		return suspects.flatMap(suspect => this.#count(worker, suspect));
+		return suspects.flatMap(suspect => this.#attribute(worker, suspect));
 	}
 
-	#findTasks({host, isProven}: FleetWorker, rows: CrashedRun[]): Aboard[] {
-		const aboard: Aboard[] = [];
+	#findTasks({host, isProven}: FleetWorker, rows: CrashedRun[]): TaskOnWorker[] {
+		const resident: TaskOnWorker[] = [];
 		for (const {taskId, run, ageMs} of rows) {
 			const ref = parseTaskId(taskId);
 			const task = ref && this.#options.getTask(ref);
 			if (task) {
-				// Members of a gang are one unit: none of them is newer than the others.
+				// Members of a gang are one unit: none of them counts as newer than the others.
 				const isNewest = rows.every(row => row.ageMs > ageMs || getUnit(task).some(member => member.taskId === row.taskId));
-				aboard.push({
+				resident.push({
 					task,
 					crash: {
 						run, ageMs: Math.round(ageMs), isNewest, host, isHostProven: isProven, atMs: this.#options.clock.now().getTime(),
@@ -99,10 +99,10 @@
 			}
 		}
 
-		return aboard;
+		return resident;
 	}
 
-	#count(worker: FleetWorker, {task, crash}: Aboard): CrashedTask[] {
+	#attribute(worker: FleetWorker, {task, crash}: TaskOnWorker): CrashedTask[] {
 		if (task.crashes.some(({run}) => run === crash.run)) {
 			return [];
 		}
--- a/src/workflows/entry-directory.ts
+++ b/src/workflows/entry-directory.ts
@@ -1,6 +1,6 @@
 /**
-Which other entries there are: each registers under its host's name, and reads the others' registrations now and then. What it
-has read holds while the store turns it away.
+Directory of the other entries: each entry registers under its host's name, and reads the others' registrations periodically.
+The last ones read stay in use while the store does not answer.
 */
 import {Buffer} from 'node:buffer';
 import {getMessage} from '../core/errors.ts';
@@ -14,7 +14,7 @@
 	store: StoreClient;
 	clock: Clock;
 	registration: EntryRegistration;
-	/** New with each start of the process. */
+	/** Incarnation: differs for each start of the process. */
 	life: string;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
@@ -59,7 +59,7 @@
 		}
 	}
 
-	/** Takes the registration back. */
+	/** Removes the registration. */
 	async leave(): Promise<void> {
 		this.#isLeaving = true;
 		await this.#write();
@@ -93,7 +93,7 @@
 		try {
 			const {records} = await store.newest(ref, signal);
 			this.#others = records.flatMap(({key, value}) => key === registration.host ? [] : this.#decode(key, value));
-			// A late call of an earlier life may have removed the registration.
+			// A late call of an earlier incarnation may have removed the registration.
 			return records.some(({key}) => key === registration.host) || await this.#register();
 		} catch (error) {
 			if (!signal.aborted) {
@@ -104,7 +104,7 @@
 		}
 	}
 
-	/** A record that cannot be read names no entry; the others hold. */
+	/** Decodes a registration; an invalid one is logged and ignored. */
 	#decode(host: string, value: Buffer): EntryRegistration[] {
 		try {
 			return [decodeEntry(value)];
--- a/src/workflows/evacuation-publisher.ts
+++ b/src/workflows/evacuation-publisher.ts
@@ -1,6 +1,6 @@
 /**
-Publishes to agents which failure domains are evacuated, on the control stream that they follow anyway. Agents refuse starts there
-themselves, also those of an owner that has not read the request.
+Publishes to agents which failure domains are evacuated, on the control stream that they already follow. Agents refuse starts
+in these domains, also from an owner that has not read the operators' request.
 */
 import {controlTopic, ControlType, encodeControl} from '../agents/control-records.ts';
 import {getMessage} from '../core/errors.ts';
@@ -21,7 +21,7 @@
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Published again after this part of the time that the store keeps records: an agent that starts reads what is kept. */
+/** Evacuations are published again after this share of the store's retention, because an agent that starts reads only retained records. */
 const repeatShare = 1 / 3;
 const retryMs = 150;
 const storeTimeoutMs = 1000;
@@ -40,12 +40,12 @@
 		this.#options = options;
 	}
 
-	/** Publishes what is new, and again what the store would let go; to be called every now and then. */
+	/** Publishes changes, and repeats evacuations before the store drops their record; to be called periodically. */
 	update(workers: Iterable<FleetWorker>): void {
 		const {clock, keptMs, getEvacuations} = this.#options;
 		const evacuations = getEvacuations();
 		const nowMs = clock.monotonicMs();
-		// What an earlier owner published may have been taken back since: an empty list is published once, too.
+		// An empty list is published once as well: an earlier owner may have published evacuations that have ended since.
 		const isDue = evacuations.asOf > this.#publishedAsOf
 			|| (evacuations.failureDomains.length > 0 && nowMs - this.#publishedAtMs > keptMs * repeatShare);
 		if (isDue && !this.#isSending && nowMs - this.#triedAtMs >= retryMs) {
@@ -59,7 +59,7 @@
 		}
 	}
 
-	/** Needs no order among writers: agents keep the record that holds up to the highest offset. */
+	/** Publishes without ordering among writers: agents keep the record with the highest `asOf`. */
 	async #publish(evacuations: Evacuations): Promise<void> {
 		const {store, clock, partition, epoch, note} = this.#options;
 		this.#isSending = true;
--- a/src/workflows/fleet-view.ts
+++ b/src/workflows/fleet-view.ts
@@ -1,5 +1,5 @@
 /**
-The owner's view of the workers of its service: what each has, what is taken, and whether it may be given more.
+The owner's view of the workers of its service: their capacity, their active runs, and whether they accept more.
 */
 import {type HealthSubject} from '../jobs/worker-health.ts';
 import {type Capacity, type WorkerReport} from '../types/fleet.ts';
@@ -8,59 +8,63 @@
 import {type Paces} from './fill-harm.ts';
 import {type LiveRun} from './live-model.ts';
 
-/** One worker with its agent, as last heard. */
+/** One worker with its agent, as last reported. */
 export type FleetWorker = {
 	host: string;
 	address: string;
+	/** Offset of the agent's newest known registration. */
 	session: number;
+	/** Incarnation of the agent. */
 	agentLife: string;
-	/** Last state taken from the agent. */
+	/** Version of the last state received from the agent. */
 	version: number;
 	report: WorkerReport | undefined;
+	/** Whether this incarnation of the agent has listed the worker's runs. */
 	isListed: boolean;
 	/** Whether the worker answers its agent. */
 	isAnswering: boolean;
-	/** When the last answer was handled, and the worker's clock in it. */
+	/** When the agent's last reply was handled, and the reading of the worker's clock in it. */
 	heardAtMs: number;
 	workerClockMs: number;
-	/** Steady clock of the agent's life. */
+	/** Estimate of the monotonic clock of the agent's incarnation. */
 	agentClock: PeerClock;
-	/** When the agent's silence began; undefined while it answers. */
+	/** Since when the agent does not answer; undefined while it does. */
 	silentSinceMs?: number;
-	/** When the store took the declaration that the agent is lost. */
+	/** When the declaration that the agent is lost was stored. */
 	lostAtMs?: number;
-	/** Registration that was declared lost. */
+	/** Session of the registration that was declared lost. */
 	lostSession?: number;
 	runs: Set<LiveRun>;
-	/** Whether the worker fails what it starts; held down and probed by what its runs come to. */
+	/** Health by the outcomes of its runs: whether the worker gets no tasks, or a single one as a probe. */
 	health: HealthSubject;
-	/** Ends up to this number were taken. */
+	/** Ends up to this number have been processed. */
 	takenEnd: number;
-	/** Ends up to this number are in the log. */
+	/** Ends up to this number are stored in the stream. */
 	storedEnd: number;
-	/** A task has succeeded there since the last crash that this owner heard of. */
+	/** Whether a task has succeeded there since the last crash that was reported to this owner. */
 	isProven: boolean;
-	/** Crashed runs up to this number of the agent's life were taken, and are in the log. */
+	/** Crashed runs up to this number have been processed; numbers restart with each incarnation of the agent. */
 	takenCrash: number;
+	/** Crashed runs up to this number are stored in the stream. */
 	storedCrash: number;
-	/** Nothing is placed before this; after refusals. */
+	/** Nothing is placed there before this; set after refusals. */
 	blockedUntilMs: number;
-	/** When a run that no job has was last told to stop. */
+	/** When a stop of a run of an unknown task was last ordered. */
 	unknownStopAtMs: number;
-	/** Speed that tasks that fill may work at, by image. */
+	/** Throttles of best-effort tasks, by image. */
 	paces: Paces;
-	/** Nothing may fill: a serving task has been over its target for too long. */
+	/** Whether best-effort tasks are stopped because a latency-critical one has exceeded its target for too long. */
 	isFillStopped: boolean;
-	/** What each image that fills used of the processors, over the last second or so. */
+	/** Processor use of each best-effort image, over the last second or so. */
 	fillUses: Array<{atMs: number; used: Map<string, number>}>;
-	/** When the harm of tasks that fill was last learned from. */
+	/** When the interference model was last updated from this worker. */
 	harmNotedAtMs: number;
 };
 
-/** Processors that a step's tasks take of a worker's capacity: what fills takes none. */
+/** Processors that a task of the step takes from a worker's capacity: best-effort tasks take none. */
 export const getMilliCpu = (step: WorkflowStep): number => step.isFilling ? 0 : step.milliCpu;
 
-/** Room that is free. */
+/** Capacity that active runs leave free. */
 export const getFreeRoom = (worker: FleetWorker): Capacity => {
 	const free = {milliCpu: 0, memoryMb: 0, accelerators: 0};
 	if (worker.report) {
@@ -78,14 +82,14 @@
 	return free;
 };
 
-/** Rack label of a worker: the one of the form `r…-…`; labels also hold the worker's kind. */
+/** Rack label of a worker: the one of the form `r…-…`; labels also contain the worker's kind. */
 export const getRack = (report: WorkerReport): string | undefined => report.labels.find(label => /^r\d*-/.test(label));
 
-/** Whether a task of the step may ever run on the worker. */
+/** Whether the worker has the label and the total capacity that a task of the step needs. */
 export const isSuited = (step: WorkflowStep, report: WorkerReport): boolean =>
 	(step.requiredLabel === undefined || report.labels.includes(step.requiredLabel))
 	&& getMilliCpu(step) <= report.milliCpu && step.memoryMb <= report.memoryMb && step.accelerators <= report.accelerators;
 
-/** Whether the task fits into the room. */
+/** Whether a task of the step fits into the free capacity. */
 export const isFitting = (step: WorkflowStep, free: Capacity): boolean =>
 	getMilliCpu(step) <= free.milliCpu && step.memoryMb <= free.memoryMb && step.accelerators <= free.accelerators;
--- a/src/workflows/fold.ts
+++ b/src/workflows/fold.ts
@@ -1,6 +1,6 @@
 /**
-What the jobs stream says: each job with its ends. Every entry folds the same records in the same order, so each gives
-the same answer.
+State of the jobs, derived by replaying (folding) the records of the jobs stream. Every entry folds the same records in the
+same order, so all derive the same state.
 */
 import {
 	parseTaskId, RunEnd, WorkflowState, type EndedRun, type TaskRef, type Workflow, type WorkflowStep,
@@ -10,36 +10,36 @@
 	RecordType, type CrashedTask, type HarmPair, type SavedRun, type TaskLedger, type WholeWorkflow, type WorkflowRecord,
 } from './records.ts';
 
-/** A job as folded. */
+/** State of one job. */
 export type FoldedWorkflow = {
 	workflow: Workflow;
-	/** Offset of its acceptance. */
+	/** Offset of the record that the job was added with. */
 	offset: number;
 	hasBegun: boolean;
 	state: WorkflowState;
-	/** By unit: a task, or a gang. */
+	/** By the id of the unit: a task, or a gang. */
 	ledgers: Map<string, TaskLedger>;
-	/** Units that still have to succeed; undefined: it never completes by itself. */
+	/** Number of units that have not succeeded; undefined: the job has long-running tasks and never completes by itself. */
 	remaining: number | undefined;
-	/** Wall clock at which the newest record of the whole job was written. */
+	/** Wall clock time of the job's newest snapshot, or of its submission. */
 	writtenAtMs: number;
-	/** Whether that record has its last state. */
+	/** Whether that snapshot holds the job's final state. */
 	isLastWritten: boolean;
 };
 
-/** What a fold tells its owner while it runs. */
+/** Callbacks of a fold to the owner of its partition. */
 export type FoldListener = {
 	onSubmit: (folded: FoldedWorkflow) => void;
-	/** The job is over: completed, failed or cancelled. */
+	/** The job has completed, failed or been cancelled. */
 	onFinal: (folded: FoldedWorkflow) => void;
 	onClaim: (epoch: number) => void;
 };
 
-/** Name of the unit that succeeds or fails as one: the gang's first task stands for all. */
+/** Id of the unit that succeeds or fails as one: a task, or a gang under the id of its first task. */
 export const getUnitId = ({workflowId, occurrence, step, index}: TaskRef, {isGang}: WorkflowStep): string =>
 	`${workflowId}.${occurrence}.${step}.${isGang ? 0 : index}`;
 
-/** How often the steps of a job run. */
+/** Number of times that the steps of a job run. */
 export const countOccurrences = ({repeatCount}: Workflow): number => Math.max(1, repeatCount);
 
 const countUnits = (workflow: Workflow): number | undefined => {
@@ -71,17 +71,17 @@
 export class WorkflowFold {
 	readonly workflows = new Map<string, FoldedWorkflow>();
 	listener: FoldListener | undefined;
-	/** What the newest owner wrote of images that harm each other. */
+	/** Interference between images as the owner last stored it. */
 	harm: HarmPair[] = [];
-	/** Newest claim. */
+	/** Epoch of the newest claim. */
 	epoch = 0;
 	/** Offset of the next record. */
 	offset = 0;
 	/**
-	Records of jobs that are not known: their first record is gone from the store, and the whole job comes later. Without
-	them, a cancellation between the two would be missed by whoever starts to read there.
+	Records of unknown jobs, by job: the store has dropped their first record, and their snapshot follows later in the stream.
+	They are applied after the snapshot; a reader that starts between the two would otherwise miss a cancellation.
 	*/
-	readonly #early = new Map<string, WorkflowRecord[]>();
+	readonly #awaitingSnapshot = new Map<string, WorkflowRecord[]>();
 
 	/** Applies the record at the offset. */
 	apply(record: WorkflowRecord, offset: number): void {
@@ -94,12 +94,12 @@
 			}
 
 			case RecordType.Submit: {
-				this.#submit(record.workflow, offset);
+				this.#addSubmitted(record.workflow, offset);
 				break;
 			}
 
 			case RecordType.Whole: {
-				this.#takeWhole(record.job, offset);
+				this.#applySnapshot(record.job, offset);
 				break;
 			}
 
@@ -108,7 +108,7 @@
 				if (folded) {
 					this.#finish(folded, WorkflowState.Cancelled);
 				} else {
-					this.#keepEarly(record.id, record);
+					this.#keepUntilSnapshot(record.id, record);
 				}
 
 				break;
@@ -116,7 +116,7 @@
 
 			case RecordType.Ends: {
 				for (const end of record.ends) {
-					this.#end(end);
+					this.#applyEnd(end);
 				}
 
 				break;
@@ -124,7 +124,7 @@
 
 			case RecordType.Crashes: {
 				for (const crash of record.crashes) {
-					this.#crash(crash);
+					this.#applyCrash(crash);
 				}
 
 				break;
@@ -132,7 +132,7 @@
 
 			case RecordType.Saved: {
 				for (const saved of record.runs) {
-					this.#save(saved);
+					this.#applyCheckpoint(saved);
 				}
 
 				break;
@@ -145,7 +145,7 @@
 
 			case RecordType.Begun: {
 				for (const id of record.ids) {
-					this.#begin(this.workflows.get(id));
+					this.#markStarted(this.workflows.get(id));
 				}
 
 				break;
@@ -153,7 +153,7 @@
 		}
 	}
 
-	/** Jobs of a queue that have not begun. */
+	/** Counts the jobs of a queue that have not started. */
 	countPending(queue: string): number {
 		let count = 0;
 		for (const {workflow, state} of this.workflows.values()) {
@@ -165,8 +165,8 @@
 		return count;
 	}
 
-	/** The first record of an id counts; the same job handed in again is one. */
-	#submit(workflow: Workflow, offset: number): void {
+	/** Adds a job. Only the first record of an id counts, so that a job that is submitted again is added once. */
+	#addSubmitted(workflow: Workflow, offset: number): void {
 		if (this.workflows.has(workflow.id)) {
 			return;
 		}
@@ -181,8 +181,8 @@
 		}
 	}
 
-	/** Takes a job of which no earlier record is kept; for one that is known it only tells that it was written again. */
-	#takeWhole({workflow, state, hasBegun, remaining, ledgers, writtenAtMs}: WholeWorkflow, offset: number): void {
+	/** Adds a job from its snapshot if its earlier records are gone; for a known job, only records that a snapshot was written. */
+	#applySnapshot({workflow, state, hasBegun, remaining, ledgers, writtenAtMs}: WholeWorkflow, offset: number): void {
 		const known = this.workflows.get(workflow.id);
 		if (known) {
 			known.writtenAtMs = writtenAtMs;
@@ -195,24 +195,24 @@
 		};
 		this.workflows.set(workflow.id, folded);
 		const nextOffset = this.offset;
-		for (const record of this.#early.get(workflow.id) ?? []) {
+		for (const record of this.#awaitingSnapshot.get(workflow.id) ?? []) {
 			this.apply(record, offset);
 		}
 
 		this.offset = nextOffset;
-		this.#early.delete(workflow.id);
+		this.#awaitingSnapshot.delete(workflow.id);
 		if (!isFinal(folded.state)) {
 			this.listener?.onSubmit(folded);
 		}
 	}
 
-	#keepEarly(id: string, record: WorkflowRecord): void {
-		const records = this.#early.get(id) ?? [];
+	#keepUntilSnapshot(id: string, record: WorkflowRecord): void {
+		const records = this.#awaitingSnapshot.get(id) ?? [];
 		records.push(record);
-		this.#early.set(id, records);
+		this.#awaitingSnapshot.set(id, records);
 	}
 
-	#begin(folded: FoldedWorkflow | undefined): void {
+	#markStarted(folded: FoldedWorkflow | undefined): void {
 		if (folded && !folded.hasBegun) {
 			folded.hasBegun = true;
 			if (folded.state === WorkflowState.Queued) {
@@ -221,12 +221,12 @@
 		}
 	}
 
-	#end({taskId, run, end, checkpoint}: EndedRun): void {
+	#applyEnd({taskId, run, end, checkpoint}: EndedRun): void {
 		const ref = parseTaskId(taskId);
 		const folded = ref && this.workflows.get(ref.workflowId);
 		const step = folded?.workflow.steps[ref!.step];
 		if (ref && !folded) {
-			this.#keepEarly(ref.workflowId, {
+			this.#keepUntilSnapshot(ref.workflowId, {
 				type: RecordType.Ends, ends: [{
 					taskId, run, end, checkpoint,
 				}],
@@ -237,7 +237,7 @@
 			return;
 		}
 
-		this.#begin(folded);
+		this.#markStarted(folded);
 		const ledger = getLedger(folded, getUnitId(ref, step));
 		ledger.lastRun = Math.max(ledger.lastRun, run);
 		if (checkpoint !== '') {
@@ -262,19 +262,19 @@
 		}
 	}
 
-	#crash({taskId, ...crash}: CrashedTask): void {
+	#applyCrash({taskId, ...crash}: CrashedTask): void {
 		const ref = parseTaskId(taskId);
 		const folded = ref && this.workflows.get(ref.workflowId);
 		const step = folded?.workflow.steps[ref!.step];
 		if (ref && !folded) {
-			this.#keepEarly(ref.workflowId, {type: RecordType.Crashes, crashes: [{taskId, ...crash}]});
+			this.#keepUntilSnapshot(ref.workflowId, {type: RecordType.Crashes, crashes: [{taskId, ...crash}]});
 		}
 
 		if (!ref || !folded || !step) {
 			return;
 		}
 
-		this.#begin(folded);
+		this.#markStarted(folded);
 		const ledger = getLedger(folded, getUnitId(ref, step));
 		ledger.lastRun = Math.max(ledger.lastRun, crash.run);
 		if (ledger.isDone || isFinal(folded.state) || ledger.crashes.some(({run}) => run === crash.run)) {
@@ -287,8 +287,8 @@
 		}
 	}
 
-	/** What is known of a run that goes on, for an owner that finds its worker gone. */
-	#save({taskId, run, checkpoint}: SavedRun): void {
+	/** Records the checkpoint of an active run, from which an owner resumes the task if the worker is lost. */
+	#applyCheckpoint({taskId, run, checkpoint}: SavedRun): void {
 		const ref = parseTaskId(taskId);
 		const folded = ref && this.workflows.get(ref.workflowId);
 		const step = folded?.workflow.steps[ref!.step];
--- a/src/workflows/follower.ts
+++ b/src/workflows/follower.ts
@@ -1,5 +1,5 @@
 /**
-Keeps the fold of one partition up to date, and proves on demand that it is.
+Keeps the fold of one partition up to date, and on demand waits until it has read to the stream's current end.
 */
 import {
 	ErrorCode, getErrorCode, getMessage, getOldestOffset,
@@ -18,38 +18,38 @@
 	onInvalid: (offset: number, detail: string) => void;
 };
 
-/** A read without news ends after this: a view is at most two such reads old while the store answers. */
+/** Long polls end after this even without new records: while the store answers, the fold is at most two of them behind. */
 const readWaitMs = 700;
 const retryMs = 150;
-/** Records gather for so long between two reads of an owner: jobs wait for it. Waiting for a first record costs nothing. */
-const ownerGatherMs = 8;
-/** The same where callers only ask: all entries read the stream, and each read is a call to the store that is paid for. */
-const readerGatherMs = 40;
+/** Pause between two reads of an owner, which lets records accumulate: short, because jobs wait for it. */
+const ownerReadPauseMs = 8;
+/** The same for an entry that only answers callers: longer, because all entries read the stream and each read costs a call to the store. */
+const readerReadPauseMs = 40;
 /**
-A read that gets no answer is tried again with half as much: on a slow link a megabyte takes longer than a reader waits, and
-asking for it again and again would never end.
+Size of the first read. A read without an answer is retried with half its size: on a slow link a megabyte takes longer than
+the time-out, and retries of the same size would never succeed.
 */
 const firstReadBytes = 32_768;
-/** A read that took longer is not followed by a larger one, which might take longer than a reader waits. */
-const growWithinMs = 150;
+/** The size grows only after a read that took at most this long: a larger one might exceed the time-out. */
+const maxReadMsToGrow = 150;
 const minReadBytes = 16_384;
 const maxReadBytes = 1_048_576;
 
-/** The follower. */
+/** Follows one partition. */
 export class WorkflowFollower {
 	readonly fold = new WorkflowFold();
-	/** Start of the last read that showed the end of the partition, on the monotonic clock. */
+	/** Start of the last read that reached the end of the partition, on the monotonic clock. */
 	provenAtMs = Number.NEGATIVE_INFINITY;
 	readonly #options: FollowerOptions;
 	#catchUp: Promise<void> | undefined;
 	#readBytes = firstReadBytes;
-	#mayReadMore = true;
+	#mayGrowReads = true;
 
 	constructor(options: FollowerOptions) {
 		this.#options = options;
 	}
 
-	/** Whether the end was seen once. */
+	/** Whether the end has been reached at least once. */
 	get isCaughtUp(): boolean {
 		return this.provenAtMs > Number.NEGATIVE_INFINITY;
 	}
@@ -62,7 +62,7 @@
 				const hasMore = await this.#read(this.isCaughtUp ? readWaitMs : 0, signal);
 				onStoreState(true, '');
 				if (!hasMore) {
-					await clock.sleep(this.fold.listener ? ownerGatherMs : readerGatherMs, signal);
+					await clock.sleep(this.fold.listener ? ownerReadPauseMs : readerReadPauseMs, signal);
 				}
 			} catch (error) {
 				if (signal.aborted) {
@@ -75,16 +75,16 @@
 		}
 	}
 
-	/** Reads to the end as of now; false when the store does not answer in time. */
+	/** Reads to the end as of the call; resolves to false if the store does not answer in time. */
 	async catchUp(timeoutMs: number): Promise<boolean> {
 		const {clock} = this.#options;
-		const askedAtMs = clock.monotonicMs();
-		const endAtMs = askedAtMs + timeoutMs;
-		while (this.provenAtMs < askedAtMs) {
-			// Many callers may ask at the same time: they share reads that begin after they asked.
+		const calledAtMs = clock.monotonicMs();
+		const endAtMs = calledAtMs + timeoutMs;
+		while (this.provenAtMs < calledAtMs) {
+			// Concurrent calls share one read; a call is done once a read that began after it has reached the end.
 			this.#catchUp ??= this.#readOnce(endAtMs - clock.monotonicMs());
 			await this.#catchUp;
-			if (this.provenAtMs < askedAtMs && clock.monotonicMs() >= endAtMs) {
+			if (this.provenAtMs < calledAtMs && clock.monotonicMs() >= endAtMs) {
 				return false;
 			}
 		}
@@ -101,7 +101,7 @@
 		try {
 			await this.#read(0, aborter.signal);
 		} catch {
-			// Told by the follower's own reads; here the time-out decides.
+			// The follower's own reads report the failure; here only the time-out counts.
 			await clock.sleep(retryMs, aborter.signal);
 		} finally {
 			timer.cancel();
@@ -109,7 +109,7 @@
 		}
 	}
 
-	/** Reads once; resolves to whether it got on and there is more to read. */
+	/** Reads once; resolves to whether the read brought records and there are more to read. */
 	async #read(waitMs: number, signal: AbortSignal): Promise<boolean> {
 		const {store, ref, clock} = this.#options;
 		const sentAtMs = clock.monotonicMs();
@@ -119,7 +119,7 @@
 		} catch (error) {
 			if (getErrorCode(error) === ErrorCode.StoreUnanswered && !signal.aborted) {
 				this.#readBytes = Math.max(minReadBytes, this.#readBytes / 2);
-				this.#mayReadMore = false;
+				this.#mayGrowReads = false;
 			}
 
 			const oldestOffset = getOldestOffset(error);
@@ -135,18 +135,18 @@
 		this.#apply(page);
 		if (this.fold.offset >= page.endOffset) {
 			this.provenAtMs = Math.max(this.provenAtMs, sentAtMs);
-			this.#mayReadMore = true;
+			this.#mayGrowReads = true;
 			return false;
 		}
 
-		if (this.#mayReadMore && clock.monotonicMs() - sentAtMs <= growWithinMs) {
+		if (this.#mayGrowReads && clock.monotonicMs() - sentAtMs <= maxReadMsToGrow) {
 			this.#readBytes = Math.min(maxReadBytes, this.#readBytes * 2);
 		}
 
 		return this.fold.offset > fromOffset;
 	}
 
-	/** Two reads may be on their way at once: records that are folded already are passed over. */
+	/** Applies records; skips those that are folded already, because two reads may be pending at once. */
 	#apply({records, oldestOffset}: StorePage): void {
 		if (this.fold.offset < oldestOffset) {
 			this.fold.offset = oldestOffset;
--- a/src/workflows/live-model.ts
+++ b/src/workflows/live-model.ts
@@ -1,5 +1,5 @@
 /**
-The owner's view of the jobs it runs: which steps are ready, which tasks wait, and which runs are out on workers.
+The owner's in-memory view of its jobs (workflows): which steps are ready, which tasks wait, and which runs are active on workers.
 */
 import {
 	formatTaskId, type TaskCrash, type TaskRef, type Workflow, type WorkflowStep,
@@ -11,10 +11,10 @@
 
 /** Phases of a run. */
 export enum RunPhase {
-	/** Ordered; not known whether it began. */
+	/** The start is ordered but not confirmed. */
 	Starting = 'starting',
 	Running = 'running',
-	/** Told to stop; its end is not listed yet. */
+	/** The stop is ordered; the worker has not listed the end yet. */
 	Stopping = 'stopping',
 }
 
@@ -24,36 +24,38 @@
 	run: number;
 	host: string;
 	workerId: string;
-	/** Life of the agent that took the order. */
+	/** Incarnation of the agent that the order was sent to. */
 	agentLife: string;
 	phase: RunPhase;
-	/** When it was ordered. */
+	/** When the start was ordered. */
 	sentAtMs: number;
-	/** The order's answer is still awaited. */
+	/** The agent has not answered the order yet. */
 	isOrderOut: boolean;
-	/** On the agent's clock: an order that comes later starts nothing. */
+	/** Time on the agent's clock after which the agent refuses the start. */
 	notAfterMs: number;
-	/** State of the agent that is known to include the run. */
+	/** Version of the agent's state that is known to include the run. */
 	confirmedVersion: number;
 	percent: number;
-	/** Progress from which on its speed is measured: what was saved before, or done unseen, does not count. */
+	/** Progress at which the speed measurement began: work resumed from a checkpoint or done before this owner saw the run does not count. */
 	basePercent: number;
-	/** Time at work since then, as at full speed. */
+	/** Time worked since `basePercent`, scaled to full speed. */
 	workedMs: number;
-	/** Until when `workedMs` is counted; undefined: not before the next listing. */
+	/** End of the time counted in `workedMs`; undefined: counting begins with the next listing. */
 	workedUntilMs: number | undefined;
+	/** Tail latency in ms of a latency-critical task, processors in use otherwise; over the last half second. */
 	recent: number;
-	/** Since when a serving task is over its target on end; undefined: it is not. */
+	/** Since when every reading of a latency-critical task exceeds its latency target; undefined: the last one did not. */
 	overSinceMs?: number;
-	/** The same but for single figures, and when it last was over its target. */
+	/** The same, but tolerating single readings within the target. */
 	mostlyOverSinceMs?: number;
+	/** When a reading last exceeded the target. */
 	overAtMs?: number;
-	/** Last time that `percent` rose. */
+	/** When `percent` last rose. */
 	progressAtMs: number;
 	stopSentAtMs: number;
-	/** Another run of the task counts: this one is stopped. */
+	/** The run is not needed, because its task or job has ended or another run of the task is active; it is to be stopped. */
 	isUnwanted: boolean;
-	/** Share of its speed that a filling task was last told to work at; undefined: an earlier owner may have told it. */
+	/** Last throttle ordered for a best-effort task, in percent of full speed; undefined: an earlier owner may have ordered one. */
 	pacePercent?: number;
 };
 
@@ -64,22 +66,22 @@
 	step: LiveStep;
 	/** Highest run number used. */
 	lastRun: number;
-	/** Numbers of the runs that failed; of any member, for a gang. */
+	/** Numbers of the failed runs; of all members, for a gang. */
 	failedRuns: Set<number>;
-	/** Crashes of workers that count for it; of any member, for a gang. */
+	/** Worker crashes attributed to the task; to any member, for a gang. */
 	crashes: TaskCrash[];
-	/** Crashes up to this run are no reason to keep it apart: a later run has lived. */
+	/** Crashes up to this run number no longer require quarantine, because a later run outlived its quarantine. */
 	clearedRun: number;
 	checkpoint: string;
-	/** The checkpoint that is in the stream. */
+	/** The checkpoint that the stream holds. */
 	storedCheckpoint: string;
 	isDone: boolean;
 	runs: LiveRun[];
-	/** Workers' hosts on which it failed, or stood still. */
+	/** Hosts of workers on which it failed or stalled. */
 	avoidedHosts: Set<string>;
-	/** Not started again before this; after a failure. */
+	/** Earliest time of the next start, after a failure. */
 	notBeforeMs: number;
-	/** Since when it waits. */
+	/** Since when the task is ready and has no run. */
 	waitsSinceMs: number;
 };
 
@@ -89,7 +91,7 @@
 	occurrence: number;
 	index: number;
 	spec: WorkflowStep;
-	/** Tasks of a job that serve have one load: it is followed under this name. */
+	/** Key of the learned load of a latency-critical step: all of its tasks share one load, across occurrences. */
 	servingName: string;
 	tasks: LiveTask[];
 	remaining: number;
@@ -103,17 +105,17 @@
 	/** By occurrence. */
 	occurrences: Map<number, LiveStep[]>;
 	nextOccurrence: number;
-	/** Completed, failed or cancelled: nothing of it is started any more. */
+	/** Completed, failed or cancelled: no task of it is started any more. */
 	isOver: boolean;
-	/** When it was handed in, on the owner's monotonic clock: time of day may jump. */
+	/** When it was submitted, on the owner's monotonic clock, because the wall clock may jump. */
 	receivedAtMs: number;
 };
 
-/** The jobs of one service that are not over. */
+/** Jobs of one partition that have not finished, and finished ones with active runs. */
 export class LiveModel {
 	readonly workflows = new Map<string, LiveWorkflow>();
 
-	/** Takes all jobs of the fold that are not over. */
+	/** Adds all jobs of the fold that have not finished. */
 	load(fold: WorkflowFold, wallMs: number, nowMs: number): void {
 		for (const folded of fold.workflows.values()) {
 			if (!isFinal(folded.state)) {
@@ -122,7 +124,7 @@
 		}
 	}
 
-	/** Takes a job. Clocks of hosts differ and may jump: a job that cannot be older than `maxAgeMs` is not taken for older. */
+	/** Adds a job. Its age is limited to `maxAgeMs`, because wall clocks of hosts differ and may jump. */
 	add(folded: FoldedWorkflow, wallMs: number, nowMs: number, maxAgeMs = Number.POSITIVE_INFINITY): LiveWorkflow {
 		const workflow: LiveWorkflow = {
 			folded,
@@ -137,14 +139,14 @@
 		return workflow;
 	}
 
-	/** Takes a job that is over, for the sake of its runs that are still out. */
+	/** Adds a finished job that still has active runs. */
 	recall(folded: FoldedWorkflow, wallMs: number, nowMs: number): LiveWorkflow {
 		const workflow = this.add(folded, wallMs, nowMs);
 		workflow.isOver = true;
 		return workflow;
 	}
 
-	/** Opens the occurrences of a job that are due; gives when the next one is. */
+	/** Opens the job's due occurrences; returns when the next one is due, undefined if there is none. */
 	openDue(workflow: LiveWorkflow, wallMs: number, nowMs: number): number | undefined {
 		const total = countOccurrences(workflow.spec);
 		while (!workflow.isOver && workflow.nextOccurrence < total) {
@@ -160,7 +162,7 @@
 		return undefined;
 	}
 
-	/** Drops jobs that are over and of which nothing is out on a worker any more. */
+	/** Removes finished jobs without active runs. */
 	dropOver(): void {
 		for (const [id, workflow] of this.workflows) {
 			if (workflow.isOver && isIdle(workflow)) {
@@ -169,12 +171,12 @@
 		}
 	}
 
-	/** Gets a task of a job that is taken. */
+	/** Gets a task of a job in the model. */
 	getTask(ref: TaskRef): LiveTask | undefined {
 		return this.workflows.get(ref.workflowId)?.occurrences.get(ref.occurrence)?.[ref.step]?.tasks[ref.index];
 	}
 
-	/** Notes that the unit of the task has succeeded; opens the steps that waited for it. */
+	/** Marks the unit of the task as succeeded and makes the steps ready that waited for it. */
 	finish(task: LiveTask, nowMs: number): void {
 		const {step} = task;
 		for (const member of getUnit(task)) {
@@ -185,15 +187,15 @@
 		}
 
 		if (step.remaining === 0) {
-			openReady(step.workflow, step.occurrence, nowMs);
+			markReadySteps(step.workflow, step.occurrence, nowMs);
 		}
 	}
 
-	/** Checkpoints of running tasks that the stream does not have; they count as stored from now on. */
+	/** Returns checkpoints of active runs that the stream does not hold, and marks them as stored. */
 	takeUnstored(): SavedRun[] {
 		const saved: SavedRun[] = [];
 		for (const workflow of this.workflows.values()) {
-			for (const {task, run} of workflow.isOver ? [] : getRuns(workflow)) {
+			for (const {task, run} of workflow.isOver ? [] : getActiveRuns(workflow)) {
 				if (task.checkpoint !== task.storedCheckpoint && !task.isDone) {
 					task.storedCheckpoint = task.checkpoint;
 					saved.push({taskId: task.taskId, run, checkpoint: task.checkpoint});
@@ -204,7 +206,7 @@
 		return saved;
 	}
 
-	/** Occurrences of jobs that end by themselves and are not over, with tasks that have not succeeded. */
+	/** Incomplete occurrences of unfinished jobs without long-running steps. */
 	openOccurrences(): LiveStep[][] {
 		return [...this.workflows.values()]
 			.filter(({isOver, spec}) => !isOver && spec.steps.every(step => !step.isLasting))
@@ -212,7 +214,7 @@
 			.filter(steps => steps.some(step => step.remaining > 0));
 	}
 
-	/** Steps of jobs that are not over, with tasks that have not succeeded. */
+	/** Incomplete steps of unfinished jobs. */
 	openSteps(): LiveStep[] {
 		return [...this.workflows.values()]
 			.filter(workflow => !workflow.isOver)
@@ -220,7 +222,7 @@
 			.filter(step => step.remaining > 0);
 	}
 
-	/** Tasks that may be started: ready, not done, and with no run out or one that wants a copy. */
+	/** Tasks that may be started: ready, not done, and either without an active run or in need of a copy. */
 	* waiting(nowMs: number, wantsCopy: (task: LiveTask) => boolean): Generator<LiveTask> {
 		for (const workflow of this.workflows.values()) {
 			if (workflow.isOver) {
@@ -248,19 +250,19 @@
 			return step;
 		});
 		workflow.occurrences.set(occurrence, steps);
-		openReady(workflow, occurrence, nowMs);
+		markReadySteps(workflow, occurrence, nowMs);
 	}
 }
 
-/** Tasks that succeed, fail and start as one: the task alone, or its gang. */
+/** Tasks that start, succeed and fail together: the fullPercent gang, or the task alone. */
 export const getUnit = (task: LiveTask): LiveTask[] => task.step.spec.isGang ? task.step.tasks : [task];
 
-/** When an occurrence is due, in ms since 1970; 0 for a job without times. */
+/** When an occurrence is due, in ms since 1970; 0 for a job that does not repeat. */
 export const getDueAtMs = ({repeatCount, firstDueMs, intervalMs}: Workflow, occurrence: number): number =>
 	repeatCount > 0 ? firstDueMs + (occurrence * intervalMs) : 0;
 
-/** Runs of a job that are out. */
-function * getRuns(workflow: LiveWorkflow): Generator<LiveRun> {
+/** Active runs of a job. */
+function * getActiveRuns(workflow: LiveWorkflow): Generator<LiveRun> {
 	for (const steps of workflow.occurrences.values()) {
 		for (const step of steps) {
 			for (const task of step.tasks) {
@@ -270,18 +272,18 @@
 	}
 }
 
-/** Whether no run of the job is out. */
-export const isIdle = (workflow: LiveWorkflow): boolean => getRuns(workflow).next().done === true;
+/** Whether the job has no active run. */
+export const isIdle = (workflow: LiveWorkflow): boolean => getActiveRuns(workflow).next().done === true;
 
-const whole = 100;
+const fullPercent = 100;
 
-/** How long the run takes to its end, by what it has done since it was first seen: it may have been resumed or adopted. */
+/** Estimated time to the run's end, from its speed since `basePercent`: it may have been resumed or adopted. */
 const getRemainingMs = ({percent, basePercent, workedMs, progressAtMs}: LiveRun, nowMs: number): number =>
-	percent > basePercent ? (workedMs * (whole - percent) / (percent - basePercent)) - (nowMs - progressAtMs) : Number.POSITIVE_INFINITY;
+	percent > basePercent ? (workedMs * (fullPercent - percent) / (percent - basePercent)) - (nowMs - progressAtMs) : Number.POSITIVE_INFINITY;
 
-/** Whether nothing of the job runs, or one run that ends within the time given. */
+/** Whether the job has no active run, or only one that is expected to end within the given time. */
 export const isIdleWithin = (workflow: LiveWorkflow, withinMs: number, nowMs: number): boolean => {
-	const [first, second] = getRuns(workflow);
+	const [first, second] = getActiveRuns(workflow);
 	return first === undefined || (second === undefined && first.phase === RunPhase.Running && getRemainingMs(first, nowMs) < withinMs);
 };
 
@@ -308,9 +310,9 @@
 	};
 };
 
-const openReady = (workflow: LiveWorkflow, occurrence: number, nowMs: number): void => {
+const markReadySteps = (workflow: LiveWorkflow, occurrence: number, nowMs: number): void => {
 	const steps = workflow.occurrences.get(occurrence)!;
-	// Steps without tasks are done at once, and may open others in turn: earlier steps have lower numbers.
+	// A step without tasks is complete at once and may make later steps ready in the same pass: a step depends only on lower indexes.
 	for (const step of steps) {
 		if (!step.isReady && step.spec.after.every(earlier => steps[earlier]!.remaining === 0 && !steps[earlier]!.spec.isLasting)) {
 			step.isReady = true;
--- a/src/workflows/loss-watch.ts
+++ b/src/workflows/loss-watch.ts
@@ -1,5 +1,5 @@
 /**
-Agents that stay silent: declares them lost, waits their leases out, and lets their tasks start elsewhere.
+Declares agents lost that do not answer, waits until their leases have expired, and then releases their tasks to start elsewhere.
 */
 import {
 	agentsTopic, controlTopic, ControlType, encodeControl,
@@ -11,7 +11,7 @@
 import {type FleetWorker} from './fleet-view.ts';
 import {LossReason, type RunTracker} from './run-tracker.ts';
 
-/** Options of the watch. */
+/** Options of the monitor. */
 export type LossWatchOptions = {
 	store: StoreClient;
 	clock: Clock;
@@ -24,19 +24,19 @@
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** An agent that was silent for so long is declared lost. Shorter cuts heal by themselves, and its tasks live on. */
-const lostAfterMs = 4000;
-/** An agent with nothing to run that was silent for so long is taken for gone: a later owner need not wait for it. */
+/** An agent with active runs is declared lost after this time without an answer. Runs survive shorter interruptions. */
+const declareLostAfterMs = 4000;
+/** The same for an agent without active runs: it is removed, so that a later owner need not wait for it. */
 const removedAfterMs = 8000;
-/** Added to the longest lease before tasks of a lost agent start elsewhere: ways and kills take some ms. */
+/** Added to the longest lease before tasks of a lost agent start elsewhere: calls and ending a run take some ms. */
 const lostSlackMs = 500;
 const retryMs = 150;
 const storeTimeoutMs = 1000;
 
-/** Longest time that leases go on after the store took a claim or a declaration. */
+/** Longest time that leases last after a claim or a declaration was stored. */
 export const getLeaseOverMs = (leaseHorizonMs: number): number => (leaseHorizonMs / (1 - workerClockSlowShare)) + lostSlackMs;
 
-/** The watch. */
+/** Detects the lost agents of one owner. */
 export class LossWatch {
 	readonly #options: LossWatchOptions;
 
@@ -44,23 +44,23 @@
 		this.#options = options;
 	}
 
-	/** Looks at all agents; to be called every now and then. */
+	/** Checks all agents; to be called periodically. */
 	check(): void {
 		const {clock, workers, leaseHorizonMs} = this.#options;
 		const nowMs = clock.monotonicMs();
 		for (const worker of workers.values()) {
 			const {silentSinceMs, lostSession, lostAtMs, runs} = worker;
-			const boundMs = runs.size > 0 ? lostAfterMs : removedAfterMs;
+			const boundMs = runs.size > 0 ? declareLostAfterMs : removedAfterMs;
 			if (silentSinceMs !== undefined && lostSession === undefined && nowMs - silentSinceMs >= boundMs) {
 				worker.lostSession = worker.session;
 				void this.#declare(worker);
 			} else if (lostAtMs !== undefined && nowMs - lostAtMs > getLeaseOverMs(leaseHorizonMs)) {
-				this.#takeLost(worker, nowMs);
+				this.#handleExpiredLeases(worker, nowMs);
 			}
 		}
 	}
 
-	/** Takes an agent back that has registered anew since it was declared lost: its leases were over before. */
+	/** Readmits an agent that has registered again since it was declared lost: its old leases had expired by then. */
 	readmit(worker: FleetWorker): void {
 		const {host, session, lostSession} = worker;
 		if (lostSession !== undefined && session > lostSession) {
@@ -70,8 +70,8 @@
 		}
 	}
 
-	/** The leases of a lost agent are over. It may have registered anew meanwhile, without being reached yet. */
-	#takeLost(worker: FleetWorker, nowMs: number): void {
+	/** Handles the expiry of a lost agent's leases. The agent may have registered again without having answered yet. */
+	#handleExpiredLeases(worker: FleetWorker, nowMs: number): void {
 		this.#options.tracker.loseAll(worker, LossReason.AgentLost, nowMs);
 		if (worker.session > worker.lostSession!) {
 			worker.lostSession = undefined;
@@ -82,7 +82,7 @@
 		}
 	}
 
-	/** The declaration is in the store before the leases are waited out: the agent reads it, or proves nothing more. */
+	/** Stores the declaration. The wait for the leases begins after that: the agent then either reads it or gets no new proof for its leases. */
 	async #declare(worker: FleetWorker): Promise<void> {
 		const {store, partition, epoch, clock, note, signal} = this.#options;
 		const {host, session} = worker;
@@ -105,7 +105,7 @@
 		}
 	}
 
-	/** Without the registration a later owner need not wait for this agent. Nothing is removed that changed meanwhile. */
+	/** Removes the registration unless it has changed, so that a later owner need not wait for this agent. */
 	async #removeRegistration(worker: FleetWorker): Promise<void> {
 		const {store, note} = this.#options;
 		const ref = {topic: agentsTopic, partition: 0};
--- a/src/workflows/order-sender.ts
+++ b/src/workflows/order-sender.ts
@@ -1,5 +1,5 @@
 /**
-Sends the owner's orders to agents, and takes their answers: starts, and stops until the ends are listed.
+Sends the owner's orders to agents and handles the answers: starts, and stops that are repeated until the ends are listed.
 */
 import {type Clock} from '../types/clock.ts';
 import {
@@ -20,20 +20,20 @@
 	tracker: RunTracker;
 	model: LiveModel;
 	getTicket: (step: LiveStep, workerId: string) => string | undefined;
-	/** How long a start that is ordered now may stay good. */
+	/** How long a start that is ordered now may stay valid. */
 	getStartGoodMs: () => number;
 	/** An agent knows a newer owner. */
 	onStaleEpoch: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Share of the newest start in the mean of what starts take. */
-const leadWeight = 0.1;
-/** Longer than a worker takes to stop a run; without an end in the list it is ordered again. */
+/** Weight of the newest start in the mean start latency. */
+const latencyWeight = 0.1;
+/** A stop is ordered again after this if its end is not listed: longer than a worker takes to stop a run. */
 const stopRetryMs = 700;
-/** Longer than the time between two listings of a worker. */
+/** Pause of a worker with an unknown run: longer than the time between two listings. */
 const unknownPauseMs = 1000;
-/** Pauses of a worker after a refusal, by what it says of how soon things change. */
+/** Pauses of a worker after a refusal, by how soon its reason may have changed. */
 const refusalPauseMs: Partial<Record<OrderRefusal, number>> = {
 	[OrderRefusal.NoRoom]: 300,
 	[OrderRefusal.Unhealthy]: 1000,
@@ -43,18 +43,18 @@
 	[OrderRefusal.Evacuated]: 500,
 };
 
-/** The sender. */
+/** Sends the orders of one owner. */
 export class OrderSender {
 	readonly #options: OrderSenderOptions;
-	#leadMs = 0;
+	#startLatencyMs = 0;
 
 	constructor(options: OrderSenderOptions) {
 		this.#options = options;
 	}
 
-	/** How long starts took of late from the decision to the agent's answer. */
+	/** Moving average of the time from the decision of a start to the agent's answer. */
 	get leadMs(): number {
-		return this.#leadMs;
+		return this.#startLatencyMs;
 	}
 
 	/** Orders starts that were decided. */
@@ -65,9 +65,9 @@
 		const byWorker = new Map<FleetWorker, {runs: LiveRun[]; notAfterMs: number}>();
 		for (const {task, worker} of starts) {
 			const {step} = task;
-			// Members of a gang share the number of their run.
+			// Members of a gang share the run number.
 			const lastRun = step.spec.isGang ? Math.max(...step.tasks.map(member => member.runs.length > 0 ? member.lastRun - 1 : member.lastRun)) : task.lastRun;
-			// A run is judged by the very time that its order says: a later one would let it begin after it was given up.
+			// The run and its order have the same expiry: with a later one in the order the run could begin after it was considered lost.
 			const orders = byWorker.get(worker) ?? {runs: [], notAfterMs: links.getNotAfterMs(worker, goodMs)};
 			byWorker.set(worker, orders);
 			orders.runs.push(tracker.open(task, worker, lastRun + 1, {nowMs, notAfterMs: orders.notAfterMs}));
@@ -78,7 +78,7 @@
 		}
 	}
 
-	/** Stops runs that nobody needs: of jobs that are over, copies of tasks that are done, and runs that do not count. */
+	/** Stops runs of finished jobs, copies of tasks that are done, and other unneeded runs; drops finished jobs. */
 	stopUnneeded(): void {
 		const {links, model, clock} = this.#options;
 		const nowMs = clock.monotonicMs();
@@ -94,7 +94,7 @@
 		model.dropOver();
 	}
 
-	/** Orders runs to stop; asked again until their ends are listed. */
+	/** Orders runs to stop; `stopUnneededRuns` repeats the order until their ends are listed. */
 	stop(worker: FleetWorker, runs: LiveRun[]): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const run of runs) {
@@ -107,7 +107,7 @@
 		}
 	}
 
-	/** What an unknown run takes of its worker is not known: nothing is placed there until it is gone. */
+	/** Stops a run of an unknown task. Nothing is placed on its worker meanwhile, because the capacity that it uses is unknown. */
 	stopUnknown(worker: FleetWorker, taskId: string, run: number): void {
 		const {clock, links, note} = this.#options;
 		const nowMs = clock.monotonicMs();
@@ -138,19 +138,19 @@
 			run.isOrderOut = false;
 			const answer = reply?.answers[index];
 			if (answer) {
-				this.#takeAnswer(worker, run, answer, {version: reply.version, nowMs});
+				this.#handleAnswer(worker, run, answer, {version: reply.version, nowMs});
 			}
 		}
 	}
 
-	#takeAnswer(worker: FleetWorker, run: LiveRun, {isDone, refusal}: WorkerAnswer, {version, nowMs}: {version: number; nowMs: number}): void {
+	#handleAnswer(worker: FleetWorker, run: LiveRun, {isDone, refusal}: WorkerAnswer, {version, nowMs}: {version: number; nowMs: number}): void {
 		const {tracker, note, onStaleEpoch} = this.#options;
 		if (!run.task.runs.includes(run)) {
 			return;
 		}
 
 		if (isDone) {
-			this.#leadMs += leadWeight * (nowMs - run.sentAtMs - this.#leadMs);
+			this.#startLatencyMs += latencyWeight * (nowMs - run.sentAtMs - this.#startLatencyMs);
 			tracker.confirm(run, version, nowMs);
 			return;
 		}
--- a/src/workflows/owner-log.ts
+++ b/src/workflows/owner-log.ts
@@ -1,5 +1,5 @@
 /**
-What an owner writes to the jobs stream: its claim, ends of runs, and which jobs have begun.
+Writes an owner's records to the jobs stream: its claim, ends of runs, started jobs, checkpoints, interference and snapshots.
 */
 import {
 	controlTopic, ControlType, encodeControl,
@@ -24,33 +24,33 @@
 	host: string;
 	epoch: number;
 	maxCallBytes: number;
-	/** How long the store keeps records. */
+	/** How long the store retains records. */
 	keptMs: number;
-	/** A newer owner has written to the stream. */
+	/** The stream refuses the records of this owner, because a newer one has written to it. */
 	onFenced: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Name under which every owner writes: the epoch tells them apart and keeps earlier ones out. */
+/** Producer name of all owners: their epochs differ, and the store fences off those with an older one. */
 const ownerProducer = 'owner';
-/** Ends gather for so long before they are stored: one call takes them all, and wakes all readers once. */
+/** Records are batched for this long: one call stores them all and wakes all readers once. */
 const gatherMs = 15;
-const begunEveryMs = 400;
-/** An owner that dies takes at most so much of what it learned with it. */
-const harmEveryMs = 3000;
-/** Workers save each second of work. */
-const savedEveryMs = 1000;
+const startedIntervalMs = 400;
+/** An owner that dies loses at most this much of what it has learned. */
+const interferenceIntervalMs = 3000;
+/** Workers save a checkpoint each second. */
+const checkpointIntervalMs = 1000;
 const retryMs = 150;
 const storeTimeoutMs = 1000;
 
-/** The log of one owner. */
+/** Writes the records of one owner. */
 export class OwnerLog {
 	readonly #options: OwnerLogOptions;
 	readonly #writer: ProducerWriter;
-	readonly #begun = new Set<string>();
-	#begunSentAtMs = 0;
-	#harmSentAtMs = 0;
-	#savedSentAtMs = 0;
+	readonly #started = new Set<string>();
+	#startedSentAtMs = 0;
+	#interferenceSentAtMs = 0;
+	#checkpointsSentAtMs = 0;
 	#lastEnds: Promise<boolean> = Promise.resolve(true);
 
 	constructor(options: OwnerLogOptions) {
@@ -71,8 +71,8 @@
 	}
 
 	/**
-	Fences off the owner before in the jobs stream, tells agents by the control stream, and reads the stream to its end.
-	Resolves to the offset behind the claim; undefined when a newer owner is known.
+	Acquires ownership: fences off the previous owner in the jobs stream, notifies agents on the control stream, and reads the
+	jobs stream to its end. Resolves to the next offset then; undefined if there is a newer owner.
 	*/
 	async claim(signal: AbortSignal): Promise<number | undefined> {
 		const {epoch, host, follower, clock} = this.#options;
@@ -81,12 +81,12 @@
 		}
 
 		while (!signal.aborted) {
-			const isTold = await this.#tellAgents();
-			if (isTold === false) {
+			const isNotified = await this.#notifyAgents();
+			if (isNotified === false) {
 				return undefined;
 			}
 
-			if (isTold && await follower.catchUp(storeTimeoutMs) && follower.fold.epoch >= epoch) {
+			if (isNotified && await follower.catchUp(storeTimeoutMs) && follower.fold.epoch >= epoch) {
 				return follower.fold.epoch === epoch ? follower.fold.offset : undefined;
 			}
 
@@ -96,67 +96,67 @@
 		return undefined;
 	}
 
-	/** Stores ends; resolves to whether these and all before are stored. */
+	/** Stores ends of runs; resolves to whether these and all earlier ones are stored. */
 	async storeEnds(ends: EndedRun[]): Promise<boolean> {
-		const before = this.#lastEnds;
-		const write = ends.length === 0 ? before : this.#write({type: RecordType.Ends, ends});
+		const earlier = this.#lastEnds;
+		const write = ends.length === 0 ? earlier : this.#write({type: RecordType.Ends, ends});
 		this.#lastEnds = (async () => {
-			const stored = await Promise.all([before, write]);
+			const stored = await Promise.all([earlier, write]);
 			return stored.every(Boolean);
 		})();
 		return this.#lastEnds;
 	}
 
-	/** Stores crashes that count for tasks; resolves to whether they are stored. */
+	/** Stores crashes that are attributed to tasks; resolves to whether they are stored. */
 	async storeCrashes(crashes: CrashedTask[]): Promise<boolean> {
 		return crashes.length === 0 || this.#write({type: RecordType.Crashes, crashes});
 	}
 
-	/** Notes that a first task of the job has started; stored with the next ones. */
+	/** Records that the first run of a job has started; `sendStarted` stores it. */
 	noteBegun(id: string): void {
-		this.#begun.add(id);
+		this.#started.add(id);
 	}
 
-	/** Stores what has begun, now and then. */
+	/** Stores which jobs have started, at most once per interval. */
 	sendBegun(): void {
 		const nowMs = this.#options.clock.monotonicMs();
-		if (this.#begun.size > 0 && nowMs - this.#begunSentAtMs >= begunEveryMs) {
-			this.#begunSentAtMs = nowMs;
-			const ids = [...this.#begun];
-			this.#begun.clear();
+		if (this.#started.size > 0 && nowMs - this.#startedSentAtMs >= startedIntervalMs) {
+			this.#startedSentAtMs = nowMs;
+			const ids = [...this.#started];
+			this.#started.clear();
 			void this.#write({type: RecordType.Begun, ids});
 		}
 	}
 
-	/** Writes how far runs are now and then: when hosts lose power together, nobody else knows. */
+	/** Stores checkpoints of active runs once per interval, in case all hosts that know them lose power together. */
 	keepSaved(getSaved: () => SavedRun[]): void {
 		const nowMs = this.#options.clock.monotonicMs();
-		if (nowMs - this.#savedSentAtMs < savedEveryMs) {
+		if (nowMs - this.#checkpointsSentAtMs < checkpointIntervalMs) {
 			return;
 		}
 
-		this.#savedSentAtMs = nowMs;
+		this.#checkpointsSentAtMs = nowMs;
 		const runs = getSaved();
 		if (runs.length > 0) {
 			void this.#write({type: RecordType.Saved, runs});
 		}
 	}
 
-	/** Writes what was learned of harm now and then: the next owner begins with it. */
+	/** Stores the learned interference once per interval, for the next owner. */
 	keepHarm(getPairs: () => HarmPair[]): void {
 		const nowMs = this.#options.clock.monotonicMs();
-		if (nowMs - this.#harmSentAtMs < harmEveryMs) {
+		if (nowMs - this.#interferenceSentAtMs < interferenceIntervalMs) {
 			return;
 		}
 
-		this.#harmSentAtMs = nowMs;
+		this.#interferenceSentAtMs = nowMs;
 		const pairs = getPairs();
 		if (pairs.length > 0) {
 			void this.#write({type: RecordType.Harm, pairs});
 		}
 	}
 
-	/** Writes jobs again whose records the store will let go. */
+	/** Writes snapshots of jobs whose records the store will drop, and forgets expired jobs. */
 	rewrite(): void {
 		const {follower: {fold}, clock, keptMs} = this.#options;
 		for (const record of getRewrites(fold, clock, keptMs)) {
@@ -166,8 +166,8 @@
 		forgetOld(fold, clock, keptMs);
 	}
 
-	/** Undefined: not known yet; false: a newer owner was there. */
-	async #tellAgents(): Promise<boolean | undefined> {
+	/** Stores the claim in the control stream; undefined: not known to be stored; false: there is a newer owner. */
+	async #notifyAgents(): Promise<boolean | undefined> {
 		const {store, partition, epoch, host, note} = this.#options;
 		try {
 			const {outcome} = await store.append({topic: controlTopic, partition}, [encodeControl({type: ControlType.Claim, epoch, owner: host})], {
--- a/src/workflows/owner-options.ts
+++ b/src/workflows/owner-options.ts
@@ -1,5 +1,5 @@
 /**
-What an owner of a partition is given.
+Options of the owner of a partition.
 */
 import {type AdviceClient} from '../types/advice.ts';
 import {type Clock} from '../types/clock.ts';
@@ -19,19 +19,20 @@
 	adviceClient: AdviceClient | undefined;
 	follower: WorkflowFollower;
 	partition: number;
-	/** Name of this entry. */
+	/** Host of this entry. */
 	host: string;
-	/** Higher than that of any owner before. */
+	/** Higher than that of all earlier owners. */
 	epoch: number;
 	leaseHorizonMs: number;
 	/** Time within which a cancelled job must have stopped. */
 	cancelMs: number;
 	getEvacuations: () => Evacuations;
-	/** When the newest heartbeat that the store has answered was sent. */
+	/** When the last answered heartbeat to the store was sent. */
 	getReachedAtMs: () => number;
 	maxCallBytes: number;
-	/** How long the store keeps records. */
+	/** How long the store retains records. */
 	keptMs: number;
+	/** Whether the agent's service belongs to the owned partition. */
 	isMine: (registration: AgentRegistration) => boolean;
 	policy: Policy;
 	/** A newer owner is known. */
--- a/src/workflows/owner.ts
+++ b/src/workflows/owner.ts
@@ -1,6 +1,6 @@
 /**
-The owner of the jobs of one partition: takes them over, keeps in touch with the agents of their workers, and starts,
-restarts and stops tasks.
+Owner of the jobs of one partition: takes the partition over, watches the agents of the workers, and starts, restarts
+and stops tasks.
 */
 import {agentsTopic} from '../agents/control-records.ts';
 import {WorkerHealth, type HealthSubject} from '../jobs/worker-health.ts';
@@ -37,14 +37,14 @@
 import {describeEnd} from './task-order.ts';
 import {ViewAge} from './view-age.ts';
 
-/** Things that depend on time alone are looked at this often. */
-const tickMs = 50;
-/** Caps the search for runs to move at a twentieth of the thread: each takes about as long as a cycle. */
+/** Interval of the periodic checks, which react to the passing of time alone. */
+const checkIntervalMs = 50;
+/** Limits the search for runs to relocate to 1/20 of the thread's time: one search takes about as long as a scheduling cycle. */
 const relocationRestFactor = 19;
-/** A worker that fails what others do well is tried again after this, then after twice as long. */
-const heldDownMs = 1000;
+/** First hold of a worker that fails tasks which succeed elsewhere; each further hold is twice as long. */
+const firstHoldMs = 1000;
 
-/** The owner. */
+/** Runs the jobs of one partition while it holds the newest epoch. */
 export class Owner {
 	readonly model = new LiveModel();
 	readonly links: AgentLinks;
@@ -55,20 +55,20 @@
 	readonly #losses: LossWatch;
 	readonly #crashes: CrashWatch;
 	readonly #quarantine: Quarantine;
-	readonly #paces: PaceKeeper;
+	readonly #throttleController: PaceKeeper;
 	readonly #advice: AdviceCache;
 	readonly #isAllowed: IsAllowed;
 	readonly #cycles: SchedulingCycles;
-	readonly #harm = new FillHarm();
-	readonly #times: RunTimes;
+	readonly #interference = new FillHarm();
+	readonly #runTimes: RunTimes;
 	readonly #aborter = createAborter();
 	readonly #meter: WorkMeter;
-	readonly #view: ViewAge;
-	readonly #due: DueOccurrences;
-	readonly #settling: Settling;
+	readonly #viewStaleness: ViewAge;
+	readonly #dueOccurrences: DueOccurrences;
+	readonly #reconciliation: Settling;
 	readonly #evacuationPublisher: EvacuationPublisher;
 	readonly #relocations: DutyCycle;
-	readonly #health = new WorkerHealth<HealthSubject>({maxTries: 1, holdMs: heldDownMs});
+	readonly #health = new WorkerHealth<HealthSubject>({maxTries: 1, holdMs: firstHoldMs});
 	#claimOffset = Number.POSITIVE_INFINITY;
 
 	constructor(options: OwnerOptions) {
@@ -78,14 +78,14 @@
 		this.#meter = new WorkMeter(clock, times => {
 			note('owner work', {jobs: model.workflows.size, ...times});
 		});
-		this.#view = new ViewAge(options);
-		this.#due = new DueOccurrences(model, clock);
+		this.#viewStaleness = new ViewAge(options);
+		this.#dueOccurrences = new DueOccurrences(model, clock);
 		this.#relocations = new DutyCycle(clock, relocationRestFactor);
 		this.#evacuationPublisher = new EvacuationPublisher(options);
-		this.#times = new RunTimes(policy[Mechanism.RunTimes]);
+		this.#runTimes = new RunTimes(policy[Mechanism.RunTimes]);
 		this.#log = new OwnerLog({
 			...options, onFenced: () => {
-				this.#depose('the stream has a newer owner');
+				this.#stepDown('the stream has a newer owner');
 			},
 		});
 		this.links = new AgentLinks({
@@ -94,18 +94,18 @@
 			getProvenAtMs: () => follower.fold.epoch === epoch ? follower.provenAtMs : Number.NEGATIVE_INFINITY,
 			onReply: (worker, reply) => {
 				this.#meter.measure('reply', () => {
-					this.#takeReply(worker, reply);
+					this.#handleReply(worker, reply);
 				});
 			},
 			onDeposed: newerEpoch => {
-				this.#depose(`an agent knows epoch ${newerEpoch}`);
+				this.#stepDown(`an agent knows epoch ${newerEpoch}`);
 			},
 		});
 		const requestCycle = () => {
 			this.#cycles.requestCycle();
 		};
 
-		this.#settling = new Settling({...options, links: this.links, onSettled: requestCycle});
+		this.#reconciliation = new Settling({...options, links: this.links, onSettled: requestCycle});
 		this.#runs = this.#createRunTracker(requestCycle);
 		const shared = {
 			clock, note, model, links: this.links, tracker: this.#runs,
@@ -117,13 +117,13 @@
 			clock,
 			note,
 			tracker: this.#runs,
-			getTask: ref => this.#recall(ref),
+			getTask: ref => this.#findTask(ref),
 			store: async crashes => this.#log.storeCrashes(crashes),
 			onCulprit: (worker, task) => {
 				this.#noteHealth(worker, task, false);
 			},
 			onGivenUp: task => {
-				this.#giveUp(task);
+				this.#failJob(task);
 			},
 		});
 		this.#cycles = new SchedulingCycles({
@@ -133,11 +133,11 @@
 			meter: this.#meter,
 			signal: this.#aborter.signal,
 			model: this.model,
-			harm: this.#harm,
-			times: this.#times,
+			harm: this.#interference,
+			times: this.#runTimes,
 			isAllowed: this.#isAllowed,
 			quarantine: this.#quarantine,
-			getWaiting: nowMs => this.#startable(nowMs),
+			getWaiting: nowMs => this.#getStartableTasks(nowMs),
 			getWorkers: nowMs => this.#getOpenWorkers(nowMs),
 			getRuns: () => [...this.links.workers.values()].flatMap(worker => [...worker.runs]),
 			getLeadMs: () => this.#sender.leadMs,
@@ -146,49 +146,49 @@
 			},
 		});
 		this.#sender = new OrderSender({
-			...shared, getTicket: (step, workerId) => this.#advice.getTicket(step, workerId), getStartGoodMs: () => this.#view.getStartGoodMs(), onStaleEpoch: () => {
-				this.#depose('an agent refused the epoch');
+			...shared, getTicket: (step, workerId) => this.#advice.getTicket(step, workerId), getStartGoodMs: () => this.#viewStaleness.getStartGoodMs(), onStaleEpoch: () => {
+				this.#stepDown('an agent refused the epoch');
 			},
 		});
 		this.#losses = new LossWatch({
 			...options, tracker: this.#runs, workers: this.links.workers, signal: this.#aborter.signal,
 		});
-		this.#paces = new PaceKeeper({...shared, harm: this.#harm});
+		this.#throttleController = new PaceKeeper({...shared, harm: this.#interference});
 	}
 
-	/** Takes the partition over and runs it until stopped or deposed. */
+	/** Claims the partition and runs its jobs until stopped or superseded by a newer owner. */
 	async run(): Promise<void> {
 		const {signal} = this.#aborter;
 		const {follower, clock, note, epoch, partition, policy} = this.#options;
 		const claimOffset = await this.#log.claim(signal);
 		if (claimOffset === undefined || signal.aborted) {
-			this.#depose('the claim is fenced');
+			this.#stepDown('the claim is fenced');
 			return;
 		}
 
 		this.#claimOffset = claimOffset;
-		this.#settling.begin();
+		this.#reconciliation.begin();
 		if (policy[Mechanism.HarmHandover]) {
-			this.#harm.restore(follower.fold.harm, clock.monotonicMs());
+			this.#interference.restore(follower.fold.harm, clock.monotonicMs());
 		}
 
 		this.model.load(follower.fold, clock.now().getTime(), clock.monotonicMs());
-		this.#listen(follower);
+		this.#subscribe(follower);
 		for (const workflow of this.model.workflows.values()) {
-			this.#due.schedule(workflow);
+			this.#dueOccurrences.schedule(workflow);
 		}
 
 		note('took over', {partition, epoch, jobs: this.model.workflows.size});
-		await Promise.all([this.links.run(signal), this.#tick(signal)]);
+		await Promise.all([this.links.run(signal), this.#runPeriodically(signal)]);
 	}
 
-	/** Stops at once; what runs goes on under its leases. */
+	/** Stops at once; active runs continue under their leases. */
 	stop(): void {
 		this.#aborter.abort();
 		this.#options.follower.fold.listener = undefined;
 	}
 
-	#depose(reason: string): void {
+	#stepDown(reason: string): void {
 		if (!this.#aborter.signal.aborted) {
 			this.#options.note('deposed', {partition: this.#options.partition, epoch: this.#options.epoch, reason});
 			this.stop();
@@ -205,18 +205,18 @@
 					this.#log.noteBegun(folded.workflow.id);
 				}
 			},
-			recall: ref => this.#recall(ref),
+			recall: ref => this.#findTask(ref),
 			onUnknown: (worker, taskId, run) => {
 				this.#sender.stopUnknown(worker, taskId, run);
 			},
 			onProgress: run => {
-				this.#times.note(run, {isDone: false});
+				this.#runTimes.note(run, {isDone: false});
 			},
 			onOutcome: (worker, run, isSuccess) => {
 				const {task} = run;
 				if (isSuccess) {
 					worker.isProven = true;
-					this.#times.note(run, {isDone: true});
+					this.#runTimes.note(run, {isDone: true});
 				} else {
 					task.avoidedHosts.add(worker.host);
 				}
@@ -224,7 +224,7 @@
 				this.#noteHealth(worker, task, isSuccess);
 			},
 			onExhausted: task => {
-				this.#giveUp(task);
+				this.#failJob(task);
 			},
 			onChange,
 			note,
@@ -241,14 +241,14 @@
 		}
 	}
 
-	#giveUp({ref, taskId, failedRuns, crashes, step: {workflow}}: LiveTask): void {
+	#failJob({ref, taskId, failedRuns, crashes, step: {workflow}}: LiveTask): void {
 		this.#options.note('job failed', {
 			id: ref.workflowId, taskId, failures: failedRuns.size, crashes: crashes.length,
 		});
 		workflow.isOver = true;
 	}
 
-	#listen(follower: WorkflowFollower): void {
+	#subscribe(follower: WorkflowFollower): void {
 		const {clock, note, epoch} = this.#options;
 		follower.fold.listener = {
 			onSubmit: folded => {
@@ -257,35 +257,35 @@
 					id: workflow.id, offset, queue: workflow.queue, steps: workflow.steps.map(step => step.count), ageMs: clock.now().getTime() - workflow.receivedAtMs,
 				});
 				const nowMs = clock.monotonicMs();
-				// It came after the last read that showed the end of the stream.
-				this.#due.schedule(this.model.add(folded, clock.now().getTime(), nowMs, nowMs - follower.provenAtMs));
+				// The record was written after the last read that reached the end of the stream, which bounds the job's age.
+				this.#dueOccurrences.schedule(this.model.add(folded, clock.now().getTime(), nowMs, nowMs - follower.provenAtMs));
 				this.#cycles.requestCycle();
 			},
 			onFinal: folded => {
-				this.#finish(folded);
+				this.#finishWorkflow(folded);
 			},
 			onClaim: claimed => {
 				if (claimed > epoch) {
-					this.#depose(`the stream shows epoch ${claimed}`);
+					this.#stepDown(`the stream shows epoch ${claimed}`);
 				}
 			},
 		};
 	}
 
-	async #tick(signal: AbortSignal): Promise<void> {
+	async #runPeriodically(signal: AbortSignal): Promise<void> {
 		const {clock} = this.#options;
 		while (!signal.aborted) {
 			this.#meter.measure('tick', () => {
-				this.#look();
+				this.#runPeriodicChecks();
 			});
-			await clock.sleep(tickMs, signal);
+			await clock.sleep(checkIntervalMs, signal);
 		}
 	}
 
-	#look(): void {
+	#runPeriodicChecks(): void {
 		const {clock, policy} = this.#options;
-		this.#due.open();
-		this.#settling.check();
+		this.#dueOccurrences.open();
+		this.#reconciliation.check();
 		this.#losses.check();
 		this.#evacuationPublisher.update(this.links.workers.values());
 		this.#sender.stopUnneeded();
@@ -295,7 +295,7 @@
 			this.#log.keepSaved(() => this.model.takeUnstored());
 		}
 
-		this.#log.keepHarm(() => this.#harm.getPairs());
+		this.#log.keepHarm(() => this.#interference.getPairs());
 		this.#advice.update(this.model.openSteps(), this.links.workers.values());
 		this.#relocations.tryRun(() => {
 			this.#relocate();
@@ -304,14 +304,14 @@
 		this.#cycles.requestCycle();
 	}
 
-	/** Jobs that were taken after the claim cannot have been started by anyone else. */
-	* #startable(nowMs: number): Generator<LiveTask> {
-		if (this.#view.isTooOld()) {
+	/** Tasks of jobs accepted after the claim need not wait for the reconciliation: no earlier owner can have started them. */
+	* #getStartableTasks(nowMs: number): Generator<LiveTask> {
+		if (this.#viewStaleness.isTooOld()) {
 			return;
 		}
 
 		for (const task of this.model.waiting(nowMs, task => this.#options.policy[Mechanism.StallMoves] && !isKeptApart(task) && wantsCopy(task, nowMs))) {
-			if (this.#settling.isSettled || task.step.workflow.folded.offset >= this.#claimOffset) {
+			if (this.#reconciliation.isSettled || task.step.workflow.folded.offset >= this.#claimOffset) {
 				yield task;
 			}
 		}
@@ -322,12 +322,12 @@
 		return getOpenWorkers(this.links.workers.values(), {nowMs, policy, evacuated: getEvacuations().failureDomains});
 	}
 
-	/** Moves what stands still, and what may not work where it is. */
+	/** Stops runs that are stalled, heavily throttled or about to be lost with a draining worker, so that their tasks start elsewhere. */
 	#relocate(): void {
 		const {clock, policy} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const moves = chooseMoves({
-			workers: this.links.workers.values(), nowMs, policy, hasPlace: createPlaceFinder(this.#getOpenWorkers(nowMs).filter(worker => !this.#quarantine.isClosed(worker)), {harm: this.#harm, isAllowed: this.#isAllowed, policy}),
+			workers: this.links.workers.values(), nowMs, policy, hasPlace: createPlaceFinder(this.#getOpenWorkers(nowMs).filter(worker => !this.#quarantine.isClosed(worker)), {harm: this.#interference, isAllowed: this.#isAllowed, policy}),
 		});
 		for (const {worker, run} of moves) {
 			this.#options.note('run moved', {
@@ -337,20 +337,20 @@
 		}
 	}
 
-	#takeReply(worker: FleetWorker, reply: WatchReply): void {
+	#handleReply(worker: FleetWorker, reply: WatchReply): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		this.#losses.readmit(worker);
 		this.#crashes.take(worker, reply, nowMs);
 		const runsBefore = worker.runs.size;
 		this.#runs.take(worker, reply, nowMs);
-		this.#paces.take(worker);
+		this.#throttleController.take(worker);
 		if (worker.runs.size !== runsBefore || !worker.isListed) {
 			this.#cycles.requestCycle();
 		}
 	}
 
-	/** Finds a task of a job that is over, for a run of it that is still out. */
-	#recall(ref: TaskRef): LiveTask | undefined {
+	/** Finds a task; loads the job into the model again if it has finished, for a run of it that is still active. */
+	#findTask(ref: TaskRef): LiveTask | undefined {
 		const {follower, clock} = this.#options;
 		const folded = follower.fold.workflows.get(ref.workflowId);
 		if (folded && isFinal(folded.state)) {
@@ -360,10 +360,10 @@
 		return this.model.getTask(ref);
 	}
 
-	#finish(folded: FoldedWorkflow): void {
+	#finishWorkflow(folded: FoldedWorkflow): void {
 		const workflow = this.model.workflows.get(folded.workflow.id);
 		if (workflow) {
-			this.#options.note('job over', describeEnd(workflow, this.#times, this.#options.clock.monotonicMs()));
+			this.#options.note('job over', describeEnd(workflow, this.#runTimes, this.#options.clock.monotonicMs()));
 			workflow.isOver = true;
 			this.#sender.stopUnneeded();
 			this.#cycles.requestCycle();
--- a/src/workflows/ownership.ts
+++ b/src/workflows/ownership.ts
@@ -1,13 +1,13 @@
 /**
-Which partitions this entry owns: the store's group deals them, and a partition changes hands only when its owner has
-given it up or has been silent. What the group says starts and stops owners; what keeps an owner that was replaced from
-doing harm is its epoch, which the stream and the agents check.
+Decides which partitions this entry owns. The entries are members of a group in the store, which assigns the partitions. A
+partition is reassigned only after its owner has released it or has missed its heartbeats. Assignments start and stop
+owners; a replaced owner that continues is fenced off by its epoch, which the stream and the agents check.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {type StoreClient} from '../types/store.ts';
 
-/** An owner at work. */
+/** A started owner of a partition. */
 export type RunningOwner = {
 	run(): Promise<void>;
 	stop(): void;
@@ -19,45 +19,45 @@
 	clock: Clock;
 	group: string;
 	topic: string;
-	/** New with each start of the process. */
+	/** Member name, see `formatMember`; differs for each start of the process. */
 	member: string;
 	minTtlMs: number;
 	/** Processors that this process may use. */
 	processors: number;
-	/** Workers that register with the site. */
+	/** Counts the workers that are registered with the site. */
 	countWorkers: () => Promise<number>;
 	/** Whether the entry at the address answers. */
 	isAlive: (address: string) => Promise<boolean>;
-	/** Start of the last read that showed the end of what this entry would own; negative infinity: it knows nothing yet. */
+	/** Start of the last read that reached the end of the jobs stream; negative infinity: none did yet. */
 	getProvenAtMs: () => number;
-	/** Whether the partition carries anything. */
+	/** Whether the partition has a service. */
 	isUsed: (partition: number) => boolean;
-	/** An owner is told when the newest heartbeat that the store has answered was sent, and tells when a newer one is known. */
+	/** The owner calls `onSuperseded` when it learns of a newer one; `getHeartbeatAtMs` returns when the last answered heartbeat was sent. */
 	createOwner: (partition: number, epoch: number, terms: {onDeposed: () => void; getReachedAtMs: () => number}) => RunningOwner;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** The group deals a silent member's partitions anew after this: the time that a dead owner's jobs wait. */
+/** The group reassigns the partitions of a member without heartbeats after this; jobs of a dead owner wait that long. */
 const ttlMs = 1200;
-/** A host that is short of processors is late without being dead: its timers fire late and its calls take long. */
-const busyTtlMs = 4000;
-/** The group waits for so many of the longest gaps between heartbeats seen of late. */
-const gapsAllowed = 3;
-/** A long gap is forgotten within a minute. */
+/** The same for an entry that is short of processors: its timers fire late and its calls take long, so late heartbeats do not mean that it is dead. */
+const slowEntryTtlMs = 4000;
+/** The time to live is at least this multiple of the longest recent gap between heartbeats. */
+const ttlGapFactor = 3;
+/** Decay of the longest gap per heartbeat: a long gap is forgotten within a minute. */
 const gapDecay = 0.99;
-/** What an owner uses grows with the workers that it keeps in touch with. */
-const processorsForWorker = 0.01;
-/** A host that lacks what the work needs gives way to one with so many times its processors; a smaller gain is not worth a change. */
-const muchMore = 1.5;
-/** How often a host looks whether it is needed, and whether it is still large enough. */
-const standbyEveryMs = 1000;
-const lookEveryMs = 2000;
-/** Services grow slowly; each count reads all registrations. */
-const countEveryMs = 10_000;
-/** Longer than it takes until a dead owner's partitions are dealt anew, and until entries that start anew are there. */
+/** Processors that an owner needs for each worker of the service. */
+const processorsPerWorker = 0.01;
+/** An entry with too few processors yields to one with at least this many times as many; a smaller gain does not justify a change of owner. */
+const yieldFactor = 1.5;
+/** How often an entry checks whether it is needed while on standby, and whether it is still large enough otherwise. */
+const standbyCheckIntervalMs = 1000;
+const checkIntervalMs = 2000;
+/** Interval of counting workers: each count reads all registrations, and services grow slowly. */
+const countIntervalMs = 10_000;
+/** A standby joins after this time without a better owner: longer than the reassignment of a dead owner's partitions and the restart of entries take. */
 const standbyAfterMs = 3000;
 
-/** Names a member by where its process answers, its processors and its life. */
+/** Formats a member name from the address of the process, its processors and its incarnation. */
 export const formatMember = (address: string, processors: number, life: string): string => `${address}/${processors}/${life}`;
 
 const parseMember = (member: string): {address: string; processors: number} => {
@@ -66,20 +66,20 @@
 };
 
 /**
-An owner that has seen nothing new for so long while its heartbeats came through leaves the jobs to an entry that reads. Its
-starts are held long before; a read that is tried again in smaller pieces takes several time-outs.
+An owner whose heartbeats are answered but whose reads have not reached the end of the stream for this long releases its
+jobs to another entry. It pauses scheduling long before. A read that is retried in smaller pieces takes several time-outs.
 */
-const giveUpAfterMs = 6000;
-/** An entry that joins has read to the end not longer ago than this: longer than a read without news may take. */
-const freshViewMs = 2500;
-/** Until the jobs are known. */
-const catchUpEveryMs = 20;
-/** Several calls may be lost or slow before the group takes the member for dead. */
-const joinEveryMs = 250;
-/** Half of the time after which the group takes the member for dead. */
-const lateJoinMs = ttlMs / 2;
-
-/** Ownership of one entry. */
+const releaseAfterMs = 6000;
+/** An entry joins only if it has read to the end of the stream within this time: longer than a read without new records takes. */
+const maxJoinStalenessMs = 2500;
+/** Interval of checking whether the stream has been read to its end. */
+const catchUpCheckIntervalMs = 20;
+/** Interval of heartbeats: several may be lost or slow before the group considers the member dead. */
+const heartbeatIntervalMs = 250;
+/** A longer gap between heartbeats is logged: half of the time after which the group considers the member dead. */
+const lateHeartbeatMs = ttlMs / 2;
+
+/** Membership of one entry in the group, and the owners of the partitions assigned to it. */
 export class Ownership {
 	readonly owners = new Map<number, RunningOwner>();
 	readonly #options: OwnershipOptions;
@@ -87,17 +87,17 @@
 	#isReached: boolean | undefined;
 	#isLeaving = false;
 	#isStandby = false;
-	/** So few processors that it is late whenever it owns. */
-	#isLate = false;
-	/** A join was sent, and no leave was answered since. */
+	/** Whether the entry has so few processors that its heartbeats are late whenever it owns jobs. */
+	#isSlow = false;
+	/** Whether a join was sent and no leave was answered since. */
 	#isMember = false;
 	#joining: Promise<void> = Promise.resolve();
 	#longestGapMs = 0;
-	#reachedAtMs = Number.NEGATIVE_INFINITY;
-	#ownedByOthersAtMs = Number.NEGATIVE_INFINITY;
+	#lastHeartbeatAtMs = Number.NEGATIVE_INFINITY;
+	#betterOwnerSeenAtMs = Number.NEGATIVE_INFINITY;
 	#workers = 0;
 	#countedAtMs = Number.NEGATIVE_INFINITY;
-	#joinedAtMs = Number.POSITIVE_INFINITY;
+	#heartbeatSentAtMs = Number.POSITIVE_INFINITY;
 
 	constructor(options: OwnershipOptions) {
 		this.#options = options;
@@ -105,19 +105,19 @@
 
 	/** Keeps the membership until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
-		await this.#waitForView(signal);
-		await this.#tryLook();
-		await Promise.all([this.#keepMembership(signal), this.#keepLooking(signal)]);
+		await this.#waitForCatchUp(signal);
+		await this.#tryUpdateStandby();
+		await Promise.all([this.#keepMembership(signal), this.#keepUpdatingStandby(signal)]);
 	}
 
-	/** Gives all partitions up for good, so that others need not wait. A join that came after would take them back. */
+	/** Releases all partitions for good, so that other entries get them at once. Waits for a pending join, which would acquire them again. */
 	async leave(): Promise<void> {
 		this.#isLeaving = true;
 		this.#stopOwners();
 
 		const {member, note} = this.#options;
 		try {
-			// On another connection the leave might come before it.
+			// On another connection the leave might overtake the join.
 			await Promise.allSettled([this.#joining]);
 			await this.#leaveGroup();
 			note('left group', {member});
@@ -127,9 +127,9 @@
 	}
 
 	/**
-	Heartbeats wait for nothing else: on a host that is short of processors each call takes hundreds of milliseconds, and a
-	member that looked around before each heartbeat was silent for longer than the group waits. Its jobs then went round
-	between such hosts, each takeover making the next owner late in turn.
+	Sends heartbeats, independently of the checks for a better owner. On a host that is short of processors each call takes
+	hundreds of milliseconds. With the checks before each heartbeat, gaps exceeded the group's time to live, and the jobs
+	moved from one such host to the next because each takeover delayed the heartbeats of the new owner as well.
 	*/
 	async #keepMembership(signal: AbortSignal): Promise<void> {
 		const {clock} = this.#options;
@@ -137,21 +137,21 @@
 			try {
 				if (this.#isStandby) {
 					await this.#withdraw();
-				} else if (this.#isMember && this.#getUnseenMs() > giveUpAfterMs) {
-					this.#options.note('jobs given up', {unseenMs: Math.round(this.#getUnseenMs())});
+				} else if (this.#isMember && this.#getStalenessMs() > releaseAfterMs) {
+					this.#options.note('jobs given up', {unseenMs: Math.round(this.#getStalenessMs())});
 					await this.#withdraw();
-					await this.#waitForView(signal);
+					await this.#waitForCatchUp(signal);
 				} else {
 					this.#joining = this.#join(signal);
 					await this.#joining;
 				}
 			} catch (error) {
 				this.#noteReached(false, getMessage(error));
-				// A store that is away says nothing about how late this host is.
-				this.#joinedAtMs = Number.POSITIVE_INFINITY;
+				// A gap during an outage of the store does not show that this host is late.
+				this.#heartbeatSentAtMs = Number.POSITIVE_INFINITY;
 			}
 
-			await clock.sleep(joinEveryMs, signal);
+			await clock.sleep(heartbeatIntervalMs, signal);
 		}
 	}
 
@@ -162,25 +162,25 @@
 		const share = await store.join({
 			group, member, topics: [topic], ttlMs: this.#getTtlMs(), generation: this.#generation,
 		});
-		this.#reachedAtMs = sentAtMs;
+		this.#lastHeartbeatAtMs = sentAtMs;
 		this.#noteReached(true, '');
 		this.#noteGap(sentAtMs);
 		if (!signal.aborted && !this.#isLeaving) {
-			this.#take(share.generation, new Set(share.partitions.map(({partition}) => partition)));
+			this.#applyAssignment(share.generation, new Set(share.partitions.map(({partition}) => partition)));
 		}
 	}
 
-	/** A process that has not read what it would own stays out: it would keep the jobs from an entry that knows them. */
-	async #waitForView(signal: AbortSignal): Promise<void> {
+	/** Waits until the stream has been read to its end: an owner that is behind would keep the jobs from an entry that is not. */
+	async #waitForCatchUp(signal: AbortSignal): Promise<void> {
 		const {clock, getProvenAtMs} = this.#options;
-		while (!signal.aborted && !this.#isLeaving && clock.monotonicMs() - getProvenAtMs() > freshViewMs) {
-			await clock.sleep(catchUpEveryMs, signal);
+		while (!signal.aborted && !this.#isLeaving && clock.monotonicMs() - getProvenAtMs() > maxJoinStalenessMs) {
+			await clock.sleep(catchUpCheckIntervalMs, signal);
 		}
 	}
 
-	/** How long the store has answered heartbeats beyond the last read that showed the end. */
-	#getUnseenMs(): number {
-		return this.#reachedAtMs - this.#options.getProvenAtMs();
+	/** Time from the last read that reached the end of the stream to the last answered heartbeat. */
+	#getStalenessMs(): number {
+		return this.#lastHeartbeatAtMs - this.#options.getProvenAtMs();
 	}
 
 	async #withdraw(): Promise<void> {
@@ -198,56 +198,56 @@
 
 	#getTtlMs(): number {
 		const {minTtlMs} = this.#options;
-		return this.#isLate ? Math.max(minTtlMs, busyTtlMs) : Math.max(minTtlMs, ttlMs, gapsAllowed * this.#longestGapMs);
+		return this.#isSlow ? Math.max(minTtlMs, slowEntryTtlMs) : Math.max(minTtlMs, ttlMs, ttlGapFactor * this.#longestGapMs);
 	}
 
-	/** Takes the time since the heartbeat before was sent, and tells a long one. */
+	/** Records the gap since the previous heartbeat was sent, and logs a long one. */
 	#noteGap(sentAtMs: number): void {
 		const {clock, note} = this.#options;
 		const nowMs = clock.monotonicMs();
-		const gapMs = nowMs - Math.min(sentAtMs, this.#joinedAtMs);
-		if (gapMs > lateJoinMs) {
+		const gapMs = nowMs - Math.min(sentAtMs, this.#heartbeatSentAtMs);
+		if (gapMs > lateHeartbeatMs) {
 			note('join late', {gapMs: Math.round(gapMs), callMs: Math.round(nowMs - sentAtMs), owned: [...this.owners.keys()]});
 		}
 
-		this.#longestGapMs = Math.max(Math.min(gapMs, busyTtlMs / gapsAllowed), gapDecay * this.#longestGapMs);
-		this.#joinedAtMs = sentAtMs;
+		this.#longestGapMs = Math.max(Math.min(gapMs, slowEntryTtlMs / ttlGapFactor), gapDecay * this.#longestGapMs);
+		this.#heartbeatSentAtMs = sentAtMs;
 	}
 
-	async #keepLooking(signal: AbortSignal): Promise<void> {
+	async #keepUpdatingStandby(signal: AbortSignal): Promise<void> {
 		const {clock} = this.#options;
 		while (!signal.aborted && !this.#isLeaving) {
-			await clock.sleep(this.#isStandby ? standbyEveryMs : lookEveryMs, signal);
-			await this.#tryLook();
+			await clock.sleep(this.#isStandby ? standbyCheckIntervalMs : checkIntervalMs, signal);
+			await this.#tryUpdateStandby();
 		}
 	}
 
-	/** What is not known changes nothing. */
-	async #tryLook(): Promise<void> {
+	/** Runs the check; a failed one changes nothing. */
+	async #tryUpdateStandby(): Promise<void> {
 		try {
-			await this.#look();
+			await this.#updateStandby();
 		} catch (error) {
 			this.#options.note('owners not known', {error: getMessage(error)});
 		}
 	}
 
 	/**
-	A host that is too slow for the work stays out while a better one owns, and looks now and then whether one does: on a
-	large service there may be none that is fast enough, and the best there is serves callers best. It joins as it starts, if
-	there is none yet: after a loss of all entries nobody waits.
+	Decides whether this entry stands by. An entry with too few processors for the service does so while a better one owns the
+	jobs, and checks regularly whether that is still the case: in a large service no entry may have enough, and then the best
+	one should own. If there is no better owner at its start it joins at once, so that jobs do not wait after a loss of all entries.
 	*/
-	async #look(): Promise<void> {
+	async #updateStandby(): Promise<void> {
 		const {clock, store, group, processors, note} = this.#options;
-		const needed = processorsForWorker * await this.#countWorkers();
+		const needed = processorsPerWorker * await this.#countWorkers();
 		const isSmall = processors < needed;
-		this.#isLate = processors * muchMore < needed;
-		const isOthers = isSmall && await this.#isOwnedByBetter(await store.getOwners(group), needed);
+		this.#isSlow = processors * yieldFactor < needed;
+		const hasBetterOwner = isSmall && await this.#isOwnedByLargerEntry(await store.getOwners(group), needed);
 		const nowMs = clock.monotonicMs();
-		if (isOthers) {
-			this.#ownedByOthersAtMs = nowMs;
+		if (hasBetterOwner) {
+			this.#betterOwnerSeenAtMs = nowMs;
 		}
 
-		const mustStandBy = isSmall && (isOthers || (this.#isStandby && nowMs - this.#ownedByOthersAtMs < standbyAfterMs));
+		const mustStandBy = isSmall && (hasBetterOwner || (this.#isStandby && nowMs - this.#betterOwnerSeenAtMs < standbyAfterMs));
 		if (mustStandBy !== this.#isStandby) {
 			note(mustStandBy ? 'standby' : 'standby steps in', {processors, needed});
 			this.#isStandby = mustStandBy;
@@ -256,7 +256,7 @@
 
 	async #countWorkers(): Promise<number> {
 		const nowMs = this.#options.clock.monotonicMs();
-		if (this.#workers === 0 || nowMs - this.#countedAtMs >= countEveryMs) {
+		if (this.#workers === 0 || nowMs - this.#countedAtMs >= countIntervalMs) {
 			this.#workers = await this.#options.countWorkers();
 			this.#countedAtMs = nowMs;
 		}
@@ -264,10 +264,10 @@
 		return this.#workers;
 	}
 
-	/** Whether an entry that does better owns, and lives: the group may list members that are dead. */
-	async #isOwnedByBetter(owners: string[], needed: number): Promise<boolean> {
+	/** Whether an entry with more processors owns the jobs and is alive: the group may list dead members. */
+	async #isOwnedByLargerEntry(owners: string[], needed: number): Promise<boolean> {
 		const {member, processors, isAlive} = this.#options;
-		const enough = Math.min(needed, processors * muchMore);
+		const enough = Math.min(needed, processors * yieldFactor);
 		const better = owners.filter(owner => owner !== member && parseMember(owner).processors >= enough);
 		const alive = await Promise.all(better.map(async owner => isAlive(parseMember(owner).address)));
 		return alive.some(Boolean);
@@ -280,7 +280,7 @@
 		}
 	}
 
-	#take(generation: number, partitions: Set<number>): void {
+	#applyAssignment(generation: number, partitions: Set<number>): void {
 		const {isUsed, createOwner, note} = this.#options;
 		for (const [partition, owner] of this.owners) {
 			if (!partitions.has(partition)) {
@@ -298,7 +298,7 @@
 					onDeposed: () => {
 						this.owners.delete(partition);
 					},
-					getReachedAtMs: () => this.#reachedAtMs,
+					getReachedAtMs: () => this.#lastHeartbeatAtMs,
 				});
 				this.owners.set(partition, owner);
 				void owner.run();
--- a/src/workflows/records.ts
+++ b/src/workflows/records.ts
@@ -1,5 +1,5 @@
 /**
-Records of the jobs stream of a service. One partition orders acceptance, cancellation, ends of runs and ownership.
+Records of the jobs stream of a service. Acceptance, cancellation, ends of runs and claims of ownership are in one partition and so have one order.
 */
 import {Buffer} from 'node:buffer';
 import {
@@ -7,70 +7,72 @@
 } from '../types/workflows.ts';
 import {Fields, parseFields} from '../utils/fields.ts';
 
-/** What is being done, for errors. */
+/** Name of the operation in errors. */
 const step = 'read job record';
 
-/** Topic of the jobs streams; the partition is that of the service. */
+/** Topic of the jobs streams; the service determines the partition. */
 export const workflowsTopic = 'workflows';
 
 /** Kinds of records. */
 export enum RecordType {
-	/** From here on, jobs are run by this owner and no earlier one. */
+	/** A new owner has acquired the partition; earlier owners are fenced off from here on. */
 	Claim = 'claim',
 	Submit = 'submit',
 	Cancel = 'cancel',
-	/** Runs that ended; written by the owner. */
+	/** Ends of runs; written by the owner. */
 	Ends = 'ends',
-	/** Workers that crashed under runs; written by the owner. */
+	/** Worker crashes that are attributed to tasks; written by the owner. */
 	Crashes = 'crashes',
-	/** Jobs of which a first task has started; written by the owner, some time later. */
+	/** Jobs whose first run has started; written by the owner with a delay. */
 	Begun = 'begun',
-	/** All that is known of a job, written again by the owner before the store lets its first record go. */
+	/** Snapshot of a job: its complete state, written by the owner before the store drops the job's first record. */
 	Whole = 'whole',
-	/** How far runs are that go on, as their workers have saved it; written by the owner, some time later. */
+	/** Checkpoints of active runs; written by the owner with a delay. */
 	Saved = 'saved',
-	/** What the owner has learned of images that harm each other, for the next owner. */
+	/** Interference between images as learned by the owner, for the next owner. */
 	Harm = 'harm',
 }
 
-/** A crash that counts for a task. */
+/** A worker crash that is attributed to a task. */
 export type CrashedTask = TaskCrash & {taskId: string};
 
-/** Newest checkpoint of a run that goes on. */
+/** Newest checkpoint of an active run. */
 export type SavedRun = {
 	taskId: string;
 	run: number;
 	checkpoint: string;
 };
 
-/** Learned effect of an image that fills on one that serves. */
+/** Learned interference of a best-effort image with a latency-critical one. */
 export type HarmPair = {
+	/** Latency-critical image. */
 	server: string;
+	/** Best-effort image. */
 	filler: string;
-	/** Of a tenth of a worker, and how far it may be off. */
+	/** Effect of using a tenth of a worker's processors, and its standard deviation. */
 	mean: number;
 	deviation: number;
 };
 
-/** A job with its ends so far. */
+/** Snapshot of a job. */
 export type WholeWorkflow = {
 	workflow: Workflow;
 	state: WorkflowState;
 	hasBegun: boolean;
 	remaining: number | undefined;
 	ledgers: Array<[unitId: string, ledger: TaskLedger]>;
-	/** Wall clock of the owner as it wrote this. */
+	/** Wall clock time of the owner when it wrote the snapshot. */
 	writtenAtMs: number;
 };
 
-/** What is known of a task that ended at least once. A gang has one ledger for all of its members. */
+/** State of a task with at least one ended, crashed or checkpointed run. A gang has one ledger for all of its members. */
 export type TaskLedger = {
 	isDone: boolean;
-	/** Numbers of the runs that failed. */
+	/** Numbers of the failed runs. */
 	failedRuns: number[];
-	/** Crashes of workers that count for it. */
+	/** Worker crashes attributed to the task. */
 	crashes: TaskCrash[];
-	/** Highest number of a run that ended. */
+	/** Highest run number in any record. */
 	lastRun: number;
 	checkpoint: string;
 };
--- a/src/workflows/relaying-api.ts
+++ b/src/workflows/relaying-api.ts
@@ -1,6 +1,6 @@
 /**
-Jobs at an entry that the store turns away while it serves others: what this entry cannot do, it asks of another one. Callers on
-an open connection would else be refused, or shown an old state, beside entries that can serve them.
+Job API that relays to other entries what this entry cannot do because the store refuses or does not answer its calls. Callers
+on an open connection would otherwise be refused, or get an old state, although other entries can serve them.
 */
 import {ErrorCode, getMessage, isError} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -14,7 +14,7 @@
 
 /** Options of the API. */
 export type RelayingApiOptions = {
-	/** Jobs as this entry offers them by itself. */
+	/** Job API of this entry alone. */
 	local: JobApi;
 	client: EntryClient;
 	clock: Clock;
@@ -24,31 +24,31 @@
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** The store answers within some ms; an entry that has had no answer for so long asks others beside its own try. */
+/** A submission is relayed in parallel if the store, which normally answers within some ms, has not accepted it after this. */
 const relayAfterMs = 250;
 const maxTries = 3;
-/** Until it is known that the store is lost here, it may be away for all: each entry asked would be one more delay of a refusal. */
+/** Entries asked while the store is not known to be lost: it may be unavailable to all entries, and each one asked delays the refusal. */
 const maxEarlyTries = 1;
-/** Another entry writes to the store for it; one that cannot says so at once. */
+/** Another entry writes to the store within this; one that cannot refuses at once. */
 const submitTimeoutMs = 800;
 const lookupTimeoutMs = 300;
-/** An entry that could not help is not asked again for so long. */
+/** An entry that could not serve a call is not asked again for this long. */
 const skipMs = 1000;
-/** One that no connection was made to has most likely lost its host, and its registration stays: each try makes a caller wait. */
+/** The same for an entry to which no connection could be made: its host is most likely lost, its registration remains, and each attempt delays a caller. */
 const unreachedSkipMs = 10_000;
 
-/** Callers give up long before so many more have come. */
+/** Bound on the jobs in `#open`: the callers of the oldest ones stop retrying long before as many new ones come. */
 const maxOpen = 10_000;
 
-/** Asks one entry; undefined: it cannot help. */
+/** Asks one entry; resolves to undefined if it cannot serve the call. */
 type Ask<Reply> = (address: string, timeoutMs: number) => Promise<Reply | undefined>;
 
-/** The API. */
+/** Job API of an entry with the help of others. */
 export class RelayingApi implements JobApi {
 	readonly #options: RelayingApiOptions;
-	/** Until when entries that could not help are skipped, by address. */
+	/** Until when entries are skipped, by address. */
 	readonly #skippedUntilMs = new Map<string, number>();
-	/** Jobs that another entry may have taken without an answer. */
+	/** Jobs that another entry may have accepted without an answer. */
 	readonly #open = new Set<string>();
 	#next = 0;
 
@@ -60,12 +60,12 @@
 		return this.#options.local.getConfig();
 	}
 
-	/** A job that two entries have written is one job: it is safe to ask another while the own try is open. */
+	/** Submits to this entry and, if that takes long or fails, to others in parallel. A job that two entries have written is run once. */
 	async submit(queue: QueueConfig, id: string, spec: WorkflowSpec, timeoutMs: number): Promise<SubmitReply> {
 		const {local, clock} = this.#options;
 		const endAtMs = clock.monotonicMs() + timeoutMs;
 		const own = local.submit(queue, id, spec, timeoutMs);
-		const early = await this.#within(own, relayAfterMs);
+		const early = await this.#settleWithin(own, relayAfterMs);
 		if (early?.outcome === SubmitOutcome.Accepted) {
 			return early;
 		}
@@ -86,7 +86,7 @@
 		}
 
 		const known = await local.getState(queue, id, 0);
-		if (isOver(known)) {
+		if (isFinished(known)) {
 			return known;
 		}
 
@@ -94,7 +94,7 @@
 			const state = await client.getState(address, {queue: queue.name, id}, askMs);
 			return state.outcome === LookupOutcome.Unknown ? undefined : state;
 		});
-		// A job that was read here exists, whatever another entry has not read yet.
+		// A job that this entry has read exists, even if the other entry has not read it yet.
 		return reply === undefined || (reply.outcome === LookupOutcome.Absent && known.outcome === LookupOutcome.Found) ? known : reply;
 	}
 
@@ -105,7 +105,7 @@
 		}
 
 		const known = await local.getState(queue, id, 0);
-		if (isOver(known)) {
+		if (isFinished(known)) {
 			return LookupOutcome.Found;
 		}
 
@@ -120,7 +120,7 @@
 		return this.#options.local.countPending(queue);
 	}
 
-	/** That the job never runs is said only if no entry that was asked can have taken it. */
+	/** Submits to other entries. Resolves to not accepted only if none of those asked can have accepted the job. */
 	async #submitElsewhere(queue: QueueConfig, id: string, spec: WorkflowSpec, endAtMs: number): Promise<SubmitReply> {
 		const {client} = this.#options;
 		let isOpen = false;
@@ -150,7 +150,7 @@
 		}
 	}
 
-	/** Asks entries one after the other until one can help. */
+	/** Asks entries one after the other until one can serve the call. */
 	async #ask<Reply>(kind: string, id: string, {timeoutMs, endAtMs}: {timeoutMs: number; endAtMs: number}, ask: Ask<Reply>): Promise<{reply?: Reply; isUnanswered: boolean}> {
 		const {clock, note} = this.#options;
 		let isUnanswered = false;
@@ -186,7 +186,7 @@
 		return {isUnanswered};
 	}
 
-	/** The one that helped last goes first. */
+	/** Chooses the entries to ask; the one that served the last call is first. */
 	#choose(): EntryRegistration[] {
 		const nowMs = this.#options.clock.monotonicMs();
 		const others = this.#options.getOthers();
@@ -196,7 +196,7 @@
 			.slice(0, this.#options.isStoreLost() ? maxTries : maxEarlyTries);
 	}
 
-	async #within<Value>(promise: Promise<Value>, boundMs: number): Promise<Value | undefined> {
+	async #settleWithin<Value>(promise: Promise<Value>, boundMs: number): Promise<Value | undefined> {
 		const aborter = new AbortController();
 		const expire = async (): Promise<undefined> => {
 			await this.#options.clock.sleep(boundMs, aborter.signal);
@@ -208,7 +208,7 @@
 	}
 }
 
-const isOver = ({outcome, state}: StateReply): boolean => outcome === LookupOutcome.Found && isFinal(state!);
+const isFinished = ({outcome, state}: StateReply): boolean => outcome === LookupOutcome.Found && isFinal(state!);
 
 const requireAccepted = async (reply: Promise<SubmitReply>): Promise<SubmitReply> => {
 	const known = await reply;
@@ -219,7 +219,7 @@
 	return known;
 };
 
-/** What an entry does for another one: by itself, and only while its own calls to the store succeed. */
+/** Job API of an entry for others: serves them without relaying, and only while its own calls to the store succeed. */
 export const createRelayTarget = (local: JobApi, isStoreFailing: () => boolean): Omit<JobApi, 'getConfig' | 'countPending'> => ({
 	async submit(queue, id, spec, timeoutMs) {
 		return isStoreFailing()
--- a/src/workflows/rewriter.ts
+++ b/src/workflows/rewriter.ts
@@ -1,27 +1,27 @@
 /**
-Writes jobs again before the store lets their records go: it keeps records for some minutes, and jobs last for hours.
+Chooses the jobs to write snapshots of: the store retains records for some minutes, and jobs run for hours.
 */
 import {type Clock} from '../types/clock.ts';
 import {isFinal, type FoldedWorkflow, type WorkflowFold} from './fold.ts';
 import {RecordType, type WorkflowRecord} from './records.ts';
 
-/** A job is written again after this part of the time that the store keeps records: two more chances remain. */
-const rewriteShare = 1 / 3;
-/** Jobs written at a time, so that ends do not wait behind them. */
-const maxAtOnce = 20;
+/** A snapshot is due after this share of the store's retention, which leaves time for two retries. */
+const snapshotShare = 1 / 3;
+/** Maximum of snapshots at a time, so that ends of runs do not wait behind them. */
+const maxSnapshots = 20;
 
-/** Chooses the jobs that are to be written again, with their records. One that is over is written once more. */
+/** Creates the due snapshots. A finished job gets one last snapshot. */
 export const getRewrites = (fold: WorkflowFold, clock: Clock, keptMs: number): WorkflowRecord[] => {
 	const wallMs = clock.now().getTime();
 	const records: WorkflowRecord[] = [];
 	for (const folded of fold.workflows.values()) {
-		if (records.length >= maxAtOnce) {
+		if (records.length >= maxSnapshots) {
 			break;
 		}
 
-		if (!folded.isLastWritten && wallMs - folded.writtenAtMs > keptMs * rewriteShare) {
-			records.push({type: RecordType.Whole, job: getWhole(folded, wallMs)});
-			// Not again before the record is read back; a lost one is written a third later.
+		if (!folded.isLastWritten && wallMs - folded.writtenAtMs > keptMs * snapshotShare) {
+			records.push({type: RecordType.Whole, job: createSnapshot(folded, wallMs)});
+			// Not due again until this record is read back; if it is lost, it is due again after another `snapshotShare`.
 			folded.writtenAtMs = wallMs;
 		}
 	}
@@ -29,11 +29,11 @@
 	return records;
 };
 
-const getWhole = ({workflow, state, hasBegun, remaining, ledgers}: FoldedWorkflow, writtenAtMs: number) => ({
+const createSnapshot = ({workflow, state, hasBegun, remaining, ledgers}: FoldedWorkflow, writtenAtMs: number) => ({
 	workflow, state, hasBegun, remaining, ledgers: [...ledgers], writtenAtMs,
 });
 
-/** Forgets jobs that were over before the store's records began: nobody asks for them any more. */
+/** Drops finished jobs from the fold whose last snapshot is older than the retention. */
 export const forgetOld = (fold: WorkflowFold, clock: Clock, keptMs: number): void => {
 	const wallMs = clock.now().getTime();
 	for (const [id, {state, isLastWritten, writtenAtMs}] of fold.workflows) {
--- a/src/workflows/run-tracker.ts
+++ b/src/workflows/run-tracker.ts
@@ -1,8 +1,8 @@
 /**
-Runs that are out: takes what agents list and decides, for each run, whether it goes on, ended, or is over for certain.
+Tracks active runs: compares them with each agent's state and decides which of them continue, ended or are lost.
 
-A task is started again only when its last run cannot be running any more: its end is listed, its worker is another
-incarnation, its leases are over, or its order came too late to start anything.
+A task is started again only when its last run can no longer be running: its end is listed, the worker has a new
+incarnation, its leases have expired, or the order to start it expired before it began.
 */
 import {type EndedRow, type RunningRow, type WatchReply} from '../types/fleet.ts';
 import {
@@ -13,28 +13,28 @@
 	getUnit, RunPhase, type LiveModel, type LiveRun, type LiveTask,
 } from './live-model.ts';
 
-/** What the tracker tells its owner. */
+/** Callbacks of the tracker to its owner. */
 export type RunTrackerHandlers = {
-	/** Writes ends to the log; resolves to whether they are stored. */
+	/** Appends ends of runs to the jobs stream; resolves to whether they are stored. */
 	store: (ends: EndedRun[]) => Promise<boolean>;
-	/** A job's first run was seen. */
+	/** A run of the task's job has started or succeeded; called for every such run. */
 	onBegun: (task: LiveTask) => void;
-	/** Finds a task of a job that is over; undefined for a job that nobody handed in. */
+	/** Finds a task of a finished job; undefined for an unknown job. */
 	recall: (ref: TaskRef) => LiveTask | undefined;
-	/** No job has such a task. */
+	/** An agent lists a run of a task that no job has. */
 	onUnknown: (worker: FleetWorker, taskId: string, run: number) => void;
-	/** A run of a task that does not last came to its own end. */
+	/** A run of a task that is not long-running succeeded or failed. */
 	onOutcome: (worker: FleetWorker, run: LiveRun, isSuccess: boolean) => void;
 	/** A run was listed again. */
 	onProgress: (run: LiveRun) => void;
-	/** A task has failed as often as it may. */
+	/** A task has failed as often as its job allows. */
 	onExhausted: (task: LiveTask) => void;
-	/** Room came free or tasks wait: a scheduling cycle is due. */
+	/** Capacity became free or a task waits: a scheduling cycle is due. */
 	onChange: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Why a run was taken as over without a listed end. */
+/** Why a run is considered lost, without a listed end. */
 export enum LossReason {
 	WorkerReplaced = 'worker-replaced',
 	WorkerCrashed = 'worker-crashed',
@@ -44,30 +44,30 @@
 	NeverStarted = 'never-started',
 }
 
-// A task that failed by itself is tried elsewhere at once; after the second failure it waits, so that a task that fails
-// at its start does not take all starts.
-const failurePauseMs = 100;
+// After its first failure a task is retried at once; from the second on it waits, so that a task that fails right at its
+// start does not use up all starts.
+const retryDelayMs = 100;
 
-/** Between two listings of a worker that is heard lies half a second; over a longer gap nothing is known of the speed. */
-const maxGapMs = 1500;
-/** A task that fills works at least at this share of its speed, as far as its worker can tell. */
-const minShare = 0.05;
+/** A reachable worker is listed every half second; progress over a longer gap does not count for the speed. */
+const maxListingGapMs = 1500;
+/** Lower bound for the share of full speed of a best-effort task, because the measured processor use is rough. */
+const minSpeedShare = 0.05;
 
-/** Counts the time at work since the last listing; what fills works at the share of the processors that it got. */
+/** Adds the time since the last listing to the time worked; for a best-effort task, scaled by the share of its processors that it got. */
 const countWork = (run: LiveRun, nowMs: number): void => {
 	const {workedUntilMs, recent, task: {step: {spec}}} = run;
 	run.workedUntilMs = nowMs;
-	if (workedUntilMs === undefined || nowMs - workedUntilMs > maxGapMs) {
+	if (workedUntilMs === undefined || nowMs - workedUntilMs > maxListingGapMs) {
 		run.basePercent = run.percent;
 		run.workedMs = 0;
 		return;
 	}
 
-	const share = spec.isFilling && run.percent > 0 ? Math.min(1, Math.max(minShare, recent / spec.milliCpu)) : 1;
+	const share = spec.isFilling && run.percent > 0 ? Math.min(1, Math.max(minSpeedShare, recent / spec.milliCpu)) : 1;
 	run.workedMs += (nowMs - workedUntilMs) * share;
 };
 
-/** The tracker. */
+/** Tracks the active runs of one owner. */
 export class RunTracker {
 	readonly #model: LiveModel;
 	readonly #handlers: RunTrackerHandlers;
@@ -77,9 +77,9 @@
 		this.#handlers = handlers;
 	}
 
-	/** Notes that a start was decided. */
+	/** Adds a run whose start was decided. */
 	open(task: LiveTask, worker: FleetWorker, run: number, terms: {nowMs: number; notAfterMs: number}): LiveRun {
-		const live: LiveRun = {
+		const liveRun: LiveRun = {
 			task,
 			run,
 			host: worker.host,
@@ -93,7 +93,7 @@
 			percent: 0,
 			basePercent: 0,
 			workedMs: 0,
-			// What is resumed begins somewhere: its first listing tells where.
+			// The progress of a resumed run is unknown until its first listing.
 			workedUntilMs: task.checkpoint === '' ? terms.nowMs : undefined,
 			recent: 0,
 			progressAtMs: terms.nowMs,
@@ -102,12 +102,12 @@
 			pacePercent: 100,
 		};
 		task.lastRun = Math.max(task.lastRun, run);
-		task.runs.push(live);
-		worker.runs.add(live);
-		return live;
+		task.runs.push(liveRun);
+		worker.runs.add(liveRun);
+		return liveRun;
 	}
 
-	/** The agent confirmed the start. */
+	/** Marks the start as confirmed by the agent. */
 	confirm(run: LiveRun, version: number, nowMs: number): void {
 		run.isOrderOut = false;
 		run.confirmedVersion = Math.max(run.confirmedVersion, version);
@@ -119,13 +119,13 @@
 		}
 	}
 
-	/** Takes a run back that did not start: its task has waited all the while. */
+	/** Removes a run whose start was refused; the waiting time of its task continues from before the order. */
 	withdraw(run: LiveRun, worker: FleetWorker): void {
-		this.#drop(run, worker);
+		this.#remove(run, worker);
 		this.#handlers.onChange();
 	}
 
-	/** Takes an agent's state; gives the ends that are to be forgotten once stored. */
+	/** Applies an agent's state to the runs on its worker, and stores the ends that it lists. */
 	take(worker: FleetWorker, reply: WatchReply, nowMs: number): void {
 		const workerId = reply.worker?.workerId;
 		for (const run of worker.runs) {
@@ -138,7 +138,7 @@
 			return;
 		}
 
-		this.#takeEnds(worker, reply.ended, nowMs);
+		this.#applyEnds(worker, reply.ended, nowMs);
 		if (reply.isOver) {
 			this.loseAll(worker, LossReason.LeasesOver, nowMs);
 			return;
@@ -146,49 +146,49 @@
 
 		const listed = new Set<LiveRun>();
 		for (const row of reply.running) {
-			const run = this.#takeRunning(worker, row, reply, nowMs);
+			const run = this.#applyRunning(worker, row, reply, nowMs);
 			if (run) {
 				listed.add(run);
 			}
 		}
 
 		for (const {taskId, run} of reply.starting) {
-			const live = this.#adopt(worker, {taskId, run}, reply, nowMs);
-			if (live) {
-				listed.add(live);
+			const liveRun = this.#adopt(worker, {taskId, run}, reply, nowMs);
+			if (liveRun) {
+				listed.add(liveRun);
 			}
 		}
 
-		this.#dropUnlisted(worker, reply, listed, nowMs);
+		this.#loseUnlisted(worker, reply, listed, nowMs);
 	}
 
-	/** All runs on the worker are over for certain. */
+	/** Marks all runs on the worker as lost. */
 	loseAll(worker: FleetWorker, reason: LossReason, nowMs: number): void {
 		for (const run of worker.runs) {
 			this.lose(run, worker, reason, nowMs);
 		}
 	}
 
-	/** A run is over for certain, and how it ended is not known. */
+	/** Marks a run as lost: it cannot be running any more, and how it ended is unknown. */
 	lose(run: LiveRun, worker: FleetWorker, reason: LossReason, nowMs: number): void {
 		this.#handlers.note('run lost', {
 			taskId: run.task.taskId, run: run.run, host: run.host, workerId: run.workerId, reason,
 		});
-		this.#remove(run, worker, nowMs);
+		this.#removeAndRequeue(run, worker, nowMs);
 		this.#handlers.onChange();
 	}
 
-	#remove(run: LiveRun, worker: FleetWorker, nowMs: number): void {
-		this.#drop(run, worker);
+	#removeAndRequeue(run: LiveRun, worker: FleetWorker, nowMs: number): void {
+		this.#remove(run, worker);
 		run.task.waitsSinceMs = nowMs;
 	}
 
-	#drop(run: LiveRun, worker: FleetWorker): void {
+	#remove(run: LiveRun, worker: FleetWorker): void {
 		worker.runs.delete(run);
 		run.task.runs = run.task.runs.filter(other => other !== run);
 	}
 
-	#takeRunning(worker: FleetWorker, row: RunningRow, reply: WatchReply, nowMs: number): LiveRun | undefined {
+	#applyRunning(worker: FleetWorker, row: RunningRow, reply: WatchReply, nowMs: number): LiveRun | undefined {
 		const run = this.#adopt(worker, row, reply, nowMs);
 		if (!run) {
 			return undefined;
@@ -214,8 +214,8 @@
 	}
 
 	/**
-	Finds the run that is listed, or takes over one that an earlier owner started. A run that is not wanted any more is
-	taken over as well: until it has stopped it takes room.
+	Finds the listed run, or adopts it if an earlier owner started it. A run that is no longer needed is adopted as well,
+	because it uses capacity until it has stopped.
 	*/
 	#adopt(worker: FleetWorker, {taskId, run}: {taskId: string; run: number}, reply: WatchReply, nowMs: number): LiveRun | undefined {
 		const ref = parseTaskId(taskId);
@@ -225,67 +225,67 @@
 			return undefined;
 		}
 
-		const known = task.runs.find(live => live.run === run && live.host === worker.host);
-		if (known) {
-			return known;
+		const active = task.runs.find(liveRun => liveRun.run === run && liveRun.host === worker.host);
+		if (active) {
+			return active;
 		}
 
 		const isUnwanted = task.step.workflow.isOver || task.isDone || (task.runs.length > 0 && !task.step.spec.isSpeculative);
-		const live = this.open(task, worker, run, {nowMs, notAfterMs: 0});
-		live.isOrderOut = false;
-		live.isUnwanted = isUnwanted;
-		live.workedUntilMs = undefined;
-		live.pacePercent = undefined;
-		live.agentLife = reply.agentLife;
-		live.confirmedVersion = reply.version;
+		const liveRun = this.open(task, worker, run, {nowMs, notAfterMs: 0});
+		liveRun.isOrderOut = false;
+		liveRun.isUnwanted = isUnwanted;
+		liveRun.workedUntilMs = undefined;
+		liveRun.pacePercent = undefined;
+		liveRun.agentLife = reply.agentLife;
+		liveRun.confirmedVersion = reply.version;
 		this.#handlers.note('run adopted', {
-			taskId, run, host: worker.host, workerId: live.workerId, isUnwanted,
+			taskId, run, host: worker.host, workerId: liveRun.workerId, isUnwanted,
 		});
-		return live;
+		return liveRun;
 	}
 
-	#takeEnds(worker: FleetWorker, rows: EndedRow[], nowMs: number): void {
-		const fresh = rows.filter(row => row.number > worker.takenEnd);
-		if (fresh.length === 0) {
+	#applyEnds(worker: FleetWorker, rows: EndedRow[], nowMs: number): void {
+		const newRows = rows.filter(row => row.number > worker.takenEnd);
+		if (newRows.length === 0) {
 			return;
 		}
 
 		const stored: EndedRun[] = [];
-		for (const {number: _, ...end} of fresh) {
-			const isWorthStoring = this.#takeEnd(worker, end, nowMs);
+		for (const {number: _, ...end} of newRows) {
+			const isWorthStoring = this.#applyEnd(worker, end, nowMs);
 			if (isWorthStoring) {
 				stored.push(end);
 			}
 		}
 
-		worker.takenEnd = fresh.at(-1)!.number;
+		worker.takenEnd = newRows.at(-1)!.number;
 		void this.#storeEnds(worker, worker.report!.workerId, worker.takenEnd, stored);
 		this.#handlers.onChange();
 	}
 
-	/** Only ends that are in the log may be forgotten by the worker: a later owner has to learn of them. */
+	/** The worker may forget an end only once the stream holds it, because a later owner needs it. */
 	async #storeEnds(worker: FleetWorker, workerId: string, upTo: number, ends: EndedRun[]): Promise<void> {
-		// Also with nothing to store this waits its turn: earlier ends of the worker may still be on their way.
+		// Called also with nothing to store: it resolves after the writes before it, which may hold earlier ends of this worker.
 		const isStored = await this.#handlers.store(ends);
 		if (isStored && worker.report?.workerId === workerId) {
 			worker.storedEnd = Math.max(worker.storedEnd, upTo);
 		}
 	}
 
-	#takeEnd(worker: FleetWorker, end: EndedRun, nowMs: number): boolean {
+	#applyEnd(worker: FleetWorker, end: EndedRun, nowMs: number): boolean {
 		const ref = parseTaskId(end.taskId);
 		const task = ref && (this.#model.getTask(ref) ?? this.#handlers.recall(ref));
 		if (!task) {
 			return false;
 		}
 
-		const run = task.runs.find(live => live.run === end.run && live.host === worker.host);
+		const run = task.runs.find(liveRun => liveRun.run === end.run && liveRun.host === worker.host);
 		this.#handlers.note('run ended', {
 			taskId: end.taskId, run: end.run, end: end.end, host: worker.host, isKnown: run !== undefined,
 		});
 		task.lastRun = Math.max(task.lastRun, end.run);
 		if (run) {
-			this.#remove(run, worker, nowMs);
+			this.#removeAndRequeue(run, worker, nowMs);
 		}
 
 		if (end.checkpoint !== '') {
@@ -301,10 +301,10 @@
 			this.#handlers.onOutcome(worker, run, end.end === RunEnd.Done);
 		}
 
-		return this.#judgeEnd(task, end, nowMs);
+		return this.#applyOutcome(task, end, nowMs);
 	}
 
-	#judgeEnd(task: LiveTask, end: EndedRun, nowMs: number): boolean {
+	#applyOutcome(task: LiveTask, end: EndedRun, nowMs: number): boolean {
 		if (end.end === RunEnd.Done) {
 			this.#handlers.onBegun(task);
 			if (!task.isDone) {
@@ -315,10 +315,10 @@
 		}
 
 		if (end.end === RunEnd.Failed) {
-			// Also of runs that an earlier owner started: it may have died before it wrote this down.
+			// Failures of runs that an earlier owner started count too: it may have died before it stored them.
 			for (const member of getUnit(task)) {
 				member.failedRuns.add(end.run);
-				member.notBeforeMs = nowMs + (member.failedRuns.size > 1 ? failurePauseMs : 0);
+				member.notBeforeMs = nowMs + (member.failedRuns.size > 1 ? retryDelayMs : 0);
 			}
 
 			if (task.failedRuns.size >= task.step.workflow.spec.maxAttempts) {
@@ -329,16 +329,16 @@
 		return end.end === RunEnd.Failed || end.checkpoint !== '';
 	}
 
-	/** A run that is neither listed as running, as starting nor as ended is over, or was never begun. */
-	#dropUnlisted(worker: FleetWorker, reply: WatchReply, listed: Set<LiveRun>, nowMs: number): void {
+	/** Handles runs that the agent does not list as running, starting or ended: they have ended or never began. */
+	#loseUnlisted(worker: FleetWorker, reply: WatchReply, listed: Set<LiveRun>, nowMs: number): void {
 		for (const run of worker.runs) {
 			if (listed.has(run) || run.isOrderOut) {
 				continue;
 			}
 
 			if (run.phase === RunPhase.Starting) {
-				// The order got no answer: it may still come, until it would be refused as expired.
-				// A new life of the agent has raised the worker's fence: starts of the life before begin nothing.
+				// The order got no answer and may still be carried out until it expires on the agent's clock.
+				// A new incarnation of the agent has raised the worker's fence, so starts sent by the one before are refused.
 				if (reply.agentClockMs > run.notAfterMs || reply.agentLife !== run.agentLife) {
 					this.lose(run, worker, LossReason.NeverStarted, nowMs);
 				}
--- a/src/workflows/settling.ts
+++ b/src/workflows/settling.ts
@@ -1,12 +1,12 @@
 /**
-When a new owner knows what runs: a task that an earlier owner may have started waits until every agent was heard, or their
-leases are over.
+Reconciliation of a new owner: a task that an earlier owner may have started waits until every agent has listed its runs, or
+all leases from before the claim have expired.
 */
 import {type Clock} from '../types/clock.ts';
 import {type AgentLinks} from './agent-links.ts';
 import {getLeaseOverMs} from './loss-watch.ts';
 
-/** Options of the settling. */
+/** Options of the reconciliation. */
 export type SettlingOptions = {
 	clock: Clock;
 	links: AgentLinks;
@@ -15,37 +15,37 @@
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** The settling of one owner. */
+/** Reconciliation of one owner. */
 export class Settling {
 	readonly #options: SettlingOptions;
 	#claimedAtMs = Number.POSITIVE_INFINITY;
-	#isSettled = false;
+	#isReconciled = false;
 
 	constructor(options: SettlingOptions) {
 		this.#options = options;
 	}
 
-	/** Whether tasks of jobs that are older than the claim may be started. */
+	/** Whether tasks of jobs from before the claim may be started. */
 	get isSettled(): boolean {
-		return this.#isSettled;
+		return this.#isReconciled;
 	}
 
-	/** The claim is in the log. */
+	/** Starts the reconciliation, once the claim is stored. */
 	begin(): void {
 		this.#claimedAtMs = this.#options.clock.monotonicMs();
 	}
 
-	/** Looks at the agents; to be called every now and then. */
+	/** Checks the agents; to be called periodically. */
 	check(): void {
 		const {clock, links, leaseHorizonMs, note, onSettled} = this.#options;
-		if (this.#isSettled || !links.isRegistryRead) {
+		if (this.#isReconciled || !links.isRegistryRead) {
 			return;
 		}
 
 		const tookMs = clock.monotonicMs() - this.#claimedAtMs;
 		const missing = [...links.workers.values()].filter(worker => !worker.isListed);
 		if (missing.length === 0 || tookMs > getLeaseOverMs(leaseHorizonMs)) {
-			this.#isSettled = true;
+			this.#isReconciled = true;
 			note('settled', {tookMs: Math.round(tookMs), agents: links.workers.size, missing: missing.map(worker => worker.host)});
 			onSettled();
 		}
--- a/src/workflows/view-age.ts
+++ b/src/workflows/view-age.ts
@@ -1,26 +1,26 @@
 /**
-How old an owner's view of the jobs may be when it starts something.
+Limits how stale an owner's view of the jobs may be when it starts a task.
 */
 import {orderGoodMs} from './agent-links.ts';
 import {type WorkflowFollower} from './follower.ts';
 
-/** What the age is judged by. */
+/** Options of the staleness check. */
 export type ViewAgeOptions = {
 	follower: WorkflowFollower;
 	/** Time within which a cancelled job must have stopped. */
 	cancelMs: number;
-	/** When the newest heartbeat that the store has answered was sent. */
+	/** When the last answered heartbeat to the store was sent. */
 	getReachedAtMs: () => number;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** A start that is good for less than this is not worth its order: answers of agents take a while on busy hosts. */
-const minGoodMs = 400;
+/** No starts are ordered that would be valid for less than this: on busy hosts they would expire before they are carried out. */
+const minValidityMs = 400;
 
 /**
-What others wrote since the last read that showed the end of the stream is not known: the job of a waiting task may be
-cancelled. A start is good for no longer than the time that a cancelling may take from then on. With the store away nothing
-can have been written: its last answer to a heartbeat, not the clock, tells how old the view is.
+Staleness of the view of one owner. A job may have been cancelled since the last read that reached the end of the stream, so a
+start is valid only within the time that a cancellation may take, counted from that read. The staleness is measured to the
+last answered heartbeat, not to the current time: while the store does not answer, nothing can be written to it.
 */
 export class ViewAge {
 	readonly #options: ViewAgeOptions;
@@ -30,24 +30,24 @@
 		this.#options = options;
 	}
 
-	/** How long a start that is ordered now may stay good. */
+	/** How long a start that is ordered now may stay valid. */
 	getStartGoodMs(): number {
-		return Math.min(orderGoodMs, this.#options.cancelMs - this.#getUnseenMs());
+		return Math.min(orderGoodMs, this.#options.cancelMs - this.#getStalenessMs());
 	}
 
-	/** Whether nothing may be started now. */
+	/** Whether the view is too stale to start anything. */
 	isTooOld(): boolean {
-		const isTooOld = this.getStartGoodMs() < minGoodMs;
+		const isTooOld = this.getStartGoodMs() < minValidityMs;
 		if (isTooOld !== this.#isTooOld) {
 			const {follower, note} = this.#options;
 			this.#isTooOld = isTooOld;
-			note(isTooOld ? 'starts held' : 'starts go on', {unseenMs: Math.round(this.#getUnseenMs()), offset: follower.fold.offset});
+			note(isTooOld ? 'starts held' : 'starts go on', {unseenMs: Math.round(this.#getStalenessMs()), offset: follower.fold.offset});
 		}
 
 		return isTooOld;
 	}
 
-	#getUnseenMs(): number {
+	#getStalenessMs(): number {
 		const {follower, getReachedAtMs} = this.#options;
 		return getReachedAtMs() - follower.provenAtMs;
 	}
--- a/src/workflows/workflow-api.ts
+++ b/src/workflows/workflow-api.ts
@@ -1,8 +1,8 @@
 /**
-Callers' questions about jobs, answered at any entry from the fold of the stream, and their jobs taken into it.
+Job API of an entry: answers callers from the fold of the jobs stream and appends their jobs to it.
 
-A job is accepted once its record is in the stream. "Not accepted" is said only if it never will be: nothing was sent,
-or the store did nothing. Where that is not known, the answer leaves it open, and the caller asks again under the same id.
+A job is accepted once its record is in the stream. The outcome is "not accepted" only if the job never will be: no record was
+sent, or the store refused it. Otherwise the outcome is unknown, and the caller submits again under the same id.
 */
 import {ProducerWriter, WriteOutcome, type WriterNote} from '../core/producer-writer.ts';
 import {getPartition} from '../core/partitions.ts';
@@ -22,7 +22,7 @@
 	store: StoreClient;
 	clock: Clock;
 	partitions: number;
-	/** Name of this entry's writer; new with each start. */
+	/** Name of this entry's producer; differs for each start of the process. */
 	producer: string;
 	maxCallBytes: number;
 	getConfig: () => SiteConfig | undefined;
@@ -32,20 +32,20 @@
 	onWriterNote: WriterNote;
 };
 
-/** Records gather for so long before they are sent together: at the peak some ten a second come to an entry. */
+/** Records are batched for this long: at the peak some ten a second come to an entry. */
 const gatherMs = 2;
-/** A store that turned a record away for so long is away: the caller does better at another entry. */
+/** A record that the store has refused for this long is not accepted, so that the caller tries another entry. */
 const giveUpAfterMs = 400;
-/** With a few tries so far apart a caller outlives an outage of the store. */
+/** Retry interval proposed to callers: a few retries this far apart outlast an outage of the store. */
 const retryAfterMs = 2000;
-/** Without an answer after this, the caller is told that it is not known. */
+/** Time-out of reading to the end of the stream; after it the state of a job that was not found is unknown. */
 const catchUpMs = 1200;
 
-/** The API. */
+/** Job API of one entry. */
 export class WorkflowApi implements JobApi {
 	readonly #options: WorkflowApiOptions;
 	readonly #writers = new Map<number, ProducerWriter>();
-	/** Jobs whose record was sent and is still being tried after their caller was told that it is not known. */
+	/** Jobs whose outcome was reported as unknown: their record may still be stored. */
 	readonly #open = new Set<string>();
 
 	constructor(options: WorkflowApiOptions) {
@@ -62,12 +62,12 @@
 			return {outcome: SubmitOutcome.Accepted};
 		}
 
-		// That it never runs cannot be said of a job that may still come to be stored.
+		// The job may still be stored, so "not accepted" would be wrong.
 		if (this.#open.has(id)) {
 			return {outcome: SubmitOutcome.Unknown, reason: 'an earlier record of it is still open'};
 		}
 
-		// Nothing is sent to a store that gives no answers: the caller would learn nothing before its deadline.
+		// Refuse at once: a store that does not answer would keep the caller waiting until its deadline.
 		if (this.#options.isStoreLost()) {
 			return {outcome: SubmitOutcome.NotAccepted, retryAfterMs, reason: 'the store is not reached'};
 		}
