--- a/test/crash-blame.test.ts
+++ b/test/crash-blame.test.ts
@@ -9,59 +9,59 @@
 	run, ageMs, isNewest, host: `host-${run}`, isHostProven: false, atMs: 0,
 });
 
-const createAboard = (crash: TaskCrash, earlier: TaskCrash[] = []): AboardTask => ({crash, earlier});
+const createResident = (crash: TaskCrash, earlier: TaskCrash[] = []): AboardTask => ({crash, earlier});
 
-describe('a crash counts', () => {
-	it('for all that was young, while nothing there is suspected', () => {
-		const young = createAboard(createCrash(1, 20));
-		const other = createAboard(createCrash(1, 300, false));
-		const old = createAboard(createCrash(1, 60_000, false));
+describe('a crash is attributed', () => {
+	it('to all recently started runs, while none of them is in quarantine', () => {
+		const young = createResident(createCrash(1, 20));
+		const other = createResident(createCrash(1, 300, false));
+		const old = createResident(createCrash(1, 60_000, false));
 		expect(chooseSuspects([old, other, young])).toEqual([other, young]);
 	});
 
-	it('only for the run in quarantine, where there is one', () => {
-		const beside = createAboard(createCrash(1, 2000, false));
-		const culprit = createAboard(createCrash(2, 20), [createCrash(1, 30, false)]);
+	it('only to the run in quarantine, if there is one', () => {
+		const beside = createResident(createCrash(1, 2000, false));
+		const culprit = createResident(createCrash(2, 20), [createCrash(1, 30, false)]);
 		expect(chooseSuspects([beside, culprit])).toEqual([culprit]);
 	});
 
-	it('not for a suspect that has outlived its quarantine beside something newer', () => {
-		const cleared = createAboard(createCrash(2, 1500, false), [createCrash(1, 30, false)]);
-		const culprit = createAboard(createCrash(1, 10));
+	it('not to a suspect that has outlived its quarantine next to a newer run', () => {
+		const cleared = createResident(createCrash(2, 1500, false), [createCrash(1, 30, false)]);
+		const culprit = createResident(createCrash(1, 10));
 		expect(chooseSuspects([cleared, culprit])).toContain(culprit);
 		expect(isGivenUp([createCrash(1, 30, false), createCrash(2, 1500, false), createCrash(3, 1500, false)])).toBe(false);
 	});
 
-	it('for nothing that had been there for long', () => {
-		expect(chooseSuspects([createAboard(createCrash(1, 60_000)), createAboard(createCrash(4, 9000))])).toEqual([]);
+	it('to no run that started long before', () => {
+		expect(chooseSuspects([createResident(createCrash(1, 60_000)), createResident(createCrash(4, 9000))])).toEqual([]);
 	});
 });
 
-describe('a task is given up', () => {
-	it('at its third crash where it crashes each worker soon after its start', () => {
+describe('a task reaches the crash limit', () => {
+	it('at its third crash if it crashes each worker soon after its start', () => {
 		const crashes = [createCrash(1, 15, false), createCrash(2, 12), createCrash(3, 200)];
 		expect(isGivenUp(crashes.slice(0, 2))).toBe(false);
 		expect(isGivenUp(crashes)).toBe(true);
 	});
 
-	it('before its sixth start where it crashes each worker some seconds after its start', () => {
+	it('before its sixth start if it crashes each worker some seconds after its start', () => {
 		const crashes = [1, 2, 3, 4, 5].map(run => createCrash(run, 3000 + (run * 50)));
 		expect(isGivenUp(crashes)).toBe(true);
 	});
 
-	it('never for crashes beside something newer', () => {
+	it('never by crashes next to newer runs', () => {
 		fc.assert(fc.property(fc.array(fc.integer({min: 0, max: 5000}), {maxLength: 12}), ages => {
 			expect(isGivenUp(ages.map((ageMs, run) => createCrash(run, ageMs, false)))).toBe(false);
 		}), {seed: 30});
 	});
 
-	it('never for crashes of one host, unless others succeed there', () => {
+	it('never by crashes on one host, unless other tasks succeed there', () => {
 		const crashes = [1, 2, 3, 4, 5, 6].map(run => ({...createCrash(run, 10), host: 'host'}));
 		expect(isGivenUp(crashes)).toBe(false);
 		expect(isGivenUp(crashes.slice(0, 3).map(crash => ({...crash, isHostProven: true})))).toBe(true);
 	});
 
-	it('in whichever order its crashes are heard of', () => {
+	it('independently of the order in which its crashes are reported', () => {
 		const crash = fc.record({
 			run: fc.nat(40), ageMs: fc.integer({min: 0, max: 5000}), isNewest: fc.boolean(), host: fc.constantFrom('a', 'b', 'c'), isHostProven: fc.boolean(), atMs: fc.constant(0),
 		});
@@ -72,7 +72,7 @@
 	});
 });
 
-it('forgets crashes of long ago', () => {
+it('drops crashes that are older than the retention', () => {
 	const yearly = Array.from({length: 9}, (_, year) => ({...createCrash(year + 1, 10), atMs: year * 31_536_000_000}));
 	let crashes: TaskCrash[] = [];
 	for (const crash of yearly) {
@@ -83,7 +83,7 @@
 	expect(crashes).toHaveLength(1);
 });
 
-it('keeps a suspect apart for longer than its longest run that crashed', () => {
+it('keeps a suspect in quarantine for longer than its longest run that crashed', () => {
 	expect(isSuspect([createCrash(1, 3000), createCrash(2, 4000), createCrash(3, 3500)])).toBe(true);
 	expect(getQuarantineMs([createCrash(1, 3000), createCrash(2, 4000)])).toBeGreaterThan(4000);
 });
--- a/test/crash-watch.test.ts
+++ b/test/crash-watch.test.ts
@@ -12,12 +12,12 @@
 
 const id = '0000000000000001';
 
-const createWatch = () => {
+const createMonitor = () => {
 	const {model} = load([createWorkflow(id, createSpec([createStep()]))]);
 	const [task] = [...model.waiting(0, () => false)];
 	const lost: LiveRun[] = [];
 	const stored: CrashedTask[] = [];
-	const watch = new CrashWatch({
+	const monitor = new CrashWatch({
 		clock: new ManualClock(),
 		tracker: {lose: (live: LiveRun) => lost.push(live)} as unknown as RunTracker,
 		getTask: () => task,
@@ -30,7 +30,7 @@
 		note: () => undefined,
 	});
 	return {
-		watch, task: task!, lost, stored,
+		monitor, task: task!, lost, stored,
 	};
 };
 
@@ -41,21 +41,21 @@
 	}],
 } as unknown as WatchReply);
 
-it('takes a run for lost whose worker crashed, and counts the crash once', () => {
-	const {watch, task, lost, stored} = createWatch();
+it('marks a run as lost when its worker crashes, and counts the crash once', () => {
+	const {monitor, task, lost, stored} = createMonitor();
 	const worker = createWorker('host');
 	const live = run(task, worker);
-	watch.take(worker, createReply(live.workerId), 1000);
-	watch.take(worker, createReply(live.workerId), 2000);
+	monitor.take(worker, createReply(live.workerId), 1000);
+	monitor.take(worker, createReply(live.workerId), 2000);
 	expect(lost).toEqual([live]);
 	expect(stored).toHaveLength(1);
 });
 
-it('leaves a run of the same number alone that is on the next incarnation of the worker', () => {
-	const {watch, task, lost, stored} = createWatch();
+it('does not mark a run with the same number on the next incarnation of the worker as lost', () => {
+	const {monitor, task, lost, stored} = createMonitor();
 	const worker = createWorker('host');
 	run(task, worker, {workerId: 'host-2'});
-	watch.take(worker, createReply('host-1'), 1000);
+	monitor.take(worker, createReply('host-1'), 1000);
 	expect(lost).toEqual([]);
 	expect(stored).toHaveLength(1);
 });
--- a/test/follower.test.ts
+++ b/test/follower.test.ts
@@ -1,5 +1,5 @@
 /**
-The reader of the jobs stream, on links and hosts of different speed.
+The follower of the jobs stream, on links of different speed.
 */
 import {expect, it} from 'vitest';
 import {MemoryStore} from '../src/standin/memory-store.ts';
@@ -15,7 +15,7 @@
 const inputBytes = 6000;
 const streamBytes = jobs * inputBytes;
 
-/** Guards against reads of a stream that time out on a slow link and are asked for again while callers wait. */
+/** Guards against reads that time out on a slow link and are repeated with the same size while callers wait. */
 it.each([100, 150, 250, 1000, 10_000])('reads a stream without a time-out over a link of %i bytes a ms', async bytesPerMs => {
 	const clock = new ManualClock();
 	const store = new MemoryStore(clock, 1);
@@ -43,12 +43,12 @@
 	const tookMs = clock.monotonicMs() - startMs;
 	aborter.abort();
 	expect(states).not.toContain(false);
-	// Between two reads lie a gathering pause and the answer's way.
+	// Each read adds the pause between reads and the latency of the answer.
 	expect(tookMs).toBeLessThan(1000 + (1.5 * streamBytes / bytesPerMs));
 });
 
-/** Guards against a reader that asks again and again without a pause where a read brings nothing, though the end is further on. */
-it('pauses after a read that got it no further', async () => {
+/** Guards against a busy loop where reads bring no records although the end of the stream is further on. */
+it('pauses after a read that brought no records', async () => {
 	const clock = new ManualClock();
 	let reads = 0;
 	const store: Pick<StoreClient, 'read'> = {
--- a/test/site-behind.test.ts
+++ b/test/site-behind.test.ts
@@ -1,5 +1,5 @@
 /**
-Owners that do not read the jobs stream in time: what others wrote there reaches them late, or not at all.
+Owners that read the jobs stream late or not at all.
 */
 import {
 	afterEach, describe, expect, it,
@@ -11,71 +11,71 @@
 	cancelMs, createSpec, createStep, type SiteWorld,
 } from './site-world.ts';
 
-let world: SiteWorld;
+let site: SiteWorld;
 
-/** Steps one after the other: something of the job starts every half second. */
+/** Sequential steps: a task of the job starts every half second. */
 const chain = createSpec(Array.from({length: 40}, (_, index) => createStep({after: index === 0 ? [] : [index - 1]})));
 
-const getLastStartMs = (): number => Math.max(...world.events.filter(({type}) => type === 'started').map(({atMs}) => atMs));
+const getLastStartMs = (): number => Math.max(...site.events.filter(({type}) => type === 'started').map(({atMs}) => atMs));
 
-/** The entry's reads of the jobs stream get no answer; its other calls do. */
+/** Makes the store leave the entry's reads of the jobs stream unanswered, but not its other calls. */
 const stopReads = (entryName: string): void => {
-	world.store.fault = ({client, kind, ref}) => client === entryName && kind === 'read' && ref?.topic === workflowsTopic ? StoreFault.Silence : StoreFault.None;
+	site.store.fault = ({client, kind, ref}) => client === entryName && kind === 'read' && ref?.topic === workflowsTopic ? StoreFault.Silence : StoreFault.None;
 };
 
-/** What the owner still learns comes with the answers to its appends: none of that is asked here. */
+/** Cancels the job at an entry that does not own it; returns when the cancellation was acknowledged. */
 const cancelElsewhere = async (): Promise<number> => {
-	const owner = world.getOwnerName();
-	const other = [...world.entries.keys()].find(name => name !== owner)!;
-	await world.cancel(jobId, other);
-	return world.clock.monotonicMs();
+	const owner = site.getOwnerName();
+	const other = [...site.entries.keys()].find(name => name !== owner)!;
+	await site.cancel(jobId, other);
+	return site.clock.monotonicMs();
 };
 
 afterEach(() => {
-	world.stop();
-	expect(world.violations).toEqual([]);
+	site.stop();
+	expect(site.violations).toEqual([]);
 });
 
 describe('an owner that is behind', () => {
 	/**
-	Tasks of cancelled jobs were started for ten seconds after the cancelling was acknowledged: 158 in a day, 84 in another. The
-	owner ordered by what it had read; its reads came seconds late on a busy host or a slow link, while its heartbeats came
-	through, and nothing bounded how old its view might be.
+	Tasks of cancelled jobs were started for ten seconds after the cancellation was acknowledged: 158 in a day, 84 in another.
+	The owner's reads were seconds late on a busy host or a slow link while its heartbeats were answered, and nothing limited
+	the staleness of its view.
 	*/
-	it('starts nothing of a job whose cancelling it has not read of in time', async () => {
-		world = await createSite();
-		world.plan = () => ({workMs: 500});
-		await world.submit(jobId, chain);
-		await world.clock.advance(2000);
-		stopReads(world.getOwnerName()!);
-		// The read that waits at the store was sent before.
-		await world.clock.advance(1000);
+	it('starts no task of a cancelled job after the bound, even if it has not read the cancellation', async () => {
+		site = await createSite();
+		site.plan = () => ({workMs: 500});
+		await site.submit(jobId, chain);
+		await site.clock.advance(2000);
+		stopReads(site.getOwnerName()!);
+		// Lets the read return that was already pending at the store.
+		await site.clock.advance(1000);
 		const cancelledAtMs = await cancelElsewhere();
-		await world.clock.advance(12_000);
+		await site.clock.advance(12_000);
 		expect(getLastStartMs()).toBeLessThanOrEqual(cancelledAtMs + cancelMs);
 	});
 
-	/** The same fault seen by other callers: their jobs waited for an owner that kept the partition and read nothing. */
-	it('gives its jobs up to an entry that reads', async () => {
-		world = await createSite();
-		const before = world.getOwnerName()!;
+	/** The same fault for new jobs: they waited for an owner that kept the partition and read nothing. */
+	it('releases its jobs to an entry whose reads are answered', async () => {
+		site = await createSite();
+		const before = site.getOwnerName()!;
 		stopReads(before);
-		await world.clock.advance(2500);
-		const other = [...world.entries.keys()].find(name => name !== before)!;
-		await world.submit(jobId, createSpec([createStep()]), other);
-		expect(await world.waitFor(() => world.getStarts(`${jobId}.0.0.0`) === 1, 12_000)).toBeDefined();
-		expect(world.getOwnerName()).toBe(other);
+		await site.clock.advance(2500);
+		const other = [...site.entries.keys()].find(name => name !== before)!;
+		await site.submit(jobId, createSpec([createStep()]), other);
+		expect(await site.waitFor(() => site.getStarts(`${jobId}.0.0.0`) === 1, 12_000)).toBeDefined();
+		expect(site.getOwnerName()).toBe(other);
 	});
 
-	/** With the store away for all nobody can have cancelled anything: work goes on. */
-	it('goes on while the store is away', async () => {
-		world = await createSite();
-		world.plan = () => ({workMs: 500});
-		await world.submit(jobId, chain);
-		await world.clock.advance(2000);
-		world.store.fault = () => StoreFault.Refuse;
-		const awayAtMs = world.clock.monotonicMs();
-		await world.clock.advance(4500);
+	/** While the store is unavailable to all entries nothing can be cancelled, so starts continue. */
+	it('continues while the store is unavailable', async () => {
+		site = await createSite();
+		site.plan = () => ({workMs: 500});
+		await site.submit(jobId, chain);
+		await site.clock.advance(2000);
+		site.store.fault = () => StoreFault.Refuse;
+		const awayAtMs = site.clock.monotonicMs();
+		await site.clock.advance(4500);
 		expect(getLastStartMs()).toBeGreaterThan(awayAtMs + 3500);
 	});
 });
--- a/test/site-config.test.ts
+++ b/test/site-config.test.ts
@@ -41,15 +41,15 @@
 };
 
 describe('the configuration of an entry', () => {
-	it('takes each newer record', async () => {
+	it('follows each newer record', async () => {
 		expect(await follow([createPage(7, 3), createPage(9, 5)])).toEqual([7, 9]);
 	});
 
 	/**
-	The store forgets its history, and the entry reads the newest record anew, from a store that is behind. Requests on a
-	queue that was just added were refused again: an older record must never replace a newer one.
+	The store drops its history, and the entry reads the newest record again, from a replica that is behind. Requests to a queue
+	that had just been added were refused again: an older record must never replace a newer one.
 	*/
-	it('never goes back, whatever the store shows later', async () => {
+	it('never returns to an older record that the store shows later', async () => {
 		expect(await follow([createPage(9, 5), createPage(7, 3), createPage(9, 5)])).toEqual([9]);
 	});
 });
--- a/test/site-messages.test.ts
+++ b/test/site-messages.test.ts
@@ -1,5 +1,5 @@
 /**
-Messages between an owner and its agents: how many there are bounds how many workers one owner carries.
+Number of messages between an owner and its agents, which limits how many workers one owner can serve.
 */
 import {
 	afterEach, describe, expect, it,
@@ -11,131 +11,131 @@
 	createSpec, createStep, partition, type SiteWorld,
 } from './site-world.ts';
 
-let world: SiteWorld;
-let asks: number;
+let site: SiteWorld;
+let polls: number;
 
 const secondMs = 1000;
 
-const getOwner = (site: SiteWorld): Owner => site.entries.get(site.getOwnerName()!)!.ownership.owners.get(partition) as Owner;
+const getOwner = (simulated: SiteWorld): Owner => simulated.entries.get(simulated.getOwnerName()!)!.ownership.owners.get(partition) as Owner;
 
-const countAsksOf = (agent: Agent): void => {
+const countPollsOf = (agent: Agent): void => {
 	const watch = agent.watch.bind(agent);
 	agent.watch = async (...terms) => {
-		asks++;
+		polls++;
 		return watch(...terms);
 	};
 };
 
-/** Counts how often agents are asked for news from now on. */
-const countAsks = (): void => {
-	asks = 0;
-	for (const {agent} of world.hosts.values()) {
-		countAsksOf(agent!);
+/** Counts the polls of all agents from now on. */
+const countPolls = (): void => {
+	polls = 0;
+	for (const {agent} of site.hosts.values()) {
+		countPollsOf(agent!);
 	}
 };
 
-/** Asks in a time, for each second. */
-const countAsksPerS = async (forMs: number): Promise<number> => {
-	const before = asks;
-	await world.clock.advance(forMs);
-	return secondMs * (asks - before) / forMs;
+/** Counts polls over a time; returns the number per second. */
+const countPollsPerS = async (forMs: number): Promise<number> => {
+	const before = polls;
+	await site.clock.advance(forMs);
+	return secondMs * (polls - before) / forMs;
 };
 
 const startOne = async (id: string): Promise<void> => {
-	await world.submit(id, createSpec([createStep({milliCpu: 500})]));
-	await world.waitFor(() => world.getStarts(`${id}.0.0.0`) === 1, secondMs);
+	await site.submit(id, createSpec([createStep({milliCpu: 500})]));
+	await site.waitFor(() => site.getStarts(`${id}.0.0.0`) === 1, secondMs);
 };
 
 afterEach(() => {
-	world.stop();
-	expect(world.violations).toEqual([]);
+	site.stop();
+	expect(site.violations).toEqual([]);
 });
 
 describe('an owner', () => {
 	/**
-	Before the first job of a day an owner of 160 workers took 1,425 answers a second, each a call of its own. Agents that had not
-	heard of their worker yet were asked again every 0.1 s.
+	Without any job, an owner of 160 workers handled 1,425 answers a second, each from a call of its own. Agents whose worker had
+	not announced itself yet were polled again every 0.1 s.
 	*/
-	it('waits for news of an agent whose worker is not there yet', async () => {
-		world = await createSite(1, 1);
-		world.addHost('silent');
-		countAsks();
-		world.hosts.get('silent')!.agent!.workerLeft(world.hosts.get('silent')!.worker.workerId);
-		await world.clock.advance(secondMs);
-		expect(await countAsksPerS(10 * secondMs)).toBeLessThanOrEqual(2 * 3);
+	it('uses long polls also for an agent without a worker', async () => {
+		site = await createSite(1, 1);
+		site.addHost('silent');
+		countPolls();
+		site.hosts.get('silent')!.agent!.workerLeft(site.hosts.get('silent')!.worker.workerId);
+		await site.clock.advance(secondMs);
+		expect(await countPollsPerS(10 * secondMs)).toBeLessThanOrEqual(2 * 3);
 	});
 
 	/**
-	With 360 starts and as many ends a second, 850 answers came of which a third told the owner of starts that the answer to
-	its own order had confirmed already.
+	With 360 starts and as many ends a second, 850 answers came, a third of which only reported starts that the answer to the
+	owner's order had confirmed already.
 	*/
-	it('is told of a start once', async () => {
-		world = await createSite(1, 1);
-		world.plan = () => ({workMs: 100_000});
-		await world.clock.advance(2 * secondMs);
-		countAsks();
-		const startMs = world.clock.monotonicMs();
+	it('gets one report of a start', async () => {
+		site = await createSite(1, 1);
+		site.plan = () => ({workMs: 100_000});
+		await site.clock.advance(2 * secondMs);
+		countPolls();
+		const startMs = site.clock.monotonicMs();
 		for (let index = 0; index < 8; index++) {
 			await startOne(`00000000000000b${index}`);
-			await world.clock.advance(20);
+			await site.clock.advance(20);
 		}
 
-		const passedS = (world.clock.monotonicMs() - startMs) / secondMs;
-		expect(asks).toBeLessThanOrEqual(2 + (3 * passedS));
+		const passedS = (site.clock.monotonicMs() - startMs) / secondMs;
+		expect(polls).toBeLessThanOrEqual(2 + (3 * passedS));
 	});
 
-	/** Tails are half a second old when a worker tells them. They waited as long again until the agent was due to tell them on. */
-	it('is told new figures as soon as an agent has them', async () => {
-		world = await createSite(1, 1);
-		world.plan = () => ({workMs: 100_000});
-		await world.submit(jobId, createSpec([createStep()]));
-		await world.clock.advance(2 * secondMs);
-		const worker = getOwner(world).links.workers.get('host-0')!;
+	/** Tail latencies are half a second old when a worker reports them. Agents delayed them by as much again before they answered a poll. */
+	it('gets new measurements as soon as an agent has them', async () => {
+		site = await createSite(1, 1);
+		site.plan = () => ({workMs: 100_000});
+		await site.submit(jobId, createSpec([createStep()]));
+		await site.clock.advance(2 * secondMs);
+		const worker = getOwner(site).links.workers.get('host-0')!;
 		const ages: number[] = [];
 		for (let samples = 0; samples < 500; samples++) {
-			await world.clock.advance(10);
-			ages.push(world.clock.monotonicMs() - worker.workerClockMs);
+			await site.clock.advance(10);
+			ages.push(site.clock.monotonicMs() - worker.workerClockMs);
 		}
 
-		// A listing comes each half second, and takes some ms to the owner.
+		// A listing comes every half second and takes some ms to reach the owner.
 		expect(Math.max(...ages) - Math.min(...ages)).toBeLessThanOrEqual(550);
 	});
 });
 
 describe('an agent whose ends are not stored yet', () => {
 	/**
-	Ends that the store has not taken are listed by the worker again each 0.1 s. With each listing the agent told its owner the
-	figures of what still runs: ten answers a second of each of 160 agents while the store was slow.
+	A worker lists ends that are not stored yet again every 0.1 s. With each listing the agent reported the measurements of the
+	active runs to its owner: ten answers a second from each of 160 agents while the store was slow.
 	*/
-	it('tells figures no more often than at other times', async () => {
-		world = await createSite(1, 1);
-		world.plan = ({taskId}) => ({workMs: taskId.endsWith('.0') ? 100 : 100_000});
-		countAsks();
-		world.store.getDelayMs = ({kind, client}) => kind === 'append' && client.startsWith('entry') ? 800 : 0;
-		void world.submit(jobId, createSpec([createStep({count: 2, milliCpu: 500})]));
-		await world.waitFor(() => world.events.some(({type}) => type === 'ended'), 5 * secondMs);
-		expect(await countAsksPerS(700)).toBeLessThanOrEqual(5);
+	it('reports measurements no more often than at other times', async () => {
+		site = await createSite(1, 1);
+		site.plan = ({taskId}) => ({workMs: taskId.endsWith('.0') ? 100 : 100_000});
+		countPolls();
+		site.store.getDelayMs = ({kind, client}) => kind === 'append' && client.startsWith('entry') ? 800 : 0;
+		void site.submit(jobId, createSpec([createStep({count: 2, milliCpu: 500})]));
+		await site.waitFor(() => site.events.some(({type}) => type === 'ended'), 5 * secondMs);
+		expect(await countPollsPerS(700)).toBeLessThanOrEqual(5);
 	});
 });
 
 describe('an entry that owns nothing', () => {
 	/**
-	Calls to the store cost callers of a large service more than anything but the hosts themselves: 102,727 in a day, most of them
-	reads of 35 entries that each followed every end. An entry that only answers for jobs may learn of them somewhat later.
+	Calls to the store are the largest cost of a large service after the hosts: 102,727 in a day, most of them reads of 35
+	entries that each followed every end. An entry that owns no jobs may read their records somewhat later.
 	*/
 	it('reads the stream at most 25 times a second, however much is written', async () => {
-		world = await createSite(4, 2);
-		world.plan = () => ({workMs: 200});
-		const reader = [...world.entries.keys()].find(name => name !== world.getOwnerName());
+		site = await createSite(4, 2);
+		site.plan = () => ({workMs: 200});
+		const reader = [...site.entries.keys()].find(name => name !== site.getOwnerName());
 		let reads = 0;
-		world.store.getDelayMs = ({kind, client}) => {
+		site.store.getDelayMs = ({kind, client}) => {
 			reads += kind === 'read' && client === reader ? 1 : 0;
 			return 0;
 		};
 
 		for (let index = 0; index < 40; index++) {
-			void world.submit(`0000000000000c${String(index).padStart(2, '0')}`, createSpec([createStep({count: 3, milliCpu: 100})]));
-			await world.clock.advance(25);
+			void site.submit(`0000000000000c${String(index).padStart(2, '0')}`, createSpec([createStep({count: 3, milliCpu: 100})]));
+			await site.clock.advance(25);
 		}
 
 		expect(reads).toBeLessThanOrEqual(25);
--- a/test/site-orders.test.ts
+++ b/test/site-orders.test.ts
@@ -1,5 +1,5 @@
 /**
-Orders of an owner, and until when each is good.
+Orders of an owner, and their expiry.
 */
 import {expect, it} from 'vitest';
 import {type Order} from '../src/types/fleet.ts';
@@ -19,11 +19,11 @@
 });
 
 /**
-A start without an answer is taken for never begun once the agent's clock has passed the time that the order was good for. On
-a slow host the lines of log between the decision and the call take some milliseconds; the call then said a later time than
-the run was judged by, and the agent might begin what was already started elsewhere.
+A start without an answer is considered never begun once its order has expired on the agent's clock. On a slow host, writing
+log lines between the decision and the call takes some milliseconds; the call then had a later expiry than the run, and the
+agent could begin a task that had already been started elsewhere.
 */
-it('tells the agent the very time that the run is judged by', async () => {
+it('sends the agent the same expiry that the run has', async () => {
 	const {model} = load([createWorkflow('0000000000000001', createSpec([createStep({count: 3})]))]);
 	const worker = createWorker('host-0');
 	const clock = new ManualClock();
@@ -47,8 +47,8 @@
 	expect(sent).toEqual([tasks[0]!.runs[0]!.notAfterMs]);
 });
 
-/** Guards against a job whose starts are refused one after the other, each of which made it wait from the beginning. */
-it('leaves the time that a task has waited as it was when its start is refused', () => {
+/** Guards against refused starts that each reset the waiting time of their task. */
+it('keeps the waiting time of a task when its start is refused', () => {
 	const {model} = load([createWorkflow('0000000000000001', createSpec([createStep()]))]);
 	const worker = createWorker('host-0');
 	const tracker = createTracker(model);
--- a/test/site-relay.test.ts
+++ b/test/site-relay.test.ts
@@ -1,5 +1,5 @@
 /**
-Callers of an entry that the store turns away while it serves others.
+Callers of an entry whose calls the store refuses or does not answer, while it serves other entries.
 */
 import {afterEach, expect, it} from 'vitest';
 import {MemoryStore, StoreFault} from '../src/standin/memory-store.ts';
@@ -14,12 +14,12 @@
 	createSpec, createStep, queue, type SiteWorld,
 } from './site-world.ts';
 
-let world: SiteWorld | undefined;
+let currentSite: SiteWorld | undefined;
 
 afterEach(() => {
-	world?.stop();
-	expect(world?.violations ?? []).toEqual([]);
-	world = undefined;
+	currentSite?.stop();
+	expect(currentSite?.violations ?? []).toEqual([]);
+	currentSite = undefined;
 });
 
 const createRelaying = async (): Promise<SiteWorld> => {
@@ -45,133 +45,133 @@
 
 const spec = createSpec([createStep()]);
 
-it('have their jobs taken by another entry', async () => {
-	world = await createCut(StoreFault.Refuse);
-	expect(await world.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Accepted});
-	await world.clock.advance(4000);
-	expect(await world.getState(jobId, 'entry-1')).toBe(WorkflowState.Completed);
+it('have their jobs accepted by another entry', async () => {
+	currentSite = await createCut(StoreFault.Refuse);
+	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Accepted});
+	await currentSite.clock.advance(4000);
+	expect(await currentSite.getState(jobId, 'entry-1')).toBe(WorkflowState.Completed);
 });
 
-it('have them taken before it is known that the store gives no answers', async () => {
-	world = await createCut(StoreFault.Silence, false);
-	const startMs = world.clock.monotonicMs();
-	expect(await world.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Accepted});
-	expect(world.clock.monotonicMs() - startMs).toBeLessThan(1000);
+it('have them accepted before the store is known to be lost', async () => {
+	currentSite = await createCut(StoreFault.Silence, false);
+	const startMs = currentSite.clock.monotonicMs();
+	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Accepted});
+	expect(currentSite.clock.monotonicMs() - startMs).toBeLessThan(1000);
 });
 
-it('are shown the end of a job that it has not read', async () => {
-	world = await createCut(StoreFault.None);
-	await world.submit(jobId, spec, 'entry-0');
-	cut(world, 'entry-0', StoreFault.Silence);
-	await world.clock.advance(4000);
-	expect(await world.getState(jobId, 'entry-0')).toBe(WorkflowState.Completed);
+it('get the final state of a job that the entry has not read', async () => {
+	currentSite = await createCut(StoreFault.None);
+	await currentSite.submit(jobId, spec, 'entry-0');
+	cut(currentSite, 'entry-0', StoreFault.Silence);
+	await currentSite.clock.advance(4000);
+	expect(await currentSite.getState(jobId, 'entry-0')).toBe(WorkflowState.Completed);
 });
 
-it('learn what another entry has proven: that there is no such job', async () => {
-	world = await createCut(StoreFault.Refuse);
-	expect(await world.getState(otherId, 'entry-0')).toBe(LookupOutcome.Absent);
+it('get the answer of another entry that a job is absent', async () => {
+	currentSite = await createCut(StoreFault.Refuse);
+	expect(await currentSite.getState(otherId, 'entry-0')).toBe(LookupOutcome.Absent);
 });
 
-it('are told at once that a job they cancel is over, also when no entry reaches the store', async () => {
-	world = await createCut(StoreFault.None);
-	await world.submit(jobId, spec, 'entry-0');
-	await world.clock.advance(4000);
-	for (const entry of world.entries.keys()) {
-		cut(world, entry, StoreFault.Silence);
+it('get an answer at once when they cancel a finished job, also when no entry reaches the store', async () => {
+	currentSite = await createCut(StoreFault.None);
+	await currentSite.submit(jobId, spec, 'entry-0');
+	await currentSite.clock.advance(4000);
+	for (const entry of currentSite.entries.keys()) {
+		cut(currentSite, entry, StoreFault.Silence);
 	}
 
-	expect(await world.cancel(jobId, 'entry-0')).toBe(LookupOutcome.Found);
+	expect(await currentSite.cancel(jobId, 'entry-0')).toBe(LookupOutcome.Found);
 });
 
-it('can cancel', async () => {
-	world = await createCut(StoreFault.None);
-	world.plan = () => ({workMs: 20_000});
-	await world.submit(jobId, spec, 'entry-1');
-	cut(world, 'entry-0', StoreFault.Silence);
-	expect(await world.cancel(jobId, 'entry-0')).toBe(LookupOutcome.Found);
-	await world.clock.advance(3000);
-	expect(await world.getState(jobId, 'entry-1')).toBe(WorkflowState.Cancelled);
+it('can cancel a job', async () => {
+	currentSite = await createCut(StoreFault.None);
+	currentSite.plan = () => ({workMs: 20_000});
+	await currentSite.submit(jobId, spec, 'entry-1');
+	cut(currentSite, 'entry-0', StoreFault.Silence);
+	expect(await currentSite.cancel(jobId, 'entry-0')).toBe(LookupOutcome.Found);
+	await currentSite.clock.advance(3000);
+	expect(await currentSite.getState(jobId, 'entry-1')).toBe(WorkflowState.Cancelled);
 });
 
-it('are not told that a job never runs when another entry may have taken it', async () => {
-	world = await createCut(StoreFault.Refuse);
-	world.lostAnswers.add('entry-0>entry-1');
-	world.lostAnswers.add('entry-0>entry-2');
-	expect(await world.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Unknown});
-	await world.clock.advance(4000);
-	expect(await world.getState(jobId, 'entry-1')).toBe(WorkflowState.Completed);
+it('get the outcome unknown when another entry may have accepted the job', async () => {
+	currentSite = await createCut(StoreFault.Refuse);
+	currentSite.lostAnswers.add('entry-0>entry-1');
+	currentSite.lostAnswers.add('entry-0>entry-2');
+	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Unknown});
+	await currentSite.clock.advance(4000);
+	expect(await currentSite.getState(jobId, 'entry-1')).toBe(WorkflowState.Completed);
 });
 
-it('are not told that it never runs when they hand in again what another entry may have taken', async () => {
-	world = await createCut(StoreFault.Refuse);
-	world.lostAnswers.add('entry-0>entry-1');
-	world.lostAnswers.add('entry-0>entry-2');
-	await world.submit(jobId, spec, 'entry-0');
+it('get the outcome unknown when they submit a job again that another entry may have accepted', async () => {
+	currentSite = await createCut(StoreFault.Refuse);
+	currentSite.lostAnswers.add('entry-0>entry-1');
+	currentSite.lostAnswers.add('entry-0>entry-2');
+	await currentSite.submit(jobId, spec, 'entry-0');
 	for (const entry of ['entry-1', 'entry-2']) {
-		world.storeFailing.add(entry);
+		currentSite.storeFailing.add(entry);
 	}
 
-	world.lostAnswers.clear();
-	await world.clock.advance(2000);
-	expect(await world.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Unknown});
+	currentSite.lostAnswers.clear();
+	await currentSite.clock.advance(2000);
+	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Unknown});
 });
 
-it('are refused soon when the store refuses all and it is not known yet', async () => {
-	world = await createRelaying();
-	world.store.fault = () => StoreFault.Refuse;
-	const startMs = world.clock.monotonicMs();
-	expect(await world.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.NotAccepted});
-	expect(world.clock.monotonicMs() - startMs).toBeLessThan(800);
+it('are refused soon when the store refuses all entries and is not known to be lost', async () => {
+	currentSite = await createRelaying();
+	currentSite.store.fault = () => StoreFault.Refuse;
+	const startMs = currentSite.clock.monotonicMs();
+	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.NotAccepted});
+	expect(currentSite.clock.monotonicMs() - startMs).toBeLessThan(800);
 });
 
-it('are refused, not left in doubt, when the other entries have lost the store a moment ago', async () => {
-	world = await createCut(StoreFault.Refuse);
+it('are refused, not left with an unknown outcome, when the other entries have just lost the store', async () => {
+	currentSite = await createCut(StoreFault.Refuse);
 	for (const entry of ['entry-1', 'entry-2']) {
-		cut(world, entry, StoreFault.Silence, false);
-		world.storeFailing.add(entry);
+		cut(currentSite, entry, StoreFault.Silence, false);
+		currentSite.storeFailing.add(entry);
 	}
 
-	expect(await world.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.NotAccepted});
+	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.NotAccepted});
 });
 
 it('are refused at once when no entry reaches the store', async () => {
-	world = await createRelaying();
-	for (const entry of world.entries.keys()) {
-		cut(world, entry, StoreFault.Refuse);
+	currentSite = await createRelaying();
+	for (const entry of currentSite.entries.keys()) {
+		cut(currentSite, entry, StoreFault.Refuse);
 	}
 
-	await world.clock.advance(1000);
-	const startMs = world.clock.monotonicMs();
-	expect(await world.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.NotAccepted});
-	expect(world.clock.monotonicMs() - startMs).toBeLessThan(50);
+	await currentSite.clock.advance(1000);
+	const startMs = currentSite.clock.monotonicMs();
+	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.NotAccepted});
+	expect(currentSite.clock.monotonicMs() - startMs).toBeLessThan(50);
 });
 
-it('have one job when the own try is stored as well', async () => {
-	world = await createRelaying();
-	const owner = world.getOwnerName();
-	const other = [...world.entries.keys()].find(name => name !== owner)!;
-	cut(world, other, StoreFault.DoLate, false);
-	await world.submit(jobId, spec, other);
-	await world.clock.advance(8000);
-	expect(world.getStarts(`${jobId}.0.0.0`)).toBe(1);
-	expect(await world.getState(jobId, owner)).toBe(WorkflowState.Completed);
+it('have one job when the entry\'s own record is stored as well', async () => {
+	currentSite = await createRelaying();
+	const owner = currentSite.getOwnerName();
+	const other = [...currentSite.entries.keys()].find(name => name !== owner)!;
+	cut(currentSite, other, StoreFault.DoLate, false);
+	await currentSite.submit(jobId, spec, other);
+	await currentSite.clock.advance(8000);
+	expect(currentSite.getStarts(`${jobId}.0.0.0`)).toBe(1);
+	expect(await currentSite.getState(jobId, owner)).toBe(WorkflowState.Completed);
 });
 
-it('are refused, not left in doubt, when the other entries have lost power', async () => {
-	world = await createCut(StoreFault.Refuse);
-	const {clock} = world;
+it('are refused, not left with an unknown outcome, when the other entries have lost power', async () => {
+	currentSite = await createCut(StoreFault.Refuse);
+	const {clock} = currentSite;
 	const relay = new RelayingApi({
-		local: world.entries.get('entry-0')!.jobs,
-		client: createEntryClient(world, 'entry-0'),
+		local: currentSite.entries.get('entry-0')!.jobs,
+		client: createEntryClient(currentSite, 'entry-0'),
 		clock,
 		getOthers: () => [{host: 'entry-8', address: 'entry-8'}, {host: 'entry-9', address: 'entry-9'}],
 		isStoreLost: () => true,
 		note: () => undefined,
 	});
-	expect(await world.settle(relay.submit(queue, jobId, spec, 2500))).toMatchObject({outcome: SubmitOutcome.NotAccepted});
+	expect(await currentSite.settle(relay.submit(queue, jobId, spec, 2500))).toMatchObject({outcome: SubmitOutcome.NotAccepted});
 	await clock.advance(3000);
 	const startMs = clock.monotonicMs();
-	expect(await world.settle(relay.submit(queue, jobId, spec, 2500))).toMatchObject({outcome: SubmitOutcome.NotAccepted});
+	expect(await currentSite.settle(relay.submit(queue, jobId, spec, 2500))).toMatchObject({outcome: SubmitOutcome.NotAccepted});
 	expect(clock.monotonicMs() - startMs).toBeLessThan(50);
 });
 
@@ -195,7 +195,7 @@
 	aborter.abort();
 });
 
-it('are sent to an entry whose registration a late call of its earlier life has removed', async () => {
+it('are sent to an entry whose registration was removed by a late call of its earlier incarnation', async () => {
 	const clock = new ManualClock();
 	const store = new MemoryStore(clock);
 	const aborter = new AbortController();
--- a/test/site-saved.test.ts
+++ b/test/site-saved.test.ts
@@ -1,5 +1,5 @@
 /**
-What is kept of runs that go on, for the time when owner and workers are gone together.
+Checkpoints of active runs in the stream, from which tasks resume when the owner and workers are lost together.
 */
 import {describe, expect, it} from 'vitest';
 import {RunEnd} from '../src/types/workflows.ts';
@@ -19,8 +19,8 @@
 	return {model, fold, task: task!};
 };
 
-describe('checkpoints of runs that go on', () => {
-	it('are handed to the stream once each', () => {
+describe('checkpoints of active runs', () => {
+	it('are written to the stream once each', () => {
 		const {model, task} = create();
 		task.checkpoint = 'first';
 		expect(model.takeUnstored()).toEqual([{taskId: 'a.0.0.0', run: 3, checkpoint: 'first'}]);
@@ -30,10 +30,10 @@
 	});
 
 	/**
-	All hosts lose power within a second. The next owner finds no worker that still has the runs, and nobody told it how far
-	they were: a minute of work of every worker was done again.
+	All hosts lose power within a second. The next owner finds no worker that still has the runs, and the stream held no
+	checkpoints: a minute of work of every worker was repeated.
 	*/
-	it('are where the next owner resumes from, with a number that no run has had', () => {
+	it('are what the next owner resumes from, with a new run number', () => {
 		const {fold} = create();
 		fold.apply({type: RecordType.Saved, runs: [{taskId: 'a.0.0.0', run: 3, checkpoint: 'saved'}]}, 1);
 		const next = new LiveModel();
@@ -43,7 +43,7 @@
 		expect(other).toMatchObject({checkpoint: '', lastRun: 0});
 	});
 
-	it('change nothing of a task that has ended meanwhile, or of a job that is not known', () => {
+	it('do not change a task that has succeeded meanwhile, or add an unknown job', () => {
 		const {fold} = create();
 		fold.apply({
 			type: RecordType.Ends, ends: [{
--- a/test/site-setup.ts
+++ b/test/site-setup.ts
@@ -1,5 +1,5 @@
 /**
-What the tests of a site begin with: hosts with agents and workers, entries, and time for them to find each other.
+Creates a simulated site for tests: hosts with agents and workers, and entries, after the time that they need to connect.
 */
 import {SiteWorld} from './site-world.ts';
 
@@ -7,15 +7,15 @@
 export const otherId = '00000000000000a2';
 
 export const createSite = async (hosts = 2, entries = 2): Promise<SiteWorld> => {
-	const world = new SiteWorld();
+	const site = new SiteWorld();
 	for (let index = 0; index < hosts; index++) {
-		world.addHost(`host-${index}`);
+		site.addHost(`host-${index}`);
 	}
 
 	for (let index = 0; index < entries; index++) {
-		world.startEntry(`entry-${index}`);
+		site.startEntry(`entry-${index}`);
 	}
 
-	await world.clock.advance(2000);
-	return world;
+	await site.clock.advance(2000);
+	return site;
 };
--- a/test/site-takeover.test.ts
+++ b/test/site-takeover.test.ts
@@ -1,5 +1,5 @@
 /**
-Owners and agents of a site that fail, with the store and workers as stand-ins on manual time.
+Failures of a site's owners and agents, with stand-ins for the store and workers, on manual time.
 */
 import {
 	afterEach, describe, expect, it,
@@ -12,355 +12,355 @@
 	createSpec, createStep, partition, type SiteWorld,
 } from './site-world.ts';
 
-let world: SiteWorld;
+let site: SiteWorld;
 
-const createWorld = async (...sizes: Parameters<typeof createSite>): Promise<void> => {
-	world = await createSite(...sizes);
+const startSite = async (...sizes: Parameters<typeof createSite>): Promise<void> => {
+	site = await createSite(...sizes);
 };
 
 afterEach(() => {
-	world.stop();
-	expect(world.violations).toEqual([]);
+	site.stop();
+	expect(site.violations).toEqual([]);
 });
 
 describe('the owner of the jobs', () => {
 	/**
-	A job runs, the entry that owns it dies. Its end comes while nobody owns it. The next owner learns of the end from the
-	worker's agent, which kept it because no log had it. Cause: an end that only a dead process knew would be run again.
+	The owner of a job dies while a task runs, and the task ends while the job has no owner. The next owner gets the end from the
+	worker's agent, which keeps it until it is stored. A task whose end only the dead owner knew would be run again.
 	*/
-	it('that dies leaves running tasks alone, and the next one takes their ends', async () => {
-		await createWorld();
-		await world.submit(jobId, createSpec([createStep(), createStep({after: [0]})]));
-		await world.clock.advance(300);
-		const dead = world.getOwnerName()!;
-		world.killEntry(dead);
-		await world.clock.advance(4000);
-		expect(world.getOwnerName()).not.toBe(dead);
-		expect(world.getStarts(`${jobId}.0.0.0`)).toBe(1);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Completed);
+	it('that dies does not affect running tasks, and the next owner handles their ends', async () => {
+		await startSite();
+		await site.submit(jobId, createSpec([createStep(), createStep({after: [0]})]));
+		await site.clock.advance(300);
+		const dead = site.getOwnerName()!;
+		site.killEntry(dead);
+		await site.clock.advance(4000);
+		expect(site.getOwnerName()).not.toBe(dead);
+		expect(site.getStarts(`${jobId}.0.0.0`)).toBe(1);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
 
 	/**
-	A task fails twice while the store takes nothing, and the owner dies. The next owner finds these failures in the
-	worker's list. As the third run fails, the task must not be started once more. Cause: only failures of runs that the
-	owner itself had started, or that were in the log as it took over, were counted.
+	A task fails twice while the store refuses appends, and the owner dies. The next owner finds these failures in the worker's
+	list. When the third run fails, the task must not be started again. The fault: only failures of runs that the owner itself
+	had started, or that were stored before its takeover, were counted.
 	*/
-	it('that takes over counts failures that the log does not have', async () => {
-		await createWorld(1);
-		world.plan = ({run}) => ({workMs: run === 3 ? 4000 : 100, isFailing: true});
-		await world.submit(jobId, createSpec([createStep()]));
-		const owner = world.getOwnerName()!;
-		world.store.fault = ({kind, client}) => kind === 'append' && client === owner ? StoreFault.Refuse : StoreFault.None;
-		await world.waitFor(() => world.getStarts(`${jobId}.0.0.0`) === 3, 3000);
-		world.killEntry(owner);
-		await world.clock.advance(2500);
-		expect(world.getOwnerName()).not.toBe(owner);
-		world.store.fault = ({kind}) => kind === 'append' ? StoreFault.Refuse : StoreFault.None;
-		await world.clock.advance(3000);
-		expect(world.getStarts(`${jobId}.0.0.0`)).toBe(3);
-		world.store.fault = () => StoreFault.None;
-		await world.clock.advance(1000);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Failed);
+	it('that takes over counts failures that are not stored', async () => {
+		await startSite(1);
+		site.plan = ({run}) => ({workMs: run === 3 ? 4000 : 100, isFailing: true});
+		await site.submit(jobId, createSpec([createStep()]));
+		const owner = site.getOwnerName()!;
+		site.store.fault = ({kind, client}) => kind === 'append' && client === owner ? StoreFault.Refuse : StoreFault.None;
+		await site.waitFor(() => site.getStarts(`${jobId}.0.0.0`) === 3, 3000);
+		site.killEntry(owner);
+		await site.clock.advance(2500);
+		expect(site.getOwnerName()).not.toBe(owner);
+		site.store.fault = ({kind}) => kind === 'append' ? StoreFault.Refuse : StoreFault.None;
+		await site.clock.advance(3000);
+		expect(site.getStarts(`${jobId}.0.0.0`)).toBe(3);
+		site.store.fault = () => StoreFault.None;
+		await site.clock.advance(1000);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Failed);
 	});
 
 	/**
-	An entry that is told to stop serves callers for some seconds more. It must not take its partition back meanwhile, or
-	its jobs wait until it is gone. Cause: it went on to join the group after it had left.
+	An entry that is shutting down serves callers for some seconds more. It must not acquire its partition again meanwhile, or
+	its jobs wait until the process ends. The fault: it continued to join the group after it had left.
 	*/
-	it('that leaves is not dealt the partition again', async () => {
-		await createWorld();
-		const leaving = world.getOwnerName()!;
-		await world.settle(world.entries.get(leaving)!.ownership.leave());
-		await world.clock.advance(1000);
-		expect(world.getOwnerName()).not.toBe(leaving);
-		expect(world.getOwnerName()).toBeDefined();
-		await world.clock.advance(3000);
-		expect(world.getOwnerName()).not.toBe(leaving);
+	it('that leaves is not assigned the partition again', async () => {
+		await startSite();
+		const leaving = site.getOwnerName()!;
+		await site.settle(site.entries.get(leaving)!.ownership.leave());
+		await site.clock.advance(1000);
+		expect(site.getOwnerName()).not.toBe(leaving);
+		expect(site.getOwnerName()).toBeDefined();
+		await site.clock.advance(3000);
+		expect(site.getOwnerName()).not.toBe(leaving);
 	});
 
-	/** A host is taken away for good, then its entry dies: the next owner must not wait for leases of a worker that left. */
+	/** A host is removed for good, then the owner dies: the next owner must not wait for leases of a worker that has left. */
 	it('that takes over does not wait for an agent whose worker has left', async () => {
-		await createWorld(2);
-		const {agent, worker} = world.hosts.get('host-0')!;
+		await startSite(2);
+		const {agent, worker} = site.hosts.get('host-0')!;
 		agent!.workerLeft(worker.workerId);
-		await world.settle(agent!.leave());
-		world.killAgent('host-0');
-		await world.clock.advance(500);
-		await world.submit(jobId, createSpec([createStep({count: 6})]));
-		await world.clock.advance(300);
-		world.killEntry(world.getOwnerName()!);
-		expect(await world.waitFor(() => world.events.filter(event => event.type === 'started').length === 6, 10_000)).toBeLessThan(3000);
+		await site.settle(agent!.leave());
+		site.killAgent('host-0');
+		await site.clock.advance(500);
+		await site.submit(jobId, createSpec([createStep({count: 6})]));
+		await site.clock.advance(300);
+		site.killEntry(site.getOwnerName()!);
+		expect(await site.waitFor(() => site.events.filter(event => event.type === 'started').length === 6, 10_000)).toBeLessThan(3000);
 	});
 
 	/**
-	A service runs for longer than the store keeps records, and its entry is replaced. The new one must still know the
-	job, also where it is cancelled while its record is being written again. Cause: the stream is no archive.
+	A job runs for longer than the store retains records, and its entry is replaced. The new one must still know the job, also
+	if it is cancelled while its snapshot is being written.
 	*/
-	it('that takes over knows jobs that are older than the records of the store', async () => {
-		await createWorld(1, 1);
-		world.plan = () => ({workMs: undefined});
-		await world.submit(jobId, createSpec([createStep({isLasting: true})]));
-		await world.submit(otherId, createSpec([createStep({isLasting: true})]));
-		const {offset} = world.entries.get('entry-0')!.follower.fold;
-		await world.clock.advance(19_900);
-		await world.cancel(otherId);
-		await world.clock.advance(10_000);
-		world.store.trim({topic: 'workflows', partition}, offset);
-		world.killEntry('entry-0');
-		world.startEntry('entry-1');
-		await world.clock.advance(3000);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Running);
-		expect(await world.getState(otherId)).toBe(WorkflowState.Cancelled);
-		expect(world.getStarts(`${jobId}.0.0.0`)).toBe(1);
+	it('that takes over knows jobs that are older than the retained records', async () => {
+		await startSite(1, 1);
+		site.plan = () => ({workMs: undefined});
+		await site.submit(jobId, createSpec([createStep({isLasting: true})]));
+		await site.submit(otherId, createSpec([createStep({isLasting: true})]));
+		const {offset} = site.entries.get('entry-0')!.follower.fold;
+		await site.clock.advance(19_900);
+		await site.cancel(otherId);
+		await site.clock.advance(10_000);
+		site.store.trim({topic: 'workflows', partition}, offset);
+		site.killEntry('entry-0');
+		site.startEntry('entry-1');
+		await site.clock.advance(3000);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Running);
+		expect(await site.getState(otherId)).toBe(WorkflowState.Cancelled);
+		expect(site.getStarts(`${jobId}.0.0.0`)).toBe(1);
 	});
 
-	/** With every agent reached, jobs that wait run on soon after their owner died: what callers notice of its death. */
-	it('is replaced within 2 s where all agents are reached', async () => {
-		await createWorld();
-		world.killEntry(world.getOwnerName()!);
-		await world.submit(jobId, createSpec([createStep()]));
-		expect(await world.waitFor(() => world.isRunning(`${jobId}.0.0.0`), 10_000)).toBeLessThan(2000);
+	/** Bounds the delay that callers see when an owner dies and every agent is reachable. */
+	it('is replaced within 2 s if all agents are reachable', async () => {
+		await startSite();
+		site.killEntry(site.getOwnerName()!);
+		await site.submit(jobId, createSpec([createStep()]));
+		expect(await site.waitFor(() => site.isRunning(`${jobId}.0.0.0`), 10_000)).toBeLessThan(2000);
 	});
 
 	/**
-	The owner dies while one agent is cut off from all entries. The task on it runs on. The next owner does not know of it
-	and must not start it elsewhere before its leases are over. Cause: starts are not in the log.
+	The owner dies while one agent is cut off from all entries and its task continues. Starts are not in the stream, so the next
+	owner does not know of the run, and must not start the task elsewhere before the agent's leases have expired.
 	*/
-	it('that takes over without reaching an agent waits out its leases before it starts what may run there', async () => {
-		await createWorld();
-		world.plan = () => ({workMs: 60_000});
-		await world.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
-		await world.clock.advance(300);
-		const survivor = [...world.entries.keys()].find(name => name !== world.getOwnerName())!;
-		world.killEntry(world.getOwnerName()!);
-		world.cuts.add(`${survivor}>host-0`);
-		world.addHost('host-2');
-		// The agent is cut off from the store as well, so that its leases run out.
-		world.store.fault = ({client}) => client === 'host-0' ? StoreFault.Silence : StoreFault.None;
-		const tookMs = await world.waitFor(() => world.getStarts(`${jobId}.0.0.0`) + world.getStarts(`${jobId}.0.0.1`) > 2, 20_000);
+	it('that takes over and cannot reach an agent waits until its leases have expired before it starts tasks that may run there', async () => {
+		await startSite();
+		site.plan = () => ({workMs: 60_000});
+		await site.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
+		await site.clock.advance(300);
+		const survivor = [...site.entries.keys()].find(name => name !== site.getOwnerName())!;
+		site.killEntry(site.getOwnerName()!);
+		site.cuts.add(`${survivor}>host-0`);
+		site.addHost('host-2');
+		// Cuts the agent off from the store as well, so that its leases expire.
+		site.store.fault = ({client}) => client === 'host-0' ? StoreFault.Silence : StoreFault.None;
+		const tookMs = await site.waitFor(() => site.getStarts(`${jobId}.0.0.0`) + site.getStarts(`${jobId}.0.0.1`) > 2, 20_000);
 		expect(tookMs).toBeGreaterThan(5000);
 		expect(tookMs).toBeLessThan(14_000);
 	});
 
 	/**
-	The owner stands still for 4 s and is replaced. As it wakes, it goes on with what it believed: its orders have to be
-	refused. Cause: a process does not notice that it stood still.
+	The owner's process is suspended for 4 s and is replaced. It does not notice this when it resumes and continues with its old
+	view, so its orders have to be refused.
 	*/
-	it('that stood still and was replaced starts nothing', async () => {
-		await createWorld();
-		const name = world.getOwnerName()!;
-		const frozen = world.entries.get(name)!;
+	it('that was suspended and replaced starts nothing', async () => {
+		await startSite();
+		const name = site.getOwnerName()!;
+		const frozen = site.entries.get(name)!;
 		frozen.clock.isPaused = true;
-		const other = [...world.entries.keys()].find(entry => entry !== name)!;
-		await world.clock.advance(3000);
-		await world.submit(jobId, createSpec([createStep({count: 3})]), other);
-		await world.clock.advance(1000);
+		const other = [...site.entries.keys()].find(entry => entry !== name)!;
+		await site.clock.advance(3000);
+		await site.submit(jobId, createSpec([createStep({count: 3})]), other);
+		await site.clock.advance(1000);
 		frozen.clock.resume();
-		await world.clock.advance(3000);
-		expect(world.events.filter(event => event.type === 'started')).toHaveLength(3);
-		expect(world.notes.some(note => note.source === name && note.event === 'deposed')).toBe(true);
+		await site.clock.advance(3000);
+		expect(site.events.filter(event => event.type === 'started')).toHaveLength(3);
+		expect(site.notes.some(note => note.source === name && note.event === 'deposed')).toBe(true);
 	});
 
-	/** All partitions may be dealt anew at once, with no request: nothing is started twice by that. */
+	/** The group may reassign all partitions at any time, which must not start anything twice. */
 	it('that changes while tasks run starts none of them again', async () => {
-		await createWorld();
-		world.plan = () => ({workMs: 5000});
-		await world.submit(jobId, createSpec([createStep({count: 4})]));
-		await world.clock.advance(500);
-		const before = world.getOwnerName();
-		world.store.rebalance('owners');
-		await world.clock.advance(1500);
-		expect(world.getOwnerName()).not.toBe(before);
-		await world.clock.advance(6000);
-		expect(world.events.filter(event => event.type === 'started')).toHaveLength(4);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Completed);
+		await startSite();
+		site.plan = () => ({workMs: 5000});
+		await site.submit(jobId, createSpec([createStep({count: 4})]));
+		await site.clock.advance(500);
+		const before = site.getOwnerName();
+		site.store.rebalance('owners');
+		await site.clock.advance(1500);
+		expect(site.getOwnerName()).not.toBe(before);
+		await site.clock.advance(6000);
+		expect(site.events.filter(event => event.type === 'started')).toHaveLength(4);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
 
 	/**
-	A job is cancelled just before its owner dies. The next owner finds runs of a job that is over: they take room until
-	they have stopped. Cause: only jobs that were not over were taken into account, and a worker was given too much.
+	A job is cancelled just before its owner dies. The next owner finds active runs of a finished job, which use capacity until
+	they have stopped. The fault: only runs of unfinished jobs were counted, and a worker got more than its capacity.
 	*/
 	it('counts runs of a cancelled job until they have stopped', async () => {
-		await createWorld(1);
-		world.plan = () => ({workMs: undefined});
-		await world.submit(jobId, createSpec([createStep({count: 4, isLasting: true})]));
-		await world.clock.advance(500);
-		world.killEntry(world.getOwnerName()!);
-		await world.cancel(jobId);
-		await world.submit(otherId, createSpec([createStep({count: 4})]));
-		await world.clock.advance(4000);
-		expect(world.isRunning(`${otherId}.0.0.0`)).toBe(true);
+		await startSite(1);
+		site.plan = () => ({workMs: undefined});
+		await site.submit(jobId, createSpec([createStep({count: 4, isLasting: true})]));
+		await site.clock.advance(500);
+		site.killEntry(site.getOwnerName()!);
+		await site.cancel(jobId);
+		await site.submit(otherId, createSpec([createStep({count: 4})]));
+		await site.clock.advance(4000);
+		expect(site.isRunning(`${otherId}.0.0.0`)).toBe(true);
 	});
 });
 
 describe('an agent', () => {
-	/** Workers go on under their lease while their agent restarts; the new life finds what runs and ends nothing. */
-	it('that restarts takes over what runs', async () => {
-		await createWorld();
-		world.plan = () => ({workMs: 6000});
-		await world.submit(jobId, createSpec([createStep({count: 4})]));
-		await world.clock.advance(500);
-		world.killAgent('host-0');
-		await world.clock.advance(1500);
-		world.startAgent('host-0');
-		await world.clock.advance(6000);
-		expect(world.events.filter(event => event.type === 'started')).toHaveLength(4);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Completed);
+	/** Workers continue under their lease while their agent restarts; its new incarnation finds the active runs and ends none. */
+	it('that restarts takes over the active runs', async () => {
+		await startSite();
+		site.plan = () => ({workMs: 6000});
+		await site.submit(jobId, createSpec([createStep({count: 4})]));
+		await site.clock.advance(500);
+		site.killAgent('host-0');
+		await site.clock.advance(1500);
+		site.startAgent('host-0');
+		await site.clock.advance(6000);
+		expect(site.events.filter(event => event.type === 'started')).toHaveLength(4);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
 
 	/**
-	An agent is cut off from all entries but reaches the store. It prolongs leases until it reads that it was declared
-	lost, and the owner starts its tasks elsewhere only after that. Cause: two agents would otherwise run one task.
+	An agent is cut off from all entries but reaches the store. It renews leases until it reads that it was declared lost. The
+	owner starts its tasks elsewhere only after these leases have expired, or a task would run twice at the same time.
 	*/
-	it('that is declared lost lets its leases run out before the tasks start elsewhere', async () => {
-		await createWorld(2, 1);
-		world.plan = () => ({workMs: 60_000});
-		await world.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
-		await world.clock.advance(500);
-		world.cuts.add('entry-0>host-0');
-		world.addHost('host-2');
-		const tookMs = await world.waitFor(() => world.events.filter(event => event.type === 'started').length > 2, 30_000);
+	it('that is declared lost lets its leases expire before the tasks start elsewhere', async () => {
+		await startSite(2, 1);
+		site.plan = () => ({workMs: 60_000});
+		await site.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
+		await site.clock.advance(500);
+		site.cuts.add('entry-0>host-0');
+		site.addHost('host-2');
+		const tookMs = await site.waitFor(() => site.events.filter(event => event.type === 'started').length > 2, 30_000);
 		expect(tookMs).toBeGreaterThan(8000);
-		world.cuts.clear();
-		await world.clock.advance(10_000);
-		await world.submit(otherId, createSpec([createStep({milliCpu: 3500})]));
-		await world.clock.advance(1000);
-		expect(world.isRunning(`${otherId}.0.0.0`)).toBe(true);
+		site.cuts.clear();
+		await site.clock.advance(10_000);
+		await site.submit(otherId, createSpec([createStep({milliCpu: 3500})]));
+		await site.clock.advance(1000);
+		expect(site.isRunning(`${otherId}.0.0.0`)).toBe(true);
 	});
 
 	/**
-	The agent dies right after it was declared lost, and its next life starts at once. It must not prolong what the owner
-	waits to run out. Cause: a new life knows nothing of the declaration unless it reads it.
+	The agent dies right after it was declared lost, and its next incarnation starts at once. It must not renew the leases whose
+	expiry the owner waits for: a new incarnation knows of the declaration only after it has read it.
 	*/
-	it('that restarts after it was declared lost prolongs nothing', async () => {
-		await createWorld(2, 1);
-		world.plan = () => ({workMs: 60_000});
-		await world.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
-		await world.clock.advance(500);
-		world.cuts.add('entry-0>host-0');
-		world.addHost('host-2');
-		await world.clock.advance(4000);
-		world.killAgent('host-0');
-		await world.clock.advance(500);
-		world.startAgent('host-0');
-		await world.clock.advance(20_000);
-		expect(world.events.filter(event => event.type === 'started')).toHaveLength(3);
+	it('that restarts after it was declared lost renews no lease', async () => {
+		await startSite(2, 1);
+		site.plan = () => ({workMs: 60_000});
+		await site.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
+		await site.clock.advance(500);
+		site.cuts.add('entry-0>host-0');
+		site.addHost('host-2');
+		await site.clock.advance(4000);
+		site.killAgent('host-0');
+		await site.clock.advance(500);
+		site.startAgent('host-0');
+		await site.clock.advance(20_000);
+		expect(site.events.filter(event => event.type === 'started')).toHaveLength(3);
 	});
 
-	/** The store is away for 5 s for everyone: nobody can be declared lost, and what runs goes on. */
-	it('keeps what runs alive through an outage of the store', async () => {
-		await createWorld();
-		world.plan = () => ({workMs: 9000});
-		await world.submit(jobId, createSpec([createStep({count: 4})]));
-		await world.clock.advance(500);
-		world.store.fault = () => StoreFault.Silence;
-		await world.clock.advance(5000);
-		world.store.fault = () => StoreFault.None;
-		await world.clock.advance(6000);
-		expect(world.events.filter(event => event.type === 'ended').map(event => event.end)).toEqual(Array.from({length: 4}, () => RunEnd.Done));
-		expect(await world.getState(jobId)).toBe(WorkflowState.Completed);
+	/** The store does not answer anyone for 5 s: no agent can be declared lost, and active runs continue. */
+	it('keeps runs active through an outage of the store', async () => {
+		await startSite();
+		site.plan = () => ({workMs: 9000});
+		await site.submit(jobId, createSpec([createStep({count: 4})]));
+		await site.clock.advance(500);
+		site.store.fault = () => StoreFault.Silence;
+		await site.clock.advance(5000);
+		site.store.fault = () => StoreFault.None;
+		await site.clock.advance(6000);
+		expect(site.events.filter(event => event.type === 'ended').map(event => event.end)).toEqual(Array.from({length: 4}, () => RunEnd.Done));
+		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
 
 	/**
-	An order to start gets no answer and is carried out 4 s later. Meanwhile the task runs elsewhere. The late start has to
-	be refused. Cause: orders may overtake each other on their way to the worker.
+	An order to start gets no answer and is carried out 4 s later, when the task already runs elsewhere. Orders may overtake each
+	other on the network, so the late start has to be refused.
 	*/
-	it('gives starts that are carried out late no chance', async () => {
-		await createWorld();
-		world.hosts.get('host-0')!.worker.fault = order => order === 'start' ? OrderFault.DoLate : OrderFault.None;
-		world.plan = () => ({workMs: 9000});
-		await world.submit(jobId, createSpec([createStep({count: 4})]));
-		await world.clock.advance(1000);
-		world.hosts.get('host-0')!.worker.fault = () => OrderFault.None;
-		await world.clock.advance(12_000);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Completed);
+	it('refuses starts that are carried out late', async () => {
+		await startSite();
+		site.hosts.get('host-0')!.worker.fault = order => order === 'start' ? OrderFault.DoLate : OrderFault.None;
+		site.plan = () => ({workMs: 9000});
+		await site.submit(jobId, createSpec([createStep({count: 4})]));
+		await site.clock.advance(1000);
+		site.hosts.get('host-0')!.worker.fault = () => OrderFault.None;
+		await site.clock.advance(12_000);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
 
-	it('finds a start whose answer was lost running, and does not start it again', async () => {
-		await createWorld();
-		for (const {worker} of world.hosts.values()) {
+	it('finds the run of a start whose answer was lost, and does not start it again', async () => {
+		await startSite();
+		for (const {worker} of site.hosts.values()) {
 			worker.fault = order => order === 'start' ? OrderFault.LoseAnswer : OrderFault.None;
 		}
 
-		await world.submit(jobId, createSpec([createStep({count: 4})]));
-		await world.clock.advance(5000);
-		expect(world.events.filter(event => event.type === 'started')).toHaveLength(4);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Completed);
+		await site.submit(jobId, createSpec([createStep({count: 4})]));
+		await site.clock.advance(5000);
+		expect(site.events.filter(event => event.type === 'started')).toHaveLength(4);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
 
-	it('learns from a new incarnation that all that ran before is over', async () => {
-		await createWorld();
-		world.plan = () => ({workMs: 3000});
-		await world.submit(jobId, createSpec([createStep({count: 4})]));
-		await world.clock.advance(500);
-		world.hosts.get('host-0')!.worker.crash();
-		await world.clock.advance(6000);
-		expect(await world.getState(jobId)).toBe(WorkflowState.Completed);
+	it('learns from a new incarnation of the worker that all earlier runs have ended', async () => {
+		await startSite();
+		site.plan = () => ({workMs: 3000});
+		await site.submit(jobId, createSpec([createStep({count: 4})]));
+		await site.clock.advance(500);
+		site.hosts.get('host-0')!.worker.crash();
+		await site.clock.advance(6000);
+		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
 
-	/** A worker that gives no answer may run on until its leases are over: only then do its tasks start elsewhere. */
-	it('waits out the leases of a silent worker', async () => {
-		await createWorld(2, 1);
-		world.plan = () => ({workMs: 60_000});
-		await world.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
-		await world.clock.advance(500);
-		world.hosts.get('host-0')!.worker.isSilent = true;
-		world.addHost('host-2');
-		const tookMs = await world.waitFor(() => world.events.filter(event => event.type === 'started').length > 2, 30_000);
+	/** An unresponsive worker may continue until its leases have expired: only then may its tasks start elsewhere. */
+	it('waits until the leases of an unresponsive worker have expired', async () => {
+		await startSite(2, 1);
+		site.plan = () => ({workMs: 60_000});
+		await site.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
+		await site.clock.advance(500);
+		site.hosts.get('host-0')!.worker.isSilent = true;
+		site.addHost('host-2');
+		const tookMs = await site.waitFor(() => site.events.filter(event => event.type === 'started').length > 2, 30_000);
 		expect(tookMs).toBeGreaterThan(4000);
 		expect(tookMs).toBeLessThan(9000);
 	});
 
 	it('starts nothing on a worker that drains', async () => {
-		await createWorld(1);
-		world.hosts.get('host-0')!.worker.isDraining = true;
-		await world.clock.advance(600);
-		await world.submit(jobId, createSpec([createStep()]));
-		await world.clock.advance(2000);
-		expect(world.events).toEqual([]);
+		await startSite(1);
+		site.hosts.get('host-0')!.worker.isDraining = true;
+		await site.clock.advance(600);
+		await site.submit(jobId, createSpec([createStep()]));
+		await site.clock.advance(2000);
+		expect(site.events).toEqual([]);
 	});
 });
 
 describe('a host with a slow link', () => {
 	/**
-	All entries lose power and start anew. Each reads the whole stream of jobs; on a link of 7 Mbit/s one answer of a
-	megabyte takes longer than the reader waits. It asked for the same megabyte again and again, owned the jobs, and nothing ran.
+	All entries lose power and start again. Each reads the whole jobs stream; on a link of 7 Mbit/s one answer of a megabyte
+	takes longer than the time-out. An entry repeated the same read again and again, owned the jobs, and started nothing.
 	*/
-	it('reads the stream in pieces that its link can carry', async () => {
-		await createWorld();
+	it('reads the stream in pieces that are small enough for its link', async () => {
+		await startSite();
 		const spec = createSpec([createStep()], {input: 'x'.repeat(4000)});
 		for (let index = 0; index < 50; index++) {
 			const id = index.toString(16).padStart(16, '0');
-			await world.submit(id, spec);
+			await site.submit(id, spec);
 		}
 
 		for (const name of ['entry-0', 'entry-1']) {
-			world.killEntry(name);
+			site.killEntry(name);
 		}
 
-		world.store.maxAnswerBytes = 60_000;
-		world.startEntry('entry-2');
-		await world.submit(jobId, createSpec([createStep()]), 'entry-2');
-		const tookMs = await world.waitFor(() => world.getStarts(`${jobId}.0.0.0`) > 0, 20_000);
+		site.store.maxAnswerBytes = 60_000;
+		site.startEntry('entry-2');
+		await site.submit(jobId, createSpec([createStep()]), 'entry-2');
+		const tookMs = await site.waitFor(() => site.getStarts(`${jobId}.0.0.0`) > 0, 20_000);
 		expect(tookMs).toBeLessThan(10_000);
 	});
 });
 
 describe('a host with a slow processor', () => {
 	/**
-	Entries of different sizes share the work; the group deals the jobs to any of them. On the smallest an owner's cycles
-	waited for the processor, and callers' jobs with them. It steps in only while no other entry is there.
+	The group may assign the jobs to any entry, whatever its size. On the smallest, scheduling cycles waited for the processor,
+	and jobs with them. It must own jobs only while there is no other entry.
 	*/
 	it('owns only while no other entry does', async () => {
-		await createWorld(2, 0);
-		world.startEntry('small', 0.001);
-		expect(await world.waitFor(() => world.getOwnerName() === 'small', 1000)).toBeDefined();
-		world.startEntry('entry-1');
-		expect(await world.waitFor(() => world.getOwnerName() === 'entry-1', 5000)).toBeDefined();
-		await world.submit(jobId, createSpec([createStep()]), 'small');
-		await world.clock.advance(500);
-		expect(world.isRunning(`${jobId}.0.0.0`)).toBe(true);
-		world.killEntry('entry-1');
-		expect(await world.waitFor(() => world.getOwnerName() === 'small', 10_000)).toBeDefined();
+		await startSite(2, 0);
+		site.startEntry('small', 0.001);
+		expect(await site.waitFor(() => site.getOwnerName() === 'small', 1000)).toBeDefined();
+		site.startEntry('entry-1');
+		expect(await site.waitFor(() => site.getOwnerName() === 'entry-1', 5000)).toBeDefined();
+		await site.submit(jobId, createSpec([createStep()]), 'small');
+		await site.clock.advance(500);
+		expect(site.isRunning(`${jobId}.0.0.0`)).toBe(true);
+		site.killEntry('entry-1');
+		expect(await site.waitFor(() => site.getOwnerName() === 'small', 10_000)).toBeDefined();
 	});
 });
--- a/test/site-troubles.ts
+++ b/test/site-troubles.ts
@@ -1,5 +1,5 @@
 /**
-Faults of a site in random series, overlapping and repeated, on manual time.
+Generates and plays random series of faults on a simulated site, overlapping and repeated, on manual time.
 */
 import fc from 'fast-check';
 import {StoreFault} from '../src/standin/memory-store.ts';
@@ -11,7 +11,7 @@
 const hosts = ['host-0', 'host-1', 'host-2'];
 const entries = ['entry-0', 'entry-1', 'entry-2'];
 
-enum Trouble {
+enum Fault {
 	KillEntry = 'kill-entry',
 	FreezeEntry = 'freeze-entry',
 	KillAgent = 'kill-agent',
@@ -29,32 +29,32 @@
 }
 
 /** One step of a series. */
-export type Step = {trouble: Trouble; target: number; forMs: number; pauseMs: number};
+export type Step = {faultType: Fault; target: number; forMs: number; pauseMs: number};
 
-const isAway = (fault: StoreFault, until: number) => ({fault, until});
+const createOutage = (fault: StoreFault, until: number) => ({fault, until});
 
-/** Plays one step; whatever it breaks is whole again after `forMs`. */
-const play = async (world: SiteWorld, {trouble, target, forMs}: Step, jobs: Map<string, SubmitOutcome>): Promise<void> => {
-	const host = world.hosts.get(hosts[target % hosts.length]!)!;
+/** Plays one step; its fault ends after `forMs`. */
+const play = async (site: SiteWorld, {faultType, target, forMs}: Step, jobs: Map<string, SubmitOutcome>): Promise<void> => {
+	const host = site.hosts.get(hosts[target % hosts.length]!)!;
 	const entryName = entries[target % entries.length]!;
-	const entry = world.entries.get(entryName);
+	const entry = site.entries.get(entryName);
 	const later = (act: () => void) => {
-		world.clock.setTimer(act, forMs);
+		site.clock.setTimer(act, forMs);
 	};
 
-	switch (trouble) {
-		case Trouble.KillEntry: {
-			if (entry && world.entries.size > 1) {
-				world.killEntry(entryName);
+	switch (faultType) {
+		case Fault.KillEntry: {
+			if (entry && site.entries.size > 1) {
+				site.killEntry(entryName);
 				later(() => {
-					world.startEntry(entryName);
+					site.startEntry(entryName);
 				});
 			}
 
 			break;
 		}
 
-		case Trouble.FreezeEntry: {
+		case Fault.FreezeEntry: {
 			if (entry && !entry.clock.isPaused) {
 				entry.clock.isPaused = true;
 				later(() => {
@@ -65,18 +65,18 @@
 			break;
 		}
 
-		case Trouble.KillAgent: {
+		case Fault.KillAgent: {
 			if (host.agent && !host.clock.isPaused) {
-				world.killAgent(host.name);
+				site.killAgent(host.name);
 				later(() => {
-					world.startAgent(host.name);
+					site.startAgent(host.name);
 				});
 			}
 
 			break;
 		}
 
-		case Trouble.FreezeAgent: {
+		case Fault.FreezeAgent: {
 			const {clock} = host;
 			if (host.agent && !clock.isPaused) {
 				clock.isPaused = true;
@@ -88,12 +88,12 @@
 			break;
 		}
 
-		case Trouble.CrashWorker: {
+		case Fault.CrashWorker: {
 			host.worker.crash();
 			break;
 		}
 
-		case Trouble.SilenceWorker: {
+		case Fault.SilenceWorker: {
 			host.worker.isSilent = true;
 			later(() => {
 				host.worker.isSilent = false;
@@ -101,104 +101,104 @@
 			break;
 		}
 
-		case Trouble.LateOrders:
-		case Trouble.LostAnswers: {
-			host.worker.fault = () => trouble === Trouble.LateOrders ? OrderFault.DoLate : OrderFault.LoseAnswer;
+		case Fault.LateOrders:
+		case Fault.LostAnswers: {
+			host.worker.fault = () => faultType === Fault.LateOrders ? OrderFault.DoLate : OrderFault.LoseAnswer;
 			later(() => {
 				host.worker.fault = () => OrderFault.None;
 			});
 			break;
 		}
 
-		case Trouble.CutAgent: {
+		case Fault.CutAgent: {
 			const cuts = entries.map(name => `${name}>${host.name}`);
 			for (const cut of cuts) {
-				world.cuts.add(cut);
+				site.cuts.add(cut);
 			}
 
 			later(() => {
 				for (const cut of cuts) {
-					world.cuts.delete(cut);
+					site.cuts.delete(cut);
 				}
 			});
 			break;
 		}
 
-		case Trouble.CutStore:
-		case Trouble.StoreAway:
-		case Trouble.StoreLoses: {
-			const {fault, until} = isAway(trouble === Trouble.StoreLoses ? StoreFault.LoseAnswer : StoreFault.Silence, world.clock.monotonicMs() + forMs);
+		case Fault.CutStore:
+		case Fault.StoreAway:
+		case Fault.StoreLoses: {
+			const {fault, until} = createOutage(faultType === Fault.StoreLoses ? StoreFault.LoseAnswer : StoreFault.Silence, site.clock.monotonicMs() + forMs);
 			const victim = target % 2 === 0 ? host.name : entryName;
-			const before = world.store.fault;
-			world.store.fault = call => {
-				const isHit = world.clock.monotonicMs() < until
-					&& (trouble !== Trouble.CutStore || call.client === victim) && (trouble !== Trouble.StoreLoses || call.kind === 'append');
+			const before = site.store.fault;
+			site.store.fault = call => {
+				const isHit = site.clock.monotonicMs() < until
+					&& (faultType !== Fault.CutStore || call.client === victim) && (faultType !== Fault.StoreLoses || call.kind === 'append');
 				return isHit ? fault : before(call);
 			};
 
 			break;
 		}
 
-		case Trouble.Rebalance: {
-			world.store.rebalance('owners');
+		case Fault.Rebalance: {
+			site.store.rebalance('owners');
 			break;
 		}
 
-		case Trouble.Submit: {
+		case Fault.Submit: {
 			const id = jobs.size.toString(16).padStart(16, '0');
 			const spec = createSpec([createStep({count: 3, milliCpu: 700}), createStep({count: 2, milliCpu: 1500, after: [0]})]);
-			jobs.set(id, (await world.submit(id, spec, [...world.entries.keys()][target % world.entries.size])).outcome);
+			jobs.set(id, (await site.submit(id, spec, [...site.entries.keys()][target % site.entries.size])).outcome);
 			break;
 		}
 	}
 };
 
 const step = fc.record({
-	trouble: fc.constantFrom(...Object.values(Trouble), Trouble.Submit, Trouble.Submit, Trouble.Submit),
+	faultType: fc.constantFrom(...Object.values(Fault), Fault.Submit, Fault.Submit, Fault.Submit),
 	target: fc.nat(11),
 	forMs: fc.integer({min: 200, max: 9000}),
 	pauseMs: fc.integer({min: 10, max: 2500}),
 });
 
-/** Any series. */
+/** Random series of faults. */
 export const anySeries = fc.array(step, {minLength: 4, maxLength: 24});
 
-const calmMs = 45_000;
+const recoveryMs = 45_000;
 
-/** A site on which series are played. */
+/** Creates a site to play series on. */
 export const createTroubledSite = async (plan: SiteWorld['plan']): Promise<SiteWorld> => {
-	const world = new SiteWorld();
-	world.isRelaying = true;
-	world.plan = plan;
+	const site = new SiteWorld();
+	site.isRelaying = true;
+	site.plan = plan;
 	for (const name of hosts) {
-		world.addHost(name);
+		site.addHost(name);
 	}
 
 	for (const name of entries) {
-		world.startEntry(name);
+		site.startEntry(name);
 	}
 
-	await world.clock.advance(1500);
-	return world;
+	await site.clock.advance(1500);
+	return site;
 };
 
-/** Plays a series and some calm after it, and ends the site; gives the accepted jobs that have not completed, with their states. */
-export const playSeries = async (world: SiteWorld, steps: Step[], beforeStep: (index: number) => Promise<void>): Promise<Array<[string, string]>> => {
+/** Plays a series and a time without faults, and stops the site; returns the accepted jobs that have not completed, with their states. */
+export const playSeries = async (site: SiteWorld, steps: Step[], beforeStep: (index: number) => Promise<void>): Promise<Array<[string, string]>> => {
 	const jobs = new Map<string, SubmitOutcome>();
 	for (const [index, each] of steps.entries()) {
 		await beforeStep(index);
-		await play(world, each, jobs);
-		await world.clock.advance(each.pauseMs);
+		await play(site, each, jobs);
+		await site.clock.advance(each.pauseMs);
 	}
 
-	await world.clock.advance(calmMs);
+	await site.clock.advance(recoveryMs);
 	const states: Array<[string, string]> = [];
 	for (const [id, outcome] of jobs) {
 		if (outcome === SubmitOutcome.Accepted) {
-			states.push([id, await world.getState(id)]);
+			states.push([id, await site.getState(id)]);
 		}
 	}
 
-	world.stop();
+	site.stop();
 	return states.filter(([, state]) => state !== (WorkflowState.Completed as string));
 };
--- a/test/site-world.ts
+++ b/test/site-world.ts
@@ -1,6 +1,6 @@
 /**
-A site on manual time: a store, workers with their agents, and entries, which tests cut, stop, kill and restart. Checks
-what must always hold while it runs, from what workers see.
+Simulated site on manual time: a store, workers with their agents, and entries, which tests disconnect, suspend, kill and
+restart. Checks the invariants of scheduling from the events of the workers.
 */
 import {Agent} from '../src/agents/agent.ts';
 import {agentsTopic} from '../src/agents/control-records.ts';
@@ -30,7 +30,7 @@
 export const service = 'desk';
 const partitions = 8;
 export const partition = getPartition(service, partitions);
-/** A cancelled job starts nothing after this. */
+/** No task of a cancelled job starts later than this after the cancellation. */
 export const cancelMs = 3000;
 
 export const queue: QueueConfig = {
@@ -61,19 +61,19 @@
 
 const ignore = () => undefined;
 
-/** An entry that runs. */
+/** A running entry. */
 export type EntryProcess = {
 	name: string;
 	clock: ProcessClock;
 	aborter: AbortController;
 	jobs: WorkflowApi;
-	/** The same with the help of other entries. */
+	/** Job API that relays to other entries. */
 	relay: RelayingApi;
 	follower: WorkflowFollower;
 	ownership: Ownership;
 };
 
-/** A worker's host with its agent. */
+/** A host with a worker and its agent. */
 export type AgentHost = {
 	name: string;
 	worker: SiteWorker;
@@ -82,7 +82,7 @@
 	aborter: AbortController;
 };
 
-/** The world. */
+/** The simulated site. */
 export class SiteWorld {
 	readonly controlPartition = partition;
 	readonly queue = queue;
@@ -94,11 +94,11 @@
 	readonly violations: string[] = [];
 	readonly events: WorkerEvent[] = [];
 	adviceClient: AdviceClient | undefined;
-	/** Pairs `entry>host` between which nothing passes. */
+	/** Pairs `entry>host` between which no call passes. */
 	readonly cuts = new Set<string>();
-	/** Callers are served with the help of other entries. */
+	/** Whether callers' calls are relayed to other entries. */
 	isRelaying = false;
-	/** Pairs `entry>entry` whose calls are done and not answered. */
+	/** Pairs `entry>entry` whose calls are carried out but not answered. */
 	readonly lostAnswers = new Set<string>();
 	/** Entries whose last call to the store failed. */
 	readonly storeFailing = new Set<string>();
@@ -108,12 +108,12 @@
 	readonly #runs = new Map<string, {workerId: string; run: number}>();
 	readonly #done = new Set<string>();
 	readonly #forgottenDone = new Set<string>();
-	#lives = 0;
+	#incarnations = 0;
 
-	/** What an entry knows of evacuations; changed by tests as they go. */
+	/** Evacuations as an entry knows them; tests replace this. */
 	getEvacuations: (entry: string) => Evacuations = () => ({asOf: 0, failureDomains: []});
 
-	/** How long an entry's thread leaves a call to an agent unsent, and an answer unhandled. */
+	/** Delay before an entry sends a call to an agent, and before it handles an answer. */
 	getCallDelayMs = (): number => 0;
 	getAnswerDelayMs = (): number => 0;
 
@@ -127,7 +127,7 @@
 			},
 			plan: start => this.plan(start),
 			onEvent: event => {
-				this.#judge(event);
+				this.#checkEvent(event);
 			},
 			maxLeaseMs: 6000,
 			stopMs: 100,
@@ -145,7 +145,7 @@
 		const host = this.hosts.get(name)!;
 		host.aborter = new AbortController();
 		host.clock = new ProcessClock(this.clock);
-		const life = `life-${++this.#lives}`;
+		const life = `life-${++this.#incarnations}`;
 		const agent = new Agent({
 			registration: {
 				host: name, address: name, service, failureDomain: 'hall',
@@ -174,7 +174,7 @@
 		const clock = new ProcessClock(this.clock);
 		const aborter = new AbortController();
 		const store = gate(clock, this.store.createClient(name));
-		const life = `${name}-${++this.#lives}`;
+		const life = `${name}-${++this.#incarnations}`;
 		const note = this.#createNote(name);
 		const follower = new WorkflowFollower({
 			store, clock, ref: {topic: workflowsTopic, partition}, onStoreState: ignore, onInvalid: ignore,
@@ -214,14 +214,14 @@
 		return entry;
 	}
 
-	/** Ends the process at once: nothing that it still had to do is done. */
+	/** Ends the process at once, without its pending work. */
 	killEntry(name: string): void {
 		const entry = this.entries.get(name)!;
 		entry.clock.isPaused = true;
 		this.entries.delete(name);
 	}
 
-	/** The entry that owns the partition by its own belief. */
+	/** An entry that considers itself the owner of the partition. */
 	getOwnerName(): string | undefined {
 		return [...this.entries.values()].find(({ownership}) => ownership.owners.has(partition))?.name;
 	}
@@ -254,10 +254,10 @@
 			await this.clock.advance(5);
 		}
 
-		throw new Error('not settled');
+		throw new Error('promise not settled after 2000 steps of 5 ms');
 	}
 
-	/** Advances until the condition holds; gives the time that it took, or undefined after the bound. */
+	/** Advances until the condition holds; returns the time that it took, or undefined after the bound. */
 	async waitFor(isMet: () => boolean, boundMs: number): Promise<number | undefined> {
 		const startMs = this.clock.monotonicMs();
 		while (!isMet()) {
@@ -271,7 +271,7 @@
 		return this.clock.monotonicMs() - startMs;
 	}
 
-	/** Starts of a task so far. */
+	/** Number of starts of a task so far. */
 	getStarts(taskId: string): number {
 		return this.events.filter(event => event.type === 'started' && event.taskId === taskId).length;
 	}
@@ -280,7 +280,7 @@
 		return [...this.hosts.values()].some(({worker}) => worker.running.has(taskId));
 	}
 
-	/** Ends with nothing left running. */
+	/** Stops all processes of the site. */
 	stop(): void {
 		for (const {aborter, ownership} of this.entries.values()) {
 			aborter.abort();
@@ -315,13 +315,13 @@
 		};
 	}
 
-	#judge(event: WorkerEvent): void {
+	#checkEvent(event: WorkerEvent): void {
 		this.events.push(event);
 		const ref = parseTaskId(event.taskId)!;
 		const step = this.specs.get(ref.workflowId)?.steps[ref.step];
 		switch (event.type) {
 			case 'started': {
-				this.#judgeStart(event, step);
+				this.#checkStart(event, step);
 				this.#runs.set(event.taskId, event);
 				break;
 			}
@@ -345,35 +345,35 @@
 		}
 	}
 
-	#judgeStart({taskId, run, workerId}: {taskId: string; run: number; workerId: string}, step: WorkflowStep | undefined): void {
+	#checkStart({taskId, run, workerId}: {taskId: string; run: number; workerId: string}, step: WorkflowStep | undefined): void {
 		const {workflowId, occurrence} = parseTaskId(taskId)!;
 		if (!step) {
-			this.violations.push(`${taskId} was not asked for`);
+			this.violations.push(`${taskId} is started without a submitted job`);
 			return;
 		}
 
 		const other = this.#runs.get(taskId);
 		if (other && !step.isSpeculative) {
-			this.violations.push(`${taskId} run ${run} on ${workerId} while run ${other.run} is on ${other.workerId}`);
+			this.violations.push(`${taskId} run ${run} is started on ${workerId} while run ${other.run} is active on ${other.workerId}`);
 		}
 
 		if (this.#forgottenDone.has(taskId)) {
-			this.violations.push(`${taskId} run ${run} after its end was taken`);
+			this.violations.push(`${taskId} run ${run} is started after an owner has stored the task's success`);
 		}
 
 		for (const earlier of step.after) {
 			const {count} = this.specs.get(workflowId)!.steps[earlier]!;
 			for (let member = 0; member < count; member++) {
 				if (!this.#done.has(`${workflowId}.${occurrence}.${earlier}.${member}`)) {
-					this.violations.push(`${taskId} before ${workflowId}.${occurrence}.${earlier}.${member} is done`);
+					this.violations.push(`${taskId} is started before ${workflowId}.${occurrence}.${earlier}.${member} has succeeded`);
 				}
 			}
 		}
 
-		this.#judgeRoom(workerId);
+		this.#checkCapacity(workerId);
 	}
 
-	#judgeRoom(workerId: string): void {
+	#checkCapacity(workerId: string): void {
 		const host = [...this.hosts.values()].find(({worker}) => worker.workerId === workerId)!;
 		let milliCpu = 0;
 		for (const taskId of host.worker.running.keys()) {
@@ -383,7 +383,7 @@
 		}
 
 		if (milliCpu > host.worker.announce().milliCpu) {
-			this.violations.push(`${workerId} is given ${milliCpu}`);
+			this.violations.push(`${workerId} has runs for ${milliCpu} thousandths of a core`);
 		}
 	}
 }
