--- a/src/workflows/agent-links.ts
+++ b/src/workflows/agent-links.ts
@@ -22,7 +22,7 @@
 export type AgentLinksOptions = {
 	store: StoreClient;
 	registrations: PartitionRef;
-	/** Whether the registration's service is one of this owner's. */
+	/** Whether the registered agent's service belongs to the partition of this owner. */
 	isMine: (registration: AgentRegistration) => boolean;
 	client: AgentClient;
 	clock: Clock;
@@ -116,8 +116,8 @@
 	}
 
 	/** Converts a period of validity from now to an expiry time on the agent's clock. */
-	getNotAfterMs(worker: FleetWorker, goodMs: number): number {
-		return worker.agentClock.read(this.#options.clock.monotonicMs()) + goodMs;
+	getNotAfterMs(worker: FleetWorker, validityMs: number): number {
+		return worker.agentClock.read(this.#options.clock.monotonicMs()) + validityMs;
 	}
 
 	#applyRegistration(host: string, value: Buffer | undefined, offset: number, signal: AbortSignal): void {
--- a/src/workflows/config-follower.ts
+++ b/src/workflows/config-follower.ts
@@ -40,7 +40,7 @@
 		this.#options = options;
 	}
 
-	/** Evacuations in force. */
+	/** Current evacuations. */
 	get evacuations(): Evacuations {
 		return this.#evacuations.current;
 	}
--- a/src/workflows/order-sender.ts
+++ b/src/workflows/order-sender.ts
@@ -61,14 +61,14 @@
 	start(starts: Start[]): void {
 		const {tracker, links, clock, getStartGoodMs} = this.#options;
 		const nowMs = clock.monotonicMs();
-		const goodMs = getStartGoodMs();
+		const validityMs = getStartGoodMs();
 		const byWorker = new Map<FleetWorker, {runs: LiveRun[]; notAfterMs: number}>();
 		for (const {task, worker} of starts) {
 			const {step} = task;
 			// Members of a gang share the run number.
 			const lastRun = step.spec.isGang ? Math.max(...step.tasks.map(member => member.runs.length > 0 ? member.lastRun - 1 : member.lastRun)) : task.lastRun;
 			// The run and its order have the same expiry: with a later one in the order the run could begin after it was considered lost.
-			const orders = byWorker.get(worker) ?? {runs: [], notAfterMs: links.getNotAfterMs(worker, goodMs)};
+			const orders = byWorker.get(worker) ?? {runs: [], notAfterMs: links.getNotAfterMs(worker, validityMs)};
 			byWorker.set(worker, orders);
 			orders.runs.push(tracker.open(task, worker, lastRun + 1, {nowMs, notAfterMs: orders.notAfterMs}));
 		}
--- a/src/workflows/view-age.ts
+++ b/src/workflows/view-age.ts
@@ -24,7 +24,7 @@
 */
 export class ViewAge {
 	readonly #options: ViewAgeOptions;
-	#isTooOld = false;
+	#isStale = false;
 
 	constructor(options: ViewAgeOptions) {
 		this.#options = options;
@@ -38,9 +38,9 @@
 	/** Whether the view is too stale to start anything. */
 	isTooOld(): boolean {
 		const isTooOld = this.getStartGoodMs() < minValidityMs;
-		if (isTooOld !== this.#isTooOld) {
+		if (isTooOld !== this.#isStale) {
 			const {follower, note} = this.#options;
-			this.#isTooOld = isTooOld;
+			this.#isStale = isTooOld;
 			note(isTooOld ? 'starts held' : 'starts go on', {unseenMs: Math.round(this.#getStalenessMs()), offset: follower.fold.offset});
 		}
 
