--- a/src/workflows/order-sender.ts
+++ b/src/workflows/order-sender.ts
@@ -27,8 +27,8 @@
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-/** Weight of the newest start in the mean start latency. */
-const latencyWeight = 0.1;
+/** Weight of the newest start in the mean start delay. */
+const delayWeight = 0.1;
 /** A stop is ordered again after this if its end is not listed: longer than a worker takes to stop a run. */
 const stopRetryMs = 700;
 /** Pause of a worker with an unknown run: longer than the time between two listings. */
@@ -46,7 +46,7 @@
 /** Sends the orders of one owner. */
 export class OrderSender {
 	readonly #options: OrderSenderOptions;
-	#startLatencyMs = 0;
+	#startDelayMs = 0;
 
 	constructor(options: OrderSenderOptions) {
 		this.#options = options;
@@ -54,7 +54,7 @@
 
 	/** Moving average of the time from the decision of a start to the agent's answer. */
 	get leadMs(): number {
-		return this.#startLatencyMs;
+		return this.#startDelayMs;
 	}
 
 	/** Orders starts that were decided. */
@@ -150,7 +150,7 @@
 		}
 
 		if (isDone) {
-			this.#startLatencyMs += latencyWeight * (nowMs - run.sentAtMs - this.#startLatencyMs);
+			this.#startDelayMs += delayWeight * (nowMs - run.sentAtMs - this.#startDelayMs);
 			tracker.confirm(run, version, nowMs);
 			return;
 		}
