--- a/src/agents/agent-state.ts
+++ b/src/agents/agent-state.ts
@@ -2,26 +2,26 @@
 State of an agent: its worker, the lease that it holds for the worker, the worker's runs, and the version that owners long-poll.
 */
 import {isWithin, type CrashedRun, type WorkerReport} from '../types/fleet.ts';
-import {LeaseClock} from './lease-clock.ts';
+import {WorkerLease} from './worker-lease.ts';
 import {WorkerRuns} from './worker-runs.ts';
 
 /** What the agent knows of one incarnation of the worker. */
 export type WorkerState = {
 	report: WorkerReport;
-	lease: LeaseClock;
+	lease: WorkerLease;
 	runs: WorkerRuns;
 	/** Ends of runs up to this number are stored in the log; the worker may drop them. */
 	forgetUpTo: number;
 	/** Set after the agent was declared lost: no lease is renewed until the worker's clock has passed this reading. */
-	lapseUntilMs?: number;
+	allLeasesExpiredAtMs?: number;
 	/** Whether the worker answered the last renewal. */
 	isAnswering: boolean;
 	/** When a renewal first got no answer; undefined while the worker answers. */
-	silentSinceMs?: number;
+	unresponsiveSinceMs?: number;
 	/** When the worker last answered a listing or a start. */
 	answeredAtMs: number;
 	/** The worker does not answer, and all leases granted to it have expired. */
-	isOver: boolean;
+	areLeasesExpired: boolean;
 };
 
 const maxGoneWorkerIds = 20;
@@ -34,8 +34,8 @@
 const maxCrashedRuns = 1000;
 
 /** Estimates when a worker that is gone crashed. */
-export const getCrashedAtMs = ({silentSinceMs, answeredAtMs}: WorkerState, nowMs: number): number =>
-	Math.min(silentSinceMs ?? nowMs, answeredAtMs + maxCrashDelayMs);
+export const estimateCrashedAtMs = ({unresponsiveSinceMs, answeredAtMs}: WorkerState, nowMs: number): number =>
+	Math.min(unresponsiveSinceMs ?? nowMs, answeredAtMs + maxCrashDelayMs);
 
 /** State of an agent. */
 export class AgentState {
@@ -43,11 +43,11 @@
 	readonly life: string;
 	worker: WorkerState | undefined;
 	/** When the state was last sent to an owner. */
-	toldAtMs = Number.NEGATIVE_INFINITY;
+	lastReportedAtMs = Number.NEGATIVE_INFINITY;
 	/** Offset of the registration in effect; 0 before the first. */
 	session = 0;
 	/** Declared lost: all leases must expire before any is renewed or any task is started. */
-	mustLapse = false;
+	mustLetLeasesExpire = false;
 	/** Incarnations of the worker that have ended, with all their runs. */
 	readonly goneWorkerIds: string[] = [];
 	/** Runs that were resident when a worker crashed, and that no owner has reported as stored in the log. */
@@ -75,18 +75,18 @@
 	}
 
 	/** Increments the version for a change that the owner already knows of. */
-	advance(): void {
+	incrementVersion(): void {
 		this.#version++;
 	}
 
 	/** Increments the version and wakes the watchers. */
-	bump(): void {
-		this.advance();
-		this.wake();
+	notifyChange(): void {
+		this.incrementVersion();
+		this.wakeWatchers();
 	}
 
 	/** Wakes the watchers: measurements of tasks are new, or the version has changed. */
-	wake(): void {
+	wakeWatchers(): void {
 		for (const onWake of this.#watchers) {
 			onWake();
 		}
@@ -107,14 +107,14 @@
 	If it replaced the live incarnation, the owner would take the live one's runs for ended and start them elsewhere as well.
 	So a second incarnation becomes current only after the worker's own answer shows that the first is gone.
 	*/
-	announce(report: WorkerReport, nowMs: number): boolean {
+	applyAnnouncement(report: WorkerReport, nowMs: number): boolean {
 		const known = this.worker?.report;
 		if (known?.workerId === report.workerId) {
 			// Announcements may arrive out of order; the one with the higher sequence is newer.
 			if (report.sequence > known.sequence) {
 				this.worker!.report = report;
 				if (known.isDraining !== report.isDraining || !isWithin(known, report) || !isWithin(report, known)) {
-					this.bump();
+					this.notifyChange();
 				}
 			}
 
@@ -136,11 +136,11 @@
 	}
 
 	/** Records that an incarnation has ended, with all its runs. */
-	noteGone(workerId: string): void {
+	recordGone(workerId: string): void {
 		if (!this.goneWorkerIds.includes(workerId)) {
 			this.goneWorkerIds.push(workerId);
 			this.goneWorkerIds.splice(0, Math.max(0, this.goneWorkerIds.length - maxGoneWorkerIds));
-			this.bump();
+			this.notifyChange();
 		}
 	}
 
@@ -148,13 +148,13 @@
 	Records the runs of a worker that ended without a leave message while this process kept running. The worker itself crashed:
 	a loss of the host would have ended the agent too. A draining worker was about to end, so its end is not counted as a crash.
 	*/
-	noteCrash(worker: WorkerState, nowMs: number): void {
+	recordCrash(worker: WorkerState, nowMs: number): void {
 		const {report, runs} = worker;
 		if (report.isDraining) {
 			return;
 		}
 
-		for (const resident of runs.getAboard(getCrashedAtMs(worker, nowMs))) {
+		for (const resident of runs.getResidentRuns(estimateCrashedAtMs(worker, nowMs))) {
 			this.#crashed.push({...resident, number: ++this.#lastCrashedNumber, workerId: report.workerId});
 		}
 
@@ -162,17 +162,17 @@
 	}
 
 	/** Drops crashed runs that are stored in the log. */
-	forgetCrashed(upTo: number): void {
+	dropStoredCrashes(upTo: number): void {
 		this.#crashed = this.#crashed.filter(({number}) => number > upTo);
 	}
 
 	/** Removes an incarnation that ended or whose address another one answers at. If a successor has announced itself, it becomes current. */
-	drop(workerId: string, nowMs: number): void {
+	removeWorker(workerId: string, nowMs: number): void {
 		if (this.worker?.report.workerId === workerId) {
 			this.worker = undefined;
 		}
 
-		this.noteGone(workerId);
+		this.recordGone(workerId);
 		const successor = this.#successor;
 		if (!this.worker && successor && successor.workerId !== workerId) {
 			this.#setWorker(successor, nowMs);
@@ -182,8 +182,8 @@
 	#setWorker(report: WorkerReport, nowMs: number): void {
 		this.#successor = undefined;
 		this.worker = {
-			report, lease: new LeaseClock(this.#leaseMs), runs: new WorkerRuns(), forgetUpTo: 0, isOver: false, isAnswering: true, answeredAtMs: nowMs,
+			report, lease: new WorkerLease(this.#leaseMs), runs: new WorkerRuns(), forgetUpTo: 0, areLeasesExpired: false, isAnswering: true, answeredAtMs: nowMs,
 		};
-		this.bump();
+		this.notifyChange();
 	}
 }
--- a/src/agents/agent.ts
+++ b/src/agents/agent.ts
@@ -13,7 +13,7 @@
 import {AgentState} from './agent-state.ts';
 import {agentsTopic, controlTopic} from './control-records.ts';
 import {ControlWatch} from './control-watch.ts';
-import {OrderHandler, type AgentNote} from './order-handler.ts';
+import {OrderHandler, type AgentLogEvent} from './order-handler.ts';
 import {runWorkerLoop} from './worker-loop.ts';
 
 /** Options of an agent. */
@@ -26,9 +26,9 @@
 	clock: Clock;
 	/** Identifies this start of the agent process. */
 	life: string;
-	leaseHorizonMs: number;
+	leaseDurationMs: number;
 	maxLeaseMs: number;
-	note: AgentNote;
+	note: AgentLogEvent;
 };
 
 const registerTimeoutMs = 1000;
@@ -59,14 +59,14 @@
 	constructor(options: AgentOptions) {
 		const {clock, store, client, note, registration, partition} = options;
 		this.#options = options;
-		this.state = new AgentState(options.life, options.leaseHorizonMs);
+		this.state = new AgentState(options.life, options.leaseDurationMs);
 		this.#fence = clock.now().getTime();
 		this.#control = new ControlWatch({
 			store,
 			clock,
 			ref: {topic: controlTopic, partition},
 			host: registration.host,
-			onReadSent: () => this.#prepareProof(),
+			prepareProof: () => this.#prepareProof(),
 			onLost: session => {
 				this.#handleLoss(session);
 			},
@@ -89,7 +89,7 @@
 			},
 		});
 		this.#loopOptions = {
-			...shared, wakeup: this.#wakeup, maxLeaseMs: options.maxLeaseMs, onLapsed: () => {
+			...shared, wakeup: this.#wakeup, maxLeaseMs: options.maxLeaseMs, onLeasesExpired: () => {
 				note('lapsed', {session: this.state.session});
 				this.#isRegistered = false;
 			},
@@ -97,9 +97,9 @@
 	}
 
 	/** Handles an announcement of the worker. */
-	announce(report: WorkerReport): void {
+	handleAnnouncement(report: WorkerReport): void {
 		const previous = this.state.worker?.report;
-		if (this.state.announce(report, this.#options.clock.monotonicMs())) {
+		if (this.state.applyAnnouncement(report, this.#options.clock.monotonicMs())) {
 			this.#hasWorkerLeft = false;
 			this.#options.note('worker came', {
 				workerId: report.workerId, before: previous?.workerId, milliCpu: report.milliCpu, memoryMb: report.memoryMb, labels: report.labels,
@@ -111,10 +111,10 @@
 	}
 
 	/** Handles the worker's message that it ends. */
-	workerLeft(workerId: string): void {
+	handleWorkerLeave(workerId: string): void {
 		this.#options.note('worker left', {workerId});
 		this.#hasWorkerLeft = true;
-		this.state.drop(workerId, this.#options.clock.monotonicMs());
+		this.state.removeWorker(workerId, this.#options.clock.monotonicMs());
 	}
 
 	async order(request: OrdersRequest): Promise<OrdersReply> {
@@ -146,14 +146,14 @@
 	/** Called before a read is sent: uses the worker's clock as the time of the proof, and returns a function that applies the proof. */
 	#prepareProof(): (() => void) | undefined {
 		const {worker} = this.state;
-		const clockMs = worker?.lease.estimate(this.#options.clock.monotonicMs());
+		const clockMs = worker?.lease.estimateClockMs(this.#options.clock.monotonicMs());
 		if (!worker || clockMs === undefined) {
 			return undefined;
 		}
 
 		return () => {
-			if (worker.lapseUntilMs === undefined && !this.state.mustLapse) {
-				worker.lease.prove(clockMs);
+			if (worker.allLeasesExpiredAtMs === undefined && !this.state.mustLetLeasesExpire) {
+				worker.lease.extendByProof(clockMs);
 			}
 		};
 	}
@@ -165,7 +165,7 @@
 	#handleLoss(session: number): void {
 		if (session >= this.#minLostSession) {
 			this.#options.note('declared lost', {session});
-			this.state.mustLapse = true;
+			this.state.mustLetLeasesExpire = true;
 			this.#wakeup.wake();
 		}
 	}
@@ -182,7 +182,7 @@
 		const {store, clock, registration, note} = this.#options;
 		while (!signal.aborted) {
 			try {
-				const {records} = await store.newest({topic: agentsTopic, partition: 0}, signal);
+				const {records} = await store.readNewest({topic: agentsTopic, partition: 0}, signal);
 				return records.find(({key}) => key === registration.host)?.offset;
 			} catch (error) {
 				note('registration not read', {error: getMessage(error)});
@@ -218,7 +218,7 @@
 					this.#registrations++;
 					this.#isRegistered = true;
 					this.state.session = result.offset;
-					this.state.bump();
+					this.state.notifyChange();
 					note('registered', {session: result.offset});
 					return;
 				}
--- a/src/agents/control-records.ts
+++ b/src/agents/control-records.ts
@@ -13,7 +13,7 @@
 export const agentsTopic = 'keyed.agents';
 
 /** Kinds of control records. */
-export enum ControlType {
+export enum ControlRecordType {
 	Claim = 'claim',
 	Lost = 'lost',
 	Evacuations = 'evacuations',
@@ -21,34 +21,34 @@
 
 /** One control record. */
 export type ControlRecord
-	= | {type: ControlType.Claim; epoch: number; owner: string}
+	= | {type: ControlRecordType.Claim; epoch: number; owner: string}
 		/** The agent's registration at this offset (`session`) is void: its leases are not renewed and expire. */
-		| {type: ControlType.Lost; host: string; session: number; epoch: number}
+		| {type: ControlRecordType.Lost; host: string; session: number; epoch: number}
 		/** Replaces an earlier record, unless that one has a higher `asOf` offset. */
-		| ({type: ControlType.Evacuations; epoch: number} & Evacuations);
+		| ({type: ControlRecordType.Evacuations; epoch: number} & Evacuations);
 
 /** Encodes a record. */
-export const encodeControl = (record: ControlRecord): Buffer => Buffer.from(JSON.stringify(record));
+export const encodeControlRecord = (record: ControlRecord): Buffer => Buffer.from(JSON.stringify(record));
 
 /** Decodes a record. Throws `bad-input`. */
-export const decodeControl = (value: Buffer): ControlRecord => {
+export const decodeControlRecord = (value: Buffer): ControlRecord => {
 	const fields = parseFields(value, 'read control record');
-	const type = fields.oneOf('type', Object.values(ControlType));
-	const epoch = fields.count('epoch');
+	const type = fields.oneOf('type', Object.values(ControlRecordType));
+	const epoch = fields.nonNegativeInteger('epoch');
 	switch (type) {
-		case ControlType.Claim: {
-			return {type, epoch, owner: fields.text('owner')};
+		case ControlRecordType.Claim: {
+			return {type, epoch, owner: fields.string('owner')};
 		}
 
-		case ControlType.Lost: {
+		case ControlRecordType.Lost: {
 			return {
-				type, epoch, host: fields.text('host'), session: fields.count('session'),
+				type, epoch, host: fields.string('host'), session: fields.nonNegativeInteger('session'),
 			};
 		}
 
-		case ControlType.Evacuations: {
+		case ControlRecordType.Evacuations: {
 			return {
-				type, epoch, asOf: fields.count('asOf'), failureDomains: fields.list('failureDomains', decodeName),
+				type, epoch, asOf: fields.nonNegativeInteger('asOf'), failureDomains: fields.array('failureDomains', decodeName),
 			};
 		}
 	}
@@ -66,6 +66,6 @@
 export const decodeRegistration = (value: Buffer): AgentRegistration => {
 	const fields = parseFields(value, 'read agent registration');
 	return {
-		host: fields.text('host'), address: fields.text('address'), service: fields.text('service'), failureDomain: fields.text('failureDomain'),
+		host: fields.string('host'), address: fields.string('address'), service: fields.string('service'), failureDomain: fields.string('failureDomain'),
 	};
 };
--- a/src/agents/control-watch.ts
+++ b/src/agents/control-watch.ts
@@ -6,7 +6,7 @@
 import {type Clock} from '../types/clock.ts';
 import {type Evacuations} from '../types/site.ts';
 import {type PartitionRef, type StoreClient} from '../types/store.ts';
-import {ControlType, decodeControl} from './control-records.ts';
+import {ControlRecordType, decodeControlRecord} from './control-records.ts';
 
 /** Options of the watch. */
 export type ControlWatchOptions = {
@@ -15,7 +15,7 @@
 	clock: Clock;
 	host: string;
 	/** Called before each read; the function that it returns is called if the read reaches the end of the stream. */
-	onReadSent: () => (() => void) | undefined;
+	prepareProof: () => (() => void) | undefined;
 	onLost: (session: number) => void;
 	onStoreState: (isReached: boolean, detail: string) => void;
 	onInvalid: (detail: string) => void;
@@ -56,7 +56,7 @@
 	}
 
 	/** Records an owner's epoch; returns false if a newer one is known. */
-	meet(epoch: number): boolean {
+	observeEpoch(epoch: number): boolean {
 		this.#epoch = Math.max(this.#epoch, epoch);
 		return epoch >= this.#epoch;
 	}
@@ -65,7 +65,7 @@
 	async run(signal: AbortSignal): Promise<void> {
 		const {store, ref, clock, onStoreState} = this.#options;
 		while (!signal.aborted) {
-			const applyProof = this.#options.onReadSent();
+			const applyProof = this.#options.prepareProof();
 			try {
 				// Before the stream was read to its end, reads do not wait for new records: until then the agent accepts no start.
 				const page = await store.read(ref, this.#offset, {waitMs: this.#isCaughtUp ? readWaitMs : 0, signal});
@@ -97,16 +97,16 @@
 		}
 	}
 
-	#apply(value: Parameters<typeof decodeControl>[0]): void {
+	#apply(value: Parameters<typeof decodeControlRecord>[0]): void {
 		try {
-			const record = decodeControl(value);
+			const record = decodeControlRecord(value);
 			switch (record.type) {
-				case ControlType.Claim: {
-					this.meet(record.epoch);
+				case ControlRecordType.Claim: {
+					this.observeEpoch(record.epoch);
 					break;
 				}
 
-				case ControlType.Lost: {
+				case ControlRecordType.Lost: {
 					if (record.host === this.#options.host) {
 						this.#options.onLost(record.session);
 					}
@@ -114,7 +114,7 @@
 					break;
 				}
 
-				case ControlType.Evacuations: {
+				case ControlRecordType.Evacuations: {
 					if (record.asOf >= this.#evacuations.asOf) {
 						this.#evacuations = {asOf: record.asOf, failureDomains: record.failureDomains};
 					}
--- a/src/agents/order-handler.ts
+++ b/src/agents/order-handler.ts
@@ -13,7 +13,7 @@
 import {type ControlWatch} from './control-watch.ts';
 
 /** Logs an event. */
-export type AgentNote = (event: string, fields: Record<string, unknown>) => void;
+export type AgentLogEvent = (event: string, fields: Record<string, unknown>) => void;
 
 /** Options of the handler. */
 export type OrderHandlerOptions = {
@@ -25,7 +25,7 @@
 	onFenceRefused: () => void;
 	/** Wakes the loop that renews leases and lists the worker's runs. */
 	wake: () => void;
-	note: AgentNote;
+	note: AgentLogEvent;
 };
 
 /**
@@ -63,7 +63,7 @@
 	/** Answers when the version differs from the one the owner knows, when there are new measurements, or after the wait. */
 	async watch(request: WatchRequest, signal: AbortSignal): Promise<WatchReply> {
 		const {state, control, clock} = this.#options;
-		if (!control.meet(request.epoch)) {
+		if (!control.observeEpoch(request.epoch)) {
 			return {...this.#describe(), newerEpoch: control.epoch};
 		}
 
@@ -83,19 +83,19 @@
 
 	#getRefusal({epoch, agentLife, notAfterMs, workerId}: OrdersRequest): OrderRefusal | undefined {
 		const {state, control, clock} = this.#options;
-		if (!control.meet(epoch)) {
+		if (!control.observeEpoch(epoch)) {
 			return OrderRefusal.StaleEpoch;
 		}
 
 		if (agentLife !== state.life) {
-			return OrderRefusal.OtherLife;
+			return OrderRefusal.OtherAgentIncarnation;
 		}
 
 		if (clock.monotonicMs() > notAfterMs) {
 			return OrderRefusal.Expired;
 		}
 
-		return state.worker?.report.workerId === workerId ? undefined : OrderRefusal.OtherWorker;
+		return state.worker?.report.workerId === workerId ? undefined : OrderRefusal.OtherWorkerIncarnation;
 	}
 
 	async #carryOut(order: Order, worker: WorkerState, capacity: Capacity | undefined): Promise<WorkerAnswer> {
@@ -105,7 +105,7 @@
 			switch (order.type) {
 				case OrderType.Start: {
 					if (capacity && !isWithin(capacity, worker.report)) {
-						return {isDone: false, refusal: OrderRefusal.Shrunk};
+						return {isDone: false, refusal: OrderRefusal.CapacityReduced};
 					}
 
 					return await this.#start(order.start, worker);
@@ -117,8 +117,8 @@
 					return this.#checkFence(answer);
 				}
 
-				case OrderType.Pace: {
-					return this.#checkFence(await client.pace(workerId, order, getFence()));
+				case OrderType.Throttle: {
+					return this.#checkFence(await client.throttle(workerId, order, getFence()));
 				}
 			}
 		} catch (error) {
@@ -129,8 +129,8 @@
 
 	async #start(start: WorkerStart, worker: WorkerState): Promise<WorkerAnswer> {
 		const {client, clock, control, getFence, state} = this.#options;
-		const {lease, report, runs, lapseUntilMs} = worker;
-		const clockMs = lease.estimate(clock.monotonicMs());
+		const {lease, report, runs, allLeasesExpiredAtMs} = worker;
+		const clockMs = lease.estimateClockMs(clock.monotonicMs());
 		if (report.isDraining) {
 			return {isDone: false, refusal: OrderRefusal.Draining};
 		}
@@ -146,29 +146,29 @@
 		}
 
 		// Without the newest claim, the agent may be taking orders from an owner that was replaced.
-		if (!control.isCaughtUp || clockMs === undefined || !runs.isListed || state.mustLapse || lapseUntilMs !== undefined || lease.leaseUntilMs < clockMs + minRemainingLeaseMs) {
+		if (!control.isCaughtUp || clockMs === undefined || !runs.isListed || state.mustLetLeasesExpire || allLeasesExpiredAtMs !== undefined || lease.leaseUntilMs < clockMs + minRemainingLeaseMs) {
 			return {isDone: false, refusal: OrderRefusal.NoLease};
 		}
 
 		const leaseUntilMs = Math.floor(Math.min(lease.leaseUntilMs, clockMs + startValidityMs));
-		lease.noteSent(leaseUntilMs);
-		runs.noteSent(start.taskId, start.run, {validUntilMs: leaseUntilMs, nowMs: clock.monotonicMs()});
+		lease.recordSent(leaseUntilMs);
+		runs.recordStartSent(start.taskId, start.run, {validUntilMs: leaseUntilMs, nowMs: clock.monotonicMs()});
 		try {
 			const answer = await client.start(report.workerId, start, {fence: getFence(), leaseUntilMs});
 			worker.answeredAtMs = clock.monotonicMs();
-			runs.noteAnswered(start.taskId, start.run, answer.isDone, clock.monotonicMs());
+			runs.recordStartAnswer(start.taskId, start.run, answer.isDone, clock.monotonicMs());
 			// The owner learns of the start from this answer: waking its watch too would double the messages of a large service.
-			state.advance();
+			state.incrementVersion();
 			return this.#checkFence(answer);
 		} catch (error) {
-			runs.noteUnanswered(start.taskId, start.run);
-			state.bump();
+			runs.recordStartUnanswered(start.taskId, start.run);
+			state.notifyChange();
 			throw error;
 		}
 	}
 
 	#checkFence(answer: WorkerAnswer): WorkerAnswer {
-		if (answer.refusal === OrderRefusal.Fence) {
+		if (answer.refusal === OrderRefusal.StaleFence) {
 			this.#options.onFenceRefused();
 		}
 
@@ -176,13 +176,13 @@
 	}
 
 	#applyProof({proof}: WatchRequest): void {
-		const {worker, session, mustLapse} = this.#options.state;
-		if (!proof || !worker || mustLapse || worker.lapseUntilMs !== undefined) {
+		const {worker, session, mustLetLeasesExpire} = this.#options.state;
+		if (!proof || !worker || mustLetLeasesExpire || worker.allLeasesExpiredAtMs !== undefined) {
 			return;
 		}
 
 		if (proof.workerId === worker.report.workerId && proof.session === session) {
-			worker.lease.prove(proof.clockMs);
+			worker.lease.extendByProof(proof.clockMs);
 		}
 	}
 
@@ -190,7 +190,7 @@
 		const {state} = this.#options;
 		const {worker} = state;
 		if (agentLife === state.life) {
-			state.forgetCrashed(crashesStored);
+			state.dropStoredCrashes(crashesStored);
 		}
 
 		if (!forget || !worker) {
@@ -206,7 +206,7 @@
 	#describe(): WatchReply {
 		const {state, clock} = this.#options;
 		const {worker} = state;
-		state.toldAtMs = clock.monotonicMs();
+		state.lastReportedAtMs = clock.monotonicMs();
 		return {
 			agentLife: state.life,
 			session: state.session,
@@ -217,7 +217,7 @@
 			leaseUntilMs: worker?.lease.leaseUntilMs ?? 0,
 			isListed: worker?.runs.isListed ?? false,
 			isAnswering: worker?.isAnswering ?? false,
-			isOver: worker?.isOver ?? false,
+			isOver: worker?.areLeasesExpired ?? false,
 			running: worker?.runs.running ?? [],
 			ended: worker ? worker.runs.ended.filter(row => row.number > worker.forgetUpTo) : [],
 			starting: worker?.runs.starting ?? [],
--- a/src/agents/lease-clock.ts
+++ b/src/agents/worker-lease.ts
@@ -6,10 +6,10 @@
 */
 
 /** A worker's clock may run slow by at most this share. */
-export const workerClockSlowShare = 0.02;
+export const maxClockSlowShare = 0.02;
 
 /** Lease of one incarnation of a worker. */
-export class LeaseClock {
+export class WorkerLease {
 	readonly #leaseMs: number;
 	#sample: {clockMs: number; atMs: number} | undefined;
 	#leaseUntilMs = 0;
@@ -36,19 +36,19 @@
 	}
 
 	/** Records a reading of the worker's clock; a reading older than the latest is ignored. */
-	note(clockMs: number, nowMs: number): void {
+	recordReading(clockMs: number, nowMs: number): void {
 		if (!this.#sample || clockMs >= this.#sample.clockMs) {
 			this.#sample = {clockMs, atMs: nowMs};
 		}
 	}
 
 	/** Estimates the present reading of the worker's clock. Too low if this process was paused before it recorded the latest reading. */
-	estimate(nowMs: number): number | undefined {
+	estimateClockMs(nowMs: number): number | undefined {
 		return this.#sample && this.#sample.clockMs + (nowMs - this.#sample.atMs);
 	}
 
 	/** Extends the lease by a proof, whose time is a reading of the worker's clock. */
-	prove(clockMs: number): void {
+	extendByProof(clockMs: number): void {
 		this.#leaseUntilMs = Math.max(this.#leaseUntilMs, clockMs + this.#leaseMs);
 	}
 
@@ -56,23 +56,23 @@
 	Gets the end of the lease for the next renewal. While the worker does not answer, the end is not moved: a call without an
 	answer may be carried out seconds later, and a lease extended by each such call would never be known to have expired.
 	*/
-	getNextUntilMs(isAnswering: boolean): number {
+	getRenewalUntilMs(isAnswering: boolean): number {
 		return isAnswering ? this.#leaseUntilMs : Math.min(this.#leaseUntilMs, this.#sentUntilMs);
 	}
 
 	/** Records that a call with this end of the lease is being sent. */
-	noteSent(untilMs: number): void {
+	recordSent(untilMs: number): void {
 		this.#sentUntilMs = Math.max(this.#sentUntilMs, untilMs);
 	}
 
 	/** Whether every lease sent to a worker that does not answer has certainly expired, even if the worker's clock is slow. */
-	isOver(nowMs: number, slackMs: number): boolean {
+	isExpired(nowMs: number, slackMs: number): boolean {
 		if (!this.#sample) {
 			return false;
 		}
 
 		const remainingMs = Math.max(0, this.#sentUntilMs - this.#sample.clockMs);
-		return nowMs - this.#sample.atMs > (remainingMs / (1 - workerClockSlowShare)) + slackMs;
+		return nowMs - this.#sample.atMs > (remainingMs / (1 - maxClockSlowShare)) + slackMs;
 	}
 }
 
@@ -80,4 +80,4 @@
 A lease ends this long after its latest proof. A longer lease lets running tasks survive an outage of the store or the loss
 of all entries. A shorter one lets tasks start elsewhere sooner, both when a worker is lost and when a new owner cannot reach one.
 */
-export const leaseHorizonMs = 7000;
+export const leaseDurationMs = 7000;
--- a/src/agents/worker-loop.ts
+++ b/src/agents/worker-loop.ts
@@ -6,8 +6,8 @@
 import {type Clock} from '../types/clock.ts';
 import {OrderRefusal, type WorkerClient, type WorkerListing} from '../types/fleet.ts';
 import {type Wakeup} from '../utils/wakeup.ts';
-import {getCrashedAtMs, type AgentState, type WorkerState} from './agent-state.ts';
-import {type AgentNote} from './order-handler.ts';
+import {estimateCrashedAtMs, type AgentState, type WorkerState} from './agent-state.ts';
+import {type AgentLogEvent} from './order-handler.ts';
 
 /** Options of the loop. */
 export type WorkerLoopOptions = {
@@ -19,8 +19,8 @@
 	onFenceRefused: () => void;
 	maxLeaseMs: number;
 	/** The leases of an agent that was declared lost have expired: it may register again. */
-	onLapsed: () => void;
-	note: AgentNote;
+	onLeasesExpired: () => void;
+	note: AgentLogEvent;
 };
 
 /** The worker answers a listing after this if no run ends before; measurements of latency-critical tasks are at most this old. */
@@ -59,9 +59,9 @@
 	const {state, client, clock, getFence, onFenceRefused, note} = options;
 	const {lease, report: {workerId}} = worker;
 	const sentAtMs = clock.monotonicMs();
-	const leaseUntilMs = !state.mustLapse && worker.lapseUntilMs === undefined && lease.leaseUntilMs > 0 ? lease.getNextUntilMs(worker.isAnswering) : undefined;
+	const leaseUntilMs = !state.mustLetLeasesExpire && worker.allLeasesExpiredAtMs === undefined && lease.leaseUntilMs > 0 ? lease.getRenewalUntilMs(worker.isAnswering) : undefined;
 	if (leaseUntilMs !== undefined) {
-		lease.noteSent(leaseUntilMs);
+		lease.recordSent(leaseUntilMs);
 	}
 
 	try {
@@ -73,11 +73,11 @@
 			return true;
 		}
 
-		if (reply.refusal === OrderRefusal.OtherWorker) {
+		if (reply.refusal === OrderRefusal.OtherWorkerIncarnation) {
 			note('worker replaced', describeReplaced(worker, clock.monotonicMs()));
-			state.noteCrash(worker, clock.monotonicMs());
-			state.drop(workerId, clock.monotonicMs());
-		} else if (reply.refusal === OrderRefusal.Fence) {
+			state.recordCrash(worker, clock.monotonicMs());
+			state.removeWorker(workerId, clock.monotonicMs());
+		} else if (reply.refusal === OrderRefusal.StaleFence) {
 			onFenceRefused();
 		} else {
 			note('renewal refused', {workerId, refusal: reply.refusal});
@@ -85,8 +85,8 @@
 	} catch (error) {
 		if (worker.isAnswering) {
 			worker.isAnswering = false;
-			worker.silentSinceMs = clock.monotonicMs();
-			state.bump();
+			worker.unresponsiveSinceMs = clock.monotonicMs();
+			state.notifyChange();
 		}
 
 		note('worker unanswered', {workerId, error: getMessage(error), leaseUntilMs});
@@ -98,47 +98,47 @@
 
 /** Describes the runs at the time of the crash, newest first: a run that crashes its worker has usually not run for long. */
 const describeReplaced = (worker: WorkerState, nowMs: number): Record<string, unknown> => {
-	const {report, runs, silentSinceMs} = worker;
-	const residentRuns = runs.getAboard(getCrashedAtMs(worker, nowMs)).toSorted((a, b) => a.ageMs - b.ageMs);
+	const {report, runs, unresponsiveSinceMs} = worker;
+	const residentRuns = runs.getResidentRuns(estimateCrashedAtMs(worker, nowMs)).toSorted((a, b) => a.ageMs - b.ageMs);
 	return {
 		workerId: report.workerId,
 		wasDraining: report.isDraining,
-		silentMs: silentSinceMs === undefined ? undefined : Math.round(nowMs - silentSinceMs),
+		silentMs: unresponsiveSinceMs === undefined ? undefined : Math.round(nowMs - unresponsiveSinceMs),
 		runs: residentRuns.length,
 		newest: residentRuns.slice(0, maxLoggedRuns).map(({taskId, run, ageMs}) => ({taskId, run, ageMs: Math.round(ageMs)})),
 	};
 };
 
 const applyListing = (options: WorkerLoopOptions, worker: WorkerState, listing: WorkerListing, sentAtMs: number): void => {
-	const {state, clock, onLapsed} = options;
+	const {state, clock, onLeasesExpired} = options;
 	const wasUnresponsive = !worker.isAnswering;
 	worker.isAnswering = true;
-	worker.silentSinceMs = undefined;
+	worker.unresponsiveSinceMs = undefined;
 	worker.answeredAtMs = clock.monotonicMs();
-	worker.lease.note(listing.clockMs, clock.monotonicMs());
-	const isChanged = worker.runs.take(listing, sentAtMs);
-	if (worker.isOver || isChanged || wasUnresponsive) {
-		worker.isOver = false;
-		state.bump();
-	} else if (listing.running.length > 0 && clock.monotonicMs() - state.toldAtMs >= measurementIntervalMs) {
-		state.wake();
+	worker.lease.recordReading(listing.clockMs, clock.monotonicMs());
+	const isChanged = worker.runs.applyListing(listing, sentAtMs);
+	if (worker.areLeasesExpired || isChanged || wasUnresponsive) {
+		worker.areLeasesExpired = false;
+		state.notifyChange();
+	} else if (listing.running.length > 0 && clock.monotonicMs() - state.lastReportedAtMs >= measurementIntervalMs) {
+		state.wakeWatchers();
 	}
 
-	if (state.mustLapse) {
+	if (state.mustLetLeasesExpire) {
 		// The previous agent process may have granted the longest lease just before it ended.
-		worker.lapseUntilMs = Math.max(worker.lease.sentUntilMs, listing.clockMs + options.maxLeaseMs);
-		state.mustLapse = false;
-	} else if (worker.lapseUntilMs !== undefined && listing.clockMs > worker.lapseUntilMs) {
-		worker.lapseUntilMs = undefined;
-		onLapsed();
+		worker.allLeasesExpiredAtMs = Math.max(worker.lease.sentUntilMs, listing.clockMs + options.maxLeaseMs);
+		state.mustLetLeasesExpire = false;
+	} else if (worker.allLeasesExpiredAtMs !== undefined && listing.clockMs > worker.allLeasesExpiredAtMs) {
+		worker.allLeasesExpiredAtMs = undefined;
+		onLeasesExpired();
 	}
 };
 
 /** A worker that does not answer still stops its tasks when their leases expire; after that they may start elsewhere. */
 const checkLeaseExpiry = ({state, clock, note}: WorkerLoopOptions, worker: WorkerState): void => {
-	if (!worker.isOver && worker.lease.isOver(clock.monotonicMs(), expirySlackMs)) {
-		worker.isOver = true;
+	if (!worker.areLeasesExpired && worker.lease.isExpired(clock.monotonicMs(), expirySlackMs)) {
+		worker.areLeasesExpired = true;
 		note('leases over without an answer', {workerId: worker.report.workerId});
-		state.bump();
+		state.notifyChange();
 	}
 };
--- a/src/agents/worker-runs.ts
+++ b/src/agents/worker-runs.ts
@@ -4,7 +4,7 @@
 import {type EndedRow, type RunningRow, type WorkerListing} from '../types/fleet.ts';
 
 /** A run that was, or may have been, on the worker at a given time. */
-export type AboardRun = {
+export type ResidentRun = {
 	taskId: string;
 	run: number;
 	/** Time since its start was sent or, if an earlier agent process started it, since it was first listed. */
@@ -53,17 +53,17 @@
 	}
 
 	/** Highest number of the listed ends; 0: none is listed. */
-	get lastEnd(): number {
+	get lastEndNumber(): number {
 		return this.#ended.at(-1)?.number ?? 0;
 	}
 
 	/** Gets the runs that are, or may be, on the worker, with their ages at the given time. */
-	getAboard(atMs: number): AboardRun[] {
+	getResidentRuns(atMs: number): ResidentRun[] {
 		const resident = new Map<string, {taskId: string; run: number}>([...this.#running, ...this.#starting]);
 		return [...resident].map(([key, {taskId, run}]) => ({taskId, run, ageMs: Math.max(0, atMs - (this.#sinceMs.get(key) ?? atMs))}));
 	}
 
-	noteSent(taskId: string, run: number, {validUntilMs, nowMs}: {validUntilMs: number; nowMs: number}): void {
+	recordStartSent(taskId: string, run: number, {validUntilMs, nowMs}: {validUntilMs: number; nowMs: number}): void {
 		const key = getKey(taskId, run);
 		this.#sinceMs.set(key, nowMs);
 		this.#starting.set(key, {
@@ -72,7 +72,7 @@
 	}
 
 	/** Records the worker's answer: the run has started, or never will. */
-	noteAnswered(taskId: string, run: number, isStarted: boolean, nowMs: number): void {
+	recordStartAnswer(taskId: string, run: number, isStarted: boolean, nowMs: number): void {
 		const key = getKey(taskId, run);
 		this.#starting.delete(key);
 		if (isStarted && !this.#running.has(key) && !this.#ended.some(row => row.taskId === taskId && row.run === run)) {
@@ -85,7 +85,7 @@
 	}
 
 	/** Records that a start got no answer: its outcome stays unknown until a listing shows it. */
-	noteUnanswered(taskId: string, run: number): void {
+	recordStartUnanswered(taskId: string, run: number): void {
 		const starting = this.#starting.get(getKey(taskId, run));
 		if (starting) {
 			starting.isInFlight = false;
@@ -93,7 +93,7 @@
 	}
 
 	/** Applies a listing that was requested at `sentAtMs`. Returns true if runs or ends differ from those known before. */
-	take(listing: WorkerListing, sentAtMs: number): boolean {
+	applyListing(listing: WorkerListing, sentAtMs: number): boolean {
 		const running = new Map(listing.running.map(row => [getKey(row.taskId, row.run), row]));
 		const endedKeys = new Set(listing.ended.map(row => getKey(row.taskId, row.run)));
 		for (const [key, {row, atMs}] of this.#accepted) {
@@ -113,7 +113,7 @@
 
 		this.#updateSince(running, sentAtMs);
 		const isChanged = !this.#isListed || startingBefore !== this.#starting.size || running.size !== this.#running.size
-			|| (listing.ended.at(-1)?.number ?? 0) !== this.lastEnd || listing.ended.length !== this.#ended.length
+			|| (listing.ended.at(-1)?.number ?? 0) !== this.lastEndNumber || listing.ended.length !== this.#ended.length
 			|| [...running.keys()].some(key => !this.#running.has(key));
 		this.#running = running;
 		this.#ended = listing.ended;
--- a/src/chervilworks-site.ts
+++ b/src/chervilworks-site.ts
@@ -3,11 +3,11 @@
 */
 import process from 'node:process';
 import {readSiteFile, siteFileVariable} from './platform/site-file.ts';
-import {fitEngine} from './utils/engine.ts';
+import {configureEngine} from './utils/engine.ts';
 
 const main = async (role: string | undefined): Promise<void> => {
 	const site = readSiteFile(process.env[siteFileVariable]);
-	fitEngine(site.processors);
+	configureEngine(site.processors);
 	if (role === 'entry') {
 		const {runSiteEntry} = await import('./plugins/site-entry.ts');
 		await runSiteEntry(site);
--- a/src/commands/config-commands.ts
+++ b/src/commands/config-commands.ts
@@ -32,9 +32,9 @@
 
 	protected async readText(file: string): Promise<Map<string, SectionValues>> {
 		const {parseConfigText} = await import('../core/config-text.ts');
-		const {sections, mistakes} = parseConfigText(readTextFile(file));
-		if (mistakes.length > 0) {
-			throw createError(ErrorCode.BadInput, {step: 'check config', peer: file, detail: mistakes.join('\n')});
+		const {sections, issues} = parseConfigText(readTextFile(file));
+		if (issues.length > 0) {
+			throw createError(ErrorCode.BadInput, {step: 'check config', peer: file, detail: issues.join('\n')});
 		}
 
 		return sections;
--- a/src/commands/entry-command.ts
+++ b/src/commands/entry-command.ts
@@ -20,14 +20,14 @@
 	async execute(): Promise<number> {
 		return withExitCode(this.context, async () => {
 			// Loaded here, so that the small roles of the same binary do not carry it.
-			const {createLogger, enableLogs, Part} = await import('../utils/logger.ts');
+			const {createLogger, enableLogs, LogNamespace} = await import('../utils/logger.ts');
 			const {loadSettings} = await import('../core/settings.ts');
 			const {createEntry} = await import('../plugins/entry.ts');
 			const {createRandom} = await import('../utils/seeded-random.ts');
 			const {createSystemClock} = await import('../utils/system-clock.ts');
 			const {runUntilSignal} = await import('./run-until-signal.ts');
 			enableLogs();
-			const log = createLogger(Part.Entry);
+			const log = createLogger(LogNamespace.Entry);
 			const kernel = createEntry({settings: loadSettings(this.settings), clock: createSystemClock(), random: createRandom()});
 			await runUntilSignal(async () => {
 				await kernel.start();
--- a/src/commands/guard-command.ts
+++ b/src/commands/guard-command.ts
@@ -5,12 +5,12 @@
 import {getMessage} from '../core/errors.ts';
 import {loadSettings} from '../core/settings.ts';
 import {createGuard} from '../plugins/guard.ts';
-import {createLogger, enableLogs, Part} from '../utils/logger.ts';
+import {createLogger, enableLogs, LogNamespace} from '../utils/logger.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 import {createSystemClock} from '../utils/system-clock.ts';
 import {runUntilSignal} from './run-until-signal.ts';
 
-const log = createLogger(Part.Guard);
+const log = createLogger(LogNamespace.Guard);
 
 /** Runs a guard until it is told to stop; resolves to the exit code. */
 export const runGuard = async (settingsFile: string | undefined): Promise<number> => {
--- a/src/commands/operator-command.ts
+++ b/src/commands/operator-command.ts
@@ -12,7 +12,7 @@
 	readonly isJson = Option.Boolean('--json', false, {description: 'Print JSON.'});
 
 	protected async ask<Reply>(method: 'GET' | 'POST', path: string, step: string, body?: unknown): Promise<Reply> {
-		const {callJson} = await import('../utils/http-client.ts');
+		const {callJson} = await import('../utils/json-client.ts');
 		return callJson<Reply>({
 			method, url: `http://${this.entry}${path}`, body, timeoutMs, step,
 		});
--- a/src/commands/standin-commands.ts
+++ b/src/commands/standin-commands.ts
@@ -4,13 +4,13 @@
 import {Command, Option} from 'clipanion';
 import {type HostEvent} from '../standin/host-events.ts';
 import {type StandinHost} from '../standin/hosts.ts';
-import {createLogger, enableLogs, Part} from '../utils/logger.ts';
+import {createLogger, enableLogs, LogNamespace} from '../utils/logger.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 import {createSystemClock} from '../utils/system-clock.ts';
 import {withExitCode} from './exit-codes.ts';
 import {runUntilSignal} from './run-until-signal.ts';
 
-const log = createLogger(Part.Standin);
+const log = createLogger(LogNamespace.Standin);
 
 /** Serves the stand-in log. */
 export class StandinLogCommand extends Command {
--- a/src/core/append-pace.ts
+++ b/src/core/append-interval.ts
@@ -8,14 +8,14 @@
 const writersPerEntry = 2;
 
 /** Creates a function that returns a writer's minimum time between two appends; it grows with the number of alive entries. */
-export const createAppendPace = (kernel: Kernel, minIntervalMs: number): () => number => {
+export const createAppendInterval = (kernel: Kernel, minIntervalMs: number): () => number => {
 	const {appendsPerSecond} = kernel.get(ServiceName.Settings).log;
 	return () => {
 		const otherEntries = kernel.has(ServiceName.Peers) ? kernel.get(ServiceName.Peers).list().filter(({isAlive}) => isAlive).length : 0;
-		return getAppendPaceMs(otherEntries + 1, appendsPerSecond, minIntervalMs);
+		return getAppendIntervalMs(otherEntries + 1, appendsPerSecond, minIntervalMs);
 	};
 };
 
 /** Gets the minimum time in ms between two appends of one writer. */
-export const getAppendPaceMs = (entryCount: number, appendsPerSecond: number, minIntervalMs: number): number =>
+export const getAppendIntervalMs = (entryCount: number, appendsPerSecond: number, minIntervalMs: number): number =>
 	Math.max(minIntervalMs, entryCount * writersPerEntry * 1000 / appendsPerSecond);
--- a/src/core/config-fold.ts
+++ b/src/core/config-fold.ts
@@ -8,7 +8,7 @@
 } from '../types/config.ts';
 import {type LogRecord} from '../types/platform.ts';
 import {parseConfigRecord} from './config-records.ts';
-import {findSectionMistakes, type SectionView} from './config-text.ts';
+import {findSectionIssues, type SectionView} from './config-text.ts';
 import {ServiceOwners} from './service-owners.ts';
 
 /** Verdicts kept, so that publishers of the last minutes can still look up theirs. */
@@ -87,7 +87,7 @@
 	}
 
 	/** Marks the fold as incomplete if records that were not yet read, those before `oldestOffset`, have expired from the log. */
-	noteGap(oldestOffset: number): void {
+	markGap(oldestOffset: number): void {
 		if (oldestOffset > this.nextOffset) {
 			this.#isComplete = false;
 			this.#gapEnd = oldestOffset;
@@ -168,7 +168,7 @@
 		if (parsed.type === ConfigRecordType.Publish && !this.#results.has(parsed.id)) {
 			this.#applyPublish(parsed, record.offset);
 		} else if (parsed.type === ConfigRecordType.Move) {
-			this.#owners.take(parsed, record.offset, this.#sections);
+			this.#owners.applyMove(parsed, record.offset, this.#sections);
 		}
 
 		// A complete fold already contains what a snapshot holds.
@@ -180,10 +180,10 @@
 		};
 		const stale = result.sections.find(name => (this.#sections.get(name)?.offset ?? -1) !== publish.sections[name]!.baseOffset);
 		if (stale === undefined) {
-			const mistakes = findSectionMistakes(this.#getView(publish), result.sections);
-			if (mistakes.length > 0) {
+			const issues = findSectionIssues(this.#getView(publish), result.sections);
+			if (issues.length > 0) {
 				result.verdict = ConfigVerdict.Invalid;
-				result.reason = mistakes.join('; ');
+				result.reason = issues.join('; ');
 			}
 		} else {
 			this.#setConflict(result, stale, publish.sections[stale]!.baseOffset);
@@ -192,7 +192,7 @@
 		if (result.verdict === ConfigVerdict.Accepted) {
 			for (const [name, {values}] of Object.entries(publish.sections)) {
 				this.#sections.set(name, {name, offset, values});
-				this.#owners.noteSection(name, values, offset);
+				this.#owners.applySectionChange(name, values, offset);
 			}
 		}
 
--- a/src/core/config-publisher.ts
+++ b/src/core/config-publisher.ts
@@ -27,7 +27,7 @@
 export const readConfig = async (log: PlatformLog, fold = new ConfigFold()): Promise<ConfigFold> => {
 	for (;;) {
 		const page = await log.read(Stream.Config, fold.nextOffset);
-		fold.noteGap(page.oldestOffset);
+		fold.markGap(page.oldestOffset);
 		for (const record of page.records) {
 			try {
 				fold.apply(record);
--- a/src/core/config-text.ts
+++ b/src/core/config-text.ts
@@ -60,12 +60,12 @@
 	(value ?? '').split(',').map(item => item.trim()).filter(Boolean);
 
 /** Parses the operators' text into sections. Each message in `issues` names its section and key. */
-export const parseConfigText = (content: string): {sections: Map<string, SectionValues>; mistakes: string[]} => {
+export const parseConfigText = (content: string): {sections: Map<string, SectionValues>; issues: string[]} => {
 	const sections = new Map<string, SectionValues>();
-	const mistakes: string[] = [];
+	const issues: string[] = [];
 	for (const [name, values] of Object.entries(parse(content))) {
 		if (typeof values !== 'object' || values === null) {
-			mistakes.push(`${name}: a key must be in a section`);
+			issues.push(`${name}: a key must be in a section`);
 			continue;
 		}
 
@@ -77,8 +77,8 @@
 		sections.set(name, plain);
 	}
 
-	mistakes.push(...findSectionMistakes(sections));
-	return {sections, mistakes};
+	issues.push(...findSectionIssues(sections));
+	return {sections, issues};
 };
 
 /** Prints sections as the operators' text. */
@@ -116,28 +116,28 @@
 Validates the changed sections of a view that was valid before the change; without `changed`, validates all sections. The cost
 grows with the number of changed sections, not of all sections, except for a deletion.
 */
-export const findSectionMistakes = (view: SectionView, changed: Iterable<string> = view.keys()): string[] => {
-	const mistakes: string[] = [];
+export const findSectionIssues = (view: SectionView, changed: Iterable<string> = view.keys()): string[] => {
+	const issues: string[] = [];
 	if (view.size > maxSections) {
-		mistakes.push(`at most ${maxSections} sections are allowed`);
+		issues.push(`at most ${maxSections} sections are allowed`);
 	}
 
 	for (const section of changed) {
 		const values = view.get(section);
 		if (!values) {
-			mistakes.push(...findDependents(section, view));
+			issues.push(...findDependents(section, view));
 			continue;
 		}
 
 		const parsed = parseSectionName(section);
 		if (parsed) {
-			mistakes.push(...findKeyIssues(section, parsed.kind, values), ...findDependencyIssues(section, view));
+			issues.push(...findKeyIssues(section, parsed.kind, values), ...findDependencyIssues(section, view));
 		} else {
-			mistakes.push(`[${section}]: a section is named "service NAME" or "team NAME"`);
+			issues.push(`[${section}]: a section is named "service NAME" or "team NAME"`);
 		}
 	}
 
-	return mistakes;
+	return issues;
 };
 
 const findDependents = (deleted: string, view: SectionView): string[] => [...view.keys()]
@@ -148,18 +148,18 @@
 	splitList(view.get(section)?.dependsOn).map(dependency => getServiceSection(dependency));
 
 const findKeyIssues = (section: string, kind: SectionKind, values: SectionValues): string[] => {
-	const mistakes: string[] = [];
+	const issues: string[] = [];
 	const specs = keysByKind[kind];
 	for (const [key, value] of Object.entries(values)) {
 		if (!Object.hasOwn(specs, key)) {
 			const nearest = getNearest(key, Object.keys(specs));
-			mistakes.push(`[${section}] ${key}: no such key${nearest === undefined ? '' : `; did you mean ${nearest}?`}`);
+			issues.push(`[${section}] ${key}: no such key${nearest === undefined ? '' : `; did you mean ${nearest}?`}`);
 		} else if (!specs[key]!.isValid(value)) {
-			mistakes.push(`[${section}] ${key} = ${value}: ${specs[key]!.allowed}`);
+			issues.push(`[${section}] ${key} = ${value}: ${specs[key]!.allowed}`);
 		}
 	}
 
-	return mistakes;
+	return issues;
 };
 
 const findDependencyIssues = (section: string, view: SectionView): string[] => {
--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -51,7 +51,7 @@
 };
 
 /** Step and peer at which an error occurred; `detail` says what was expected or found. */
-export type ErrorPlace = {
+export type ErrorContext = {
 	step: string;
 	peer?: string;
 	detail?: string;
@@ -59,7 +59,7 @@
 };
 
 /** Creates an error whose message names its step and peer. */
-export const createError = (code: ErrorCode, place: ErrorPlace): VError => {
+export const createError = (code: ErrorCode, place: ErrorContext): VError => {
 	const {step, peer, detail, cause} = place;
 	const location = peer === undefined ? step : `${step} (${peer})`;
 	// VError appends the cause's message; a detail that repeats it is left out.
--- a/src/core/producer-writer.ts
+++ b/src/core/producer-writer.ts
@@ -21,7 +21,7 @@
 }
 
 /** Handles events of a writer that the caller may log or count. */
-export type WriterNote = (event: 'refused' | 'unanswered' | 'sequence', detail: string) => void;
+export type WriterEventHandler = (event: 'refused' | 'unanswered' | 'sequence', detail: string) => void;
 
 /** Dependencies and options of a writer. */
 export type ProducerWriterOptions = {
@@ -31,11 +31,11 @@
 	producer: string;
 	epoch: number;
 	/** How long the first record of a batch waits for others; fewer calls to the store. */
-	gatherMs: number;
+	lingerMs: number;
 	/** A record that was never sent, or was only refused, ends as not stored after this; undefined: never. */
-	giveUpAfterMs?: number;
+	expireAfterMs?: number;
 	maxBatchBytes: number;
-	onNote: WriterNote;
+	onEvent: WriterEventHandler;
 };
 
 type Pending = {
@@ -62,7 +62,7 @@
 
 	/** Appends a record; resolves to its outcome, or to `Unknown` if the outcome is not known after `timeoutMs`. */
 	async write(value: Buffer, timeoutMs?: number): Promise<WriteOutcome> {
-		const {clock, giveUpAfterMs} = this.#options;
+		const {clock, expireAfterMs} = this.#options;
 		if (this.#isFenced) {
 			return WriteOutcome.Fenced;
 		}
@@ -78,11 +78,11 @@
 					resolve(outcome);
 				},
 			};
-			if (giveUpAfterMs !== undefined) {
+			if (expireAfterMs !== undefined) {
 				timers.push(clock.setTimer(() => {
 					// Still queued behind a batch that was not answered: never sent, and removed from the queue.
 					this.#withdraw(pending);
-				}, giveUpAfterMs));
+				}, expireAfterMs));
 			}
 
 			if (timeoutMs !== undefined) {
@@ -118,8 +118,8 @@
 		this.#isRunning = true;
 		try {
 			while (this.#queue.length > 0) {
-				if (this.#options.gatherMs > 0) {
-					await this.#options.clock.sleep(this.#options.gatherMs);
+				if (this.#options.lingerMs > 0) {
+					await this.#options.clock.sleep(this.#options.lingerMs);
 				}
 
 				const batch = this.#takeBatch();
@@ -186,7 +186,7 @@
 
 	/** Adopts the sequence number that the store expects; returns whether it shows that an unanswered attempt was stored. */
 	#adoptSequence(expected: number, hasUnanswered: boolean): boolean {
-		this.#options.onNote('sequence', `sent ${this.#sequence}, expected ${expected}`);
+		this.#options.onEvent('sequence', `sent ${this.#sequence}, expected ${expected}`);
 		const isStored = hasUnanswered && expected > this.#sequence;
 		if (Number.isFinite(expected)) {
 			this.#sequence = expected;
@@ -197,29 +197,29 @@
 
 	/** Puts a refused batch back at the front of the queue, except for expired records. */
 	#requeue(batch: Pending[]): void {
-		const {clock, giveUpAfterMs} = this.#options;
+		const {clock, expireAfterMs} = this.#options;
 		const nowMs = clock.monotonicMs();
-		const isExpired = (pending: Pending) => giveUpAfterMs !== undefined && nowMs - pending.enqueuedAtMs >= giveUpAfterMs;
+		const isExpired = (pending: Pending) => expireAfterMs !== undefined && nowMs - pending.enqueuedAtMs >= expireAfterMs;
 		resolveAll(batch.filter(pending => isExpired(pending)), WriteOutcome.NotStored);
 		this.#queue.unshift(...batch.filter(pending => !isExpired(pending)));
 	}
 
 	async #attempt(values: Buffer[]): Promise<AppendResult | undefined> {
-		const {store, ref, producer, epoch, onNote} = this.#options;
+		const {store, ref, producer, epoch, onEvent} = this.#options;
 		try {
 			const result = await store.append(ref, values, {stamp: {producer, epoch, sequence: this.#sequence}, timeoutMs: attemptTimeoutMs});
 			if (result.outcome === AppendOutcome.Refused) {
-				onNote('refused', result.reason);
+				onEvent('refused', result.reason);
 			}
 
 			return result;
 		} catch (error) {
 			if (isError(error, ErrorCode.StoreRefused)) {
-				onNote('refused', getMessage(error));
+				onEvent('refused', getMessage(error));
 				return {outcome: AppendOutcome.Refused, reason: getMessage(error)};
 			}
 
-			onNote('unanswered', getMessage(error));
+			onEvent('unanswered', getMessage(error));
 			return undefined;
 		}
 	}
--- a/src/core/service-owners.ts
+++ b/src/core/service-owners.ts
@@ -34,7 +34,7 @@
 	Applies an accepted change of a section. The first region declared for a service owns it at once; when the declared region
 	changes later, the owner stays until a move record is applied.
 	*/
-	noteSection(section: string, values: SectionValues | undefined, offset: number): void {
+	applySectionChange(section: string, values: SectionValues | undefined, offset: number): void {
 		const parsed = parseSectionName(section);
 		if (parsed?.kind !== SectionKind.Service) {
 			return;
@@ -49,7 +49,7 @@
 	}
 
 	/** Applies a move record; returns false if another move came first or the record no longer matches the declared region. */
-	take(move: ConfigMove, offset: number, sections: Sections): boolean {
+	applyMove(move: ConfigMove, offset: number, sections: Sections): boolean {
 		if (findMoveObstacle(move, this, sections) !== undefined) {
 			return false;
 		}
--- a/src/core/settings.ts
+++ b/src/core/settings.ts
@@ -10,7 +10,7 @@
 } from './settings-schema.ts';
 
 /** One issue found by validation. */
-export type SettingsMistake = {
+export type SettingsIssue = {
 	file: string;
 	section: string;
 	key?: string;
@@ -24,10 +24,10 @@
 /** Reads and validates the file; without a file, returns the defaults. Throws a `bad-settings` error that lists all issues. */
 export const loadSettings = (file: string | undefined): Settings => {
 	const content = file === undefined ? '' : readSettingsFile(file);
-	const {settings, mistakes} = checkSettings(content, file ?? 'defaults');
-	if (mistakes.length > 0) {
+	const {settings, issues} = checkSettings(content, file ?? 'defaults');
+	if (issues.length > 0) {
 		throw createError(ErrorCode.BadSettings, {
-			step: 'read settings', peer: file, detail: mistakes.map(issue => formatMistake(issue)).join('\n'),
+			step: 'read settings', peer: file, detail: issues.map(issue => formatIssue(issue)).join('\n'),
 		});
 	}
 
@@ -35,18 +35,18 @@
 };
 
 /** Validates settings in INI text; missing keys get their defaults. */
-export const checkSettings = (content: string, file: string): {settings: Settings; mistakes: SettingsMistake[]} => {
+export const checkSettings = (content: string, file: string): {settings: Settings; issues: SettingsIssue[]} => {
 	const given = parse(content) as Record<string, unknown>;
-	const mistakes = findUnknownKeys(given, file);
+	const issues = findUnknownKeys(given, file);
 	const result: Record<string, Record<string, unknown>> = {};
 	for (const [section, keys] of Object.entries(settingsSchema)) {
 		const values = (typeof given[section] === 'object' ? given[section] : {}) as Record<string, unknown>;
 		result[section] = {};
 		for (const [key, spec] of Object.entries(keys as Record<string, AnySpec>)) {
 			const rawValue = values[key];
-			const value = rawValue === undefined ? spec.fallback : parseValue(rawValue, spec);
+			const value = rawValue === undefined ? spec.defaultValue : parseValue(rawValue, spec);
 			if (value === undefined) {
-				mistakes.push({
+				issues.push({
 					file, section, key, value: String(rawValue), allowed: describeAllowed(spec),
 				});
 			}
@@ -55,7 +55,7 @@
 		}
 	}
 
-	return {settings: result as unknown as Settings, mistakes};
+	return {settings: result as unknown as Settings, issues};
 };
 
 /** Creates settings from the defaults and the given values, which are not validated; for embedding and tests. */
@@ -100,10 +100,10 @@
 	return `${lines.join('\n')}\n`;
 };
 
-const formatDefaultValue = ({fallback}: AnySpec): string => Array.isArray(fallback) ? fallback.join(', ') : String(fallback);
+const formatDefaultValue = ({defaultValue}: AnySpec): string => Array.isArray(defaultValue) ? defaultValue.join(', ') : String(defaultValue);
 
 /** Formats an issue as one line. */
-export const formatMistake = (issue: SettingsMistake): string => {
+export const formatIssue = (issue: SettingsIssue): string => {
 	const place = issue.key === undefined ? `[${issue.section}]` : `[${issue.section}] ${issue.key}`;
 	const value = issue.value === undefined ? '' : ` = ${issue.value}`;
 	const nearest = issue.nearest === undefined ? '' : `; did you mean ${issue.nearest}?`;
@@ -120,19 +120,19 @@
 	}
 };
 
-const findUnknownKeys = (given: Record<string, unknown>, file: string): SettingsMistake[] => {
-	const mistakes: SettingsMistake[] = [];
+const findUnknownKeys = (given: Record<string, unknown>, file: string): SettingsIssue[] => {
+	const issues: SettingsIssue[] = [];
 	const sections = Object.keys(settingsSchema);
 	for (const [section, values] of Object.entries(given)) {
 		if (typeof values !== 'object' || values === null) {
-			mistakes.push({
+			issues.push({
 				file, section: '', key: section, value: String(values), allowed: 'a key must be in a section',
 			});
 			continue;
 		}
 
 		if (!sections.includes(section)) {
-			mistakes.push({
+			issues.push({
 				file, section, allowed: 'no such section', nearest: getNearest(section, sections),
 			});
 			continue;
@@ -141,14 +141,14 @@
 		const known = Object.keys(settingsSchema[section as keyof Settings]);
 		for (const [key, value] of Object.entries(values)) {
 			if (!known.includes(key)) {
-				mistakes.push({
+				issues.push({
 					file, section, key, value: String(value), allowed: 'no such key', nearest: getNearest(key, known),
 				});
 			}
 		}
 	}
 
-	return mistakes;
+	return issues;
 };
 
 const parseValue = (rawValue: unknown, spec: AnySpec): unknown => {
@@ -158,7 +158,7 @@
 			return spec.pattern && !spec.pattern.test(value) ? undefined : value;
 		}
 
-		case SettingKind.WholeNumber: {
+		case SettingKind.Integer: {
 			return /^-?\d+$/.test(value) && isInRange(Number(value), spec) ? Number(value) : undefined;
 		}
 
@@ -185,7 +185,7 @@
 			return spec.allowed ?? 'any text';
 		}
 
-		case SettingKind.WholeNumber:
+		case SettingKind.Integer:
 		case SettingKind.Fraction: {
 			return `a ${spec.kind} from ${spec.min} to ${spec.max}`;
 		}
--- a/src/jobs/first-fit-engine.ts
+++ b/src/jobs/first-fit-engine.ts
@@ -44,19 +44,19 @@
 		this.#refusedBy.delete(taskId);
 	}
 
-	noteRunning(task: PendingTask, workerId: string): void {
+	recordRunning(task: PendingTask, workerId: string): void {
 		this.#waiting.delete(task.taskId);
 		if (this.#placed.get(task.taskId)?.workerId !== workerId) {
 			this.#take(task, workerId);
 		}
 	}
 
-	noteStartRefused(taskId: string, workerId: string): void {
+	recordStartRefused(taskId: string, workerId: string): void {
 		// The room stays taken until the end of the attempt is noted.
 		this.#refusedBy.set(taskId, workerId);
 	}
 
-	noteEnded(taskId: string): void {
+	recordEnded(taskId: string): void {
 		const placed = this.#placed.get(taskId);
 		if (!placed) {
 			return;
@@ -69,7 +69,7 @@
 		}
 	}
 
-	noteUsage(): void {
+	recordUsage(): void {
 		// First fit knows no harm.
 	}
 
@@ -107,7 +107,7 @@
 			const worker = this.#findRoom(task);
 			if (!worker) {
 				for (const start of starts as Array<Decision & {type: DecisionType.Start}>) {
-					this.noteEnded(start.taskId);
+					this.recordEnded(start.taskId);
 				}
 
 				return undefined;
@@ -129,8 +129,8 @@
 	#findRoom({taskId, spec, region}: PendingTask): Worker | undefined {
 		let lastChoice: Worker | undefined;
 		for (const worker of this.#workers.values()) {
-			const {workerId, isOpen, capacity, foreign, region: workerRegion} = worker.spec;
-			if (isOpen && (region === undefined || region === workerRegion) && hasRoom(add(foreign ? add(capacity, foreign, -1) : capacity, worker.used, -1), spec.resources)) {
+			const {workerId, isSchedulable, capacity, usedByOthers, region: workerRegion} = worker.spec;
+			if (isSchedulable && (region === undefined || region === workerRegion) && hasRoom(add(usedByOthers ? add(capacity, usedByOthers, -1) : capacity, worker.used, -1), spec.resources)) {
 				if (this.#refusedBy.get(taskId) !== workerId) {
 					return worker;
 				}
@@ -143,7 +143,7 @@
 	}
 
 	#take({taskId, spec: {resources}}: PendingTask, workerId: string): void {
-		this.noteEnded(taskId);
+		this.recordEnded(taskId);
 		this.#placed.set(taskId, {workerId, resources});
 		const worker = this.#workers.get(workerId);
 		if (worker) {
--- a/src/jobs/job-decisions.ts
+++ b/src/jobs/job-decisions.ts
@@ -5,12 +5,12 @@
 import {type Clock} from '../types/clock.ts';
 import {Metric, type Metrics} from '../types/metrics.ts';
 import {DecisionType, type Decision, type PlacementEngine} from '../types/placement.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {type LeaseKeeper} from './lease-keeper.ts';
 import {type ShardOwner} from './shard-owner.ts';
 import {type LiveTask} from './shard-task.ts';
 
-const log = createLogger(Part.Placement);
+const log = createLogger(LogNamespace.Placement);
 
 /** What decisions need. */
 export type JobDecisionsOptions = {
@@ -64,7 +64,7 @@
 		const owner = task && this.#options.getOwner(task.job.shard);
 		if (!task || !owner) {
 			this.#options.engine.cancel(decision.taskId);
-			this.#options.engine.noteEnded(decision.taskId, true, this.#options.clock.monotonicMs());
+			this.#options.engine.recordEnded(decision.taskId, true, this.#options.clock.monotonicMs());
 			return;
 		}
 
--- a/src/jobs/job-fleet.ts
+++ b/src/jobs/job-fleet.ts
@@ -191,8 +191,8 @@
 			failureDomain,
 			rack,
 			capacity,
-			foreign,
-			isOpen,
+			usedByOthers: foreign,
+			isSchedulable: isOpen,
 		});
 	}
 }
--- a/src/jobs/job-scheduler.ts
+++ b/src/jobs/job-scheduler.ts
@@ -6,9 +6,9 @@
 import {type JobSpec, type JobStatus} from '../types/jobs.ts';
 import {Metric} from '../types/metrics.ts';
 import {
-	Stream, type TaskRef, type WorkerSnapshot,
+	Stream, type AttemptRef, type WorkerSnapshot,
 } from '../types/platform.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {createParser} from '../utils/parser.ts';
 import {JobDecisions} from './job-decisions.ts';
 import {JobFleet} from './job-fleet.ts';
@@ -27,7 +27,7 @@
 import {ShardOwner} from './shard-owner.ts';
 import {type LiveTask} from './shard-task.ts';
 
-const log = createLogger(Part.Jobs);
+const log = createLogger(LogNamespace.Jobs);
 const parseRecord = createParser('read job record', jobRecordSchema);
 const fleetEveryMs = 500;
 const reconsiderEveryMs = 5000;
@@ -367,7 +367,7 @@
 	}
 
 	/** While the log cannot be read, each worker is asked whether it knows a newer owner of any of our shards. */
-	#getProbes(): TaskRef[] {
+	#getProbes(): AttemptRef[] {
 		if (this.ownership.fold.isFresh(this.#options.clock.monotonicMs())) {
 			return [];
 		}
--- a/src/jobs/job-writer.ts
+++ b/src/jobs/job-writer.ts
@@ -6,10 +6,10 @@
 import {Metric, type Metrics} from '../types/metrics.ts';
 import {Stream, type PlatformLog} from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {type JobEntry, type JobRecord} from './job-records.ts';
 
-const log = createLogger(Part.Jobs);
+const log = createLogger(LogNamespace.Jobs);
 const minPauseMs = 50;
 const maxPauseMs = 2000;
 
--- a/src/jobs/lease-keeper.ts
+++ b/src/jobs/lease-keeper.ts
@@ -5,13 +5,13 @@
 import {type Clock, type Timer} from '../types/clock.ts';
 import {Metric, type Metrics} from '../types/metrics.ts';
 import {
-	TaskState, WorkerRefusal, type StartOrder, type TaskRef, type TaskReport, type WorkerClient, type WorkerReply, type WorkerSnapshot,
+	TaskState, WorkerRefusal, type StartOrder, type AttemptRef, type TaskReport, type WorkerClient, type WorkerReply, type WorkerSnapshot,
 } from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {getTaskRef, TaskPhase, type LiveTask} from './shard-task.ts';
 
-const log = createLogger(Part.Jobs);
+const log = createLogger(LogNamespace.Jobs);
 /** A worker with nothing to renew is looked at so many times less often. */
 const idleFactor = 10;
 
@@ -34,7 +34,7 @@
 	/** Tells whether this entry may keep tasks of the shard running now. */
 	mayRenew(shard: number): boolean;
 	/** Refs that ask only whether the worker knows newer tokens; for the proof of ownership while the log is away. */
-	getProbes(): TaskRef[];
+	getProbes(): AttemptRef[];
 	/** The worker has answered for one attempt. */
 	onReply(task: LiveTask, attempt: number, reply: WorkerReply, report?: TaskReport): void;
 	/** No lease of the attempt can be running any more, and no end was learned. */
@@ -60,7 +60,7 @@
 	/** Since when the worker's present incarnation is known. */
 	knownSinceMs = Number.POSITIVE_INFINITY;
 	readonly #options: LeaseKeeperOptions;
-	#forgets: TaskRef[] = [];
+	#forgets: AttemptRef[] = [];
 	#calibration?: Calibration;
 	#preparing?: Promise<unknown>;
 	#isAnswering = true;
@@ -122,7 +122,7 @@
 	}
 
 	/** Stops an attempt that no task of ours stands for, and drops it. */
-	async drop(ref: TaskRef): Promise<void> {
+	async drop(ref: AttemptRef): Promise<void> {
 		const reply = await this.#call(async client => client.stop(ref, {isCheckpoint: false}));
 		if (reply.isAccepted) {
 			this.forget(ref);
@@ -135,7 +135,7 @@
 	}
 
 	/** Has an ended attempt dropped with the next message. */
-	forget(ref: TaskRef): void {
+	forget(ref: AttemptRef): void {
 		this.#forgets.push(ref);
 	}
 
--- a/src/jobs/ownership-keeper.ts
+++ b/src/jobs/ownership-keeper.ts
@@ -7,13 +7,13 @@
 import {Metric, type Metrics} from '../types/metrics.ts';
 import {Stream, type PlatformLog} from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {createParser} from '../utils/parser.ts';
 import {isSameOwner, OwnershipFold, type OwnerId} from './ownership-fold.ts';
 import {OwnershipRecordType, ownershipRecordSchema, type OwnershipRecord} from './ownership-records.ts';
 import {rankOwners} from './shard-hash.ts';
 
-const log = createLogger(Part.Ownership);
+const log = createLogger(LogNamespace.Ownership);
 const parseRecord = createParser('read ownership record', ownershipRecordSchema);
 /** Part of a lease that an owner does not use, for the drift between its clock and its reader's. */
 const unusedShare = 0.1;
--- a/src/jobs/placement-engine.ts
+++ b/src/jobs/placement-engine.ts
@@ -114,7 +114,7 @@
 		}
 	}
 
-	noteRunning(task: PendingTask, workerId: string, startedAtMs: number): void {
+	recordRunning(task: PendingTask, workerId: string, startedAtMs: number): void {
 		const {fleet, history} = this.#context;
 		const known = this.#tasks.get(task.taskId);
 		if (known?.worker?.spec.workerId === workerId) {
@@ -142,7 +142,7 @@
 		history.begin(entry, startedAtMs);
 	}
 
-	noteStartRefused(taskId: string, workerId: string): void {
+	recordStartRefused(taskId: string, workerId: string): void {
 		const entry = this.#tasks.get(taskId);
 		if (entry?.worker?.spec.workerId === workerId) {
 			entry.isBlameless = true;
@@ -150,7 +150,7 @@
 		}
 	}
 
-	noteEnded(taskId: string, isSuccess: boolean, nowMs: number): void {
+	recordEnded(taskId: string, isSuccess: boolean, nowMs: number): void {
 		this.#nowMs = Math.max(this.#nowMs, nowMs);
 		const entry = this.#tasks.get(taskId);
 		if (!entry) {
@@ -172,7 +172,7 @@
 		}
 	}
 
-	noteUsage(taskId: string, usage: TaskUsage): void {
+	recordUsage(taskId: string, usage: TaskUsage): void {
 		const entry = this.#tasks.get(taskId);
 		learnHarm(this.#context, {taskId, entry, usage});
 		if (entry?.worker && usage.measuredAtMs >= entry.startedAtMs) {
@@ -228,7 +228,7 @@
 
 	#createUnknownWorker(workerId: string) {
 		this.#context.fleet.set({
-			workerId, region: '', failureDomain: '', rack: '', capacity: createNone(), isOpen: false,
+			workerId, region: '', failureDomain: '', rack: '', capacity: createNone(), isSchedulable: false,
 		});
 		return this.#context.fleet.get(workerId)!;
 	}
--- a/src/jobs/placement-fleet.ts
+++ b/src/jobs/placement-fleet.ts
@@ -82,7 +82,7 @@
 		}
 
 		if (!worker.isRemoved && isSameSpec(worker.spec, spec)) {
-			this.#setForeign(worker, spec.foreign);
+			this.#setForeign(worker, spec.usedByOthers);
 			return false;
 		}
 
@@ -177,17 +177,17 @@
 
 	/** Tells whether the amount fits beside what is held now, whatever is kept for others. */
 	hasRoomNow(worker: WorkerEntry, amount: Resources): boolean {
-		const {capacity, foreign = nothing} = worker.spec;
-		return isAvailable(worker) && isWithin(getSum(amount, foreign), getDifference(capacity, worker.used));
+		const {capacity, usedByOthers = nothing} = worker.spec;
+		return isAvailable(worker) && isWithin(getSum(amount, usedByOthers), getDifference(capacity, worker.used));
 	}
 
 	/** Works out the free room again and moves the worker in the index. */
 	refresh(worker: WorkerEntry): void {
-		const {capacity, foreign = nothing} = worker.spec;
+		const {capacity, usedByOthers = nothing} = worker.spec;
 		const {used, claimed, free} = worker;
-		free.processors = capacity.processors - foreign.processors - used.processors - claimed.processors;
-		free.memoryMb = capacity.memoryMb - foreign.memoryMb - used.memoryMb - claimed.memoryMb;
-		free.accelerators = capacity.accelerators - foreign.accelerators - used.accelerators - claimed.accelerators;
+		free.processors = capacity.processors - usedByOthers.processors - used.processors - claimed.processors;
+		free.memoryMb = capacity.memoryMb - usedByOthers.memoryMb - used.memoryMb - claimed.memoryMb;
+		free.accelerators = capacity.accelerators - usedByOthers.accelerators - used.accelerators - claimed.accelerators;
 		this.index.update(worker);
 	}
 
@@ -228,11 +228,11 @@
 
 	/** What others take comes and goes; it is no change of what the fleet could hold. */
 	#setForeign(worker: WorkerEntry, foreign: Resources = nothing): void {
-		if (isSameAmount(worker.spec.foreign ?? nothing, foreign)) {
+		if (isSameAmount(worker.spec.usedByOthers ?? nothing, foreign)) {
 			return;
 		}
 
-		worker.spec = {...worker.spec, foreign};
+		worker.spec = {...worker.spec, usedByOthers: foreign};
 		this.freedVersion++;
 		this.refresh(worker);
 	}
@@ -265,7 +265,7 @@
 	}
 
 	#countGroup({spec, isRemoved}: WorkerEntry, times: 1 | -1): void {
-		if (isRemoved || !spec.isOpen) {
+		if (isRemoved || !spec.isSchedulable) {
 			return;
 		}
 
@@ -324,7 +324,7 @@
 	a.processors === b.processors && a.memoryMb === b.memoryMb && a.accelerators === b.accelerators;
 
 const isSameSpec = (a: PlacementWorker, b: PlacementWorker): boolean =>
-	a.isOpen === b.isOpen && a.region === b.region && a.failureDomain === b.failureDomain && a.rack === b.rack
+	a.isSchedulable === b.isSchedulable && a.region === b.region && a.failureDomain === b.failureDomain && a.rack === b.rack
 	&& isSameAmount(a.capacity, b.capacity);
 
 /** Gets the capacity that lacks the need in the fewest dimensions; the larger one of equals. */
--- a/src/jobs/placement-state.ts
+++ b/src/jobs/placement-state.ts
@@ -126,4 +126,4 @@
 };
 
 /** Tells whether anything new may be placed on the worker. */
-export const isAvailable = (worker: WorkerEntry): boolean => worker.spec.isOpen && !worker.isRemoved && !worker.isHeld;
+export const isAvailable = (worker: WorkerEntry): boolean => worker.spec.isSchedulable && !worker.isRemoved && !worker.isHeld;
--- a/src/jobs/recovery.ts
+++ b/src/jobs/recovery.ts
@@ -5,7 +5,7 @@
 import {type Clock} from '../types/clock.ts';
 import {Metric, type Metrics} from '../types/metrics.ts';
 import {type Random} from '../types/random.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {type JobFold} from './job-fold.ts';
 import {type JobLimiter} from './job-limiter.ts';
 import {JobEntryType} from './job-records.ts';
@@ -15,7 +15,7 @@
 import {type ShardOwner} from './shard-owner.ts';
 import {TaskPhase} from './shard-task.ts';
 
-const log = createLogger(Part.Ownership);
+const log = createLogger(LogNamespace.Ownership);
 
 /** What a recovery needs. */
 export type RecoveryOptions = {
--- a/src/jobs/shard-ends.ts
+++ b/src/jobs/shard-ends.ts
@@ -41,7 +41,7 @@
 			engine.cancel(task.taskId);
 		}
 
-		engine.noteEnded(task.taskId, isSuccess ?? false, clock.monotonicMs());
+		engine.recordEnded(task.taskId, isSuccess ?? false, clock.monotonicMs());
 	}
 
 	/** Records the task's end; asked again until the log has it or the shard is lost. */
--- a/src/jobs/shard-owner.ts
+++ b/src/jobs/shard-owner.ts
@@ -4,7 +4,7 @@
 import {getMessage} from '../core/errors.ts';
 import {type TaskStatus} from '../types/jobs.ts';
 import {TaskState, type TaskReport} from '../types/platform.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {type FoldedJob, type JobChange} from './job-fold.ts';
 import {JobEntryType, type Dispatch} from './job-records.ts';
 import {type LeaseKeeper} from './lease-keeper.ts';
@@ -14,7 +14,7 @@
 	createLiveTask, getLiveStatus, getTaskRef, TaskPhase, type LiveTask,
 } from './shard-task.ts';
 
-const log = createLogger(Part.Jobs);
+const log = createLogger(LogNamespace.Jobs);
 
 /** Owner of one shard under one token. */
 export class ShardOwner {
@@ -252,7 +252,7 @@
 			task.confirmedAtMs = task.startedAtMs;
 			task.runsUntilMs = keeper.getRunsUntilMs();
 			keeper.add(task);
-			engine.noteRunning(this.runner.queue.getPending(task), keeper.workerId, task.startedAtMs);
+			engine.recordRunning(this.runner.queue.getPending(task), keeper.workerId, task.startedAtMs);
 			keeper.wake();
 			if (task.isCancelled) {
 				void this.runner.stop(task, false);
--- a/src/jobs/shard-runner.ts
+++ b/src/jobs/shard-runner.ts
@@ -6,7 +6,7 @@
 import {
 	TaskState, WorkerRefusal, type Resources, type StartOrder, type TaskReport, type WorkerReply,
 } from '../types/platform.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {JobEntryType} from './job-records.ts';
 import {type LeaseKeeper} from './lease-keeper.ts';
 import {AttemptEnd, type ShardContext, type ShardScope} from './shard-context.ts';
@@ -16,7 +16,7 @@
 	getTaskRef, mayRun, TaskPhase, type LiveTask,
 } from './shard-task.ts';
 
-const log = createLogger(Part.Jobs);
+const log = createLogger(LogNamespace.Jobs);
 /** A worker that is restarted later than this after a start was not taken down by it. */
 const crashWithinMs = 5000;
 /** A task that took so many workers down in a row is a query of death, as long as they are not all one. */
@@ -49,7 +49,7 @@
 		const {clock, engine, metrics} = this.#context;
 		const keeper = this.#context.getKeeper(workerId);
 		if (task.phase !== TaskPhase.Waiting || !keeper) {
-			engine.noteEnded(task.taskId, false, clock.monotonicMs());
+			engine.recordEnded(task.taskId, false, clock.monotonicMs());
 			return;
 		}
 
@@ -162,7 +162,7 @@
 		}
 
 		if (report.usage) {
-			this.#context.engine.noteUsage(task.taskId, report.usage);
+			this.#context.engine.recordUsage(task.taskId, report.usage);
 		}
 
 		if (report.state !== TaskState.Running) {
@@ -282,7 +282,7 @@
 		task.isUnresolved = false;
 		task.confirmedAtMs = this.#context.clock.monotonicMs();
 		metrics.count(Metric.TasksStarted);
-		engine.noteRunning(this.queue.getPending(task), task.workerId!, task.startedAtMs);
+		engine.recordRunning(this.queue.getPending(task), task.workerId!, task.startedAtMs);
 		this.ends.forgetKept(task);
 		if (task.isCancelled) {
 			void this.stop(task, false);
@@ -302,7 +302,7 @@
 
 		if (state === TaskState.Stopped) {
 			this.#onStopped(task, checkpointId);
-		} else if (state === TaskState.Lapsed) {
+		} else if (state === TaskState.LeaseExpired) {
 			this.#onLost(task, AttemptEnd.Lapsed);
 		} else if (state === TaskState.Failed && isIdempotent && ++task.failures < maxFailures) {
 			this.ends.forget(task);
@@ -346,7 +346,7 @@
 		if (this.#isCrash(task)) {
 			task.crashedWorkers = [...task.crashedWorkers, task.workerId!];
 			// The next start elsewhere tells the task's crashes from the worker's own.
-			this.#context.engine.noteStartRefused(task.taskId, task.workerId!);
+			this.#context.engine.recordStartRefused(task.taskId, task.workerId!);
 		} else {
 			task.crashedWorkers = [];
 		}
@@ -378,7 +378,7 @@
 		}
 
 		if (reason === AttemptEnd.Refused) {
-			this.#context.engine.noteStartRefused(task.taskId, task.workerId!);
+			this.#context.engine.recordStartRefused(task.taskId, task.workerId!);
 		}
 
 		this.#requeue(task, reason);
--- a/src/jobs/shard-task.ts
+++ b/src/jobs/shard-task.ts
@@ -2,7 +2,7 @@
 A task that has not ended, as the owner of its shard keeps it.
 */
 import {type TaskStatus} from '../types/jobs.ts';
-import {TaskState, type Resources, type TaskRef} from '../types/platform.ts';
+import {TaskState, type Resources, type AttemptRef} from '../types/platform.ts';
 import {type FoldedJob} from './job-fold.ts';
 import {type TaskEnd} from './job-records.ts';
 import {getTaskId} from './job-status.ts';
@@ -58,7 +58,7 @@
 	/** End on its way into the log. */
 	end?: TaskEnd;
 	/** Ended attempt that its worker keeps until a newer attempt runs: a new owner finds the checkpoint there. */
-	kept?: {workerId: string; ref: TaskRef};
+	kept?: {workerId: string; ref: AttemptRef};
 };
 
 const attemptsPerToken = 65_536;
@@ -87,7 +87,7 @@
 });
 
 /** Names the task's present attempt to a worker. */
-export const getTaskRef = ({taskId, attempt, job, fencingToken}: LiveTask): TaskRef => ({
+export const getTaskRef = ({taskId, attempt, job, fencingToken}: LiveTask): AttemptRef => ({
 	taskId, attempt, shard: job.shard, fencingToken,
 });
 
--- a/src/measure/capacity-announcements.ts
+++ b/src/measure/capacity-announcements.ts
@@ -4,7 +4,7 @@
 import {Agent} from 'undici';
 import {parseUpstreamAnnouncement} from '../requests/membership-messages.ts';
 import {HostState, type UpstreamAnnouncement} from '../types/announcements.ts';
-import {callJson} from '../utils/http-client.ts';
+import {callJson} from '../utils/json-client.ts';
 import {createJsonServer} from '../utils/http-server.ts';
 import {createSystemClock} from '../utils/system-clock.ts';
 import {getCpuUs} from './process-cost.ts';
--- a/src/measure/capacity-claims.ts
+++ b/src/measure/capacity-claims.ts
@@ -3,7 +3,7 @@
 */
 import {followLog} from '../core/log-reader.ts';
 import {createSettings} from '../core/settings.ts';
-import {ClaimBook} from '../requests/claim-book.ts';
+import {ClaimRegistry} from '../requests/claim-registry.ts';
 import {MemoryLog} from '../standin/memory-log.ts';
 import {Stream} from '../types/platform.ts';
 import {ClaimState} from '../types/services.ts';
@@ -30,7 +30,7 @@
 		const random = createRandom(seed);
 		const log = new MemoryLog(clock, random);
 		log.faults.delayMs = logDelayMs;
-		const book = new ClaimBook({
+		const book = new ClaimRegistry({
 			log, clock, random, entryId: 'entry-1', settings: createSettings(),
 		});
 		const aborter = new AbortController();
--- a/src/measure/capacity-entries.ts
+++ b/src/measure/capacity-entries.ts
@@ -162,7 +162,7 @@
 		await Promise.all(this.#locks.map(async (lock, index) => {
 			const echo = lock.getEcho();
 			const entry = this.#entries[index % this.#entries.length]!;
-			lock.take(await entry.get(ServiceName.Upstreams).receive({...this.#create(index), ...echo}), echo);
+			lock.handleReply(await entry.get(ServiceName.Upstreams).receive({...this.#create(index), ...echo}), echo);
 		}));
 	}
 
--- a/src/measure/capacity-model.ts
+++ b/src/measure/capacity-model.ts
@@ -1,7 +1,7 @@
 /**
 What each role needs at the size ahead, worked out from measured slopes.
 */
-import {getAppendPaceMs} from '../core/append-pace.ts';
+import {getAppendIntervalMs} from '../core/append-interval.ts';
 import {
 	assumed, budget, configChangesPerSecond, jobsPerSecond, scale,
 } from './capacity-scale.ts';
@@ -227,8 +227,8 @@
 
 const getLogLines = (slopes: Slopes, settings: CapacitySettings): CapacityLine[] => {
 	const role = 'platform log';
-	const claimPaceMs = getAppendPaceMs(entryCount, settings.appendsPerSecond, settings.claimAppendEveryMs);
-	const jobPaceMs = getAppendPaceMs(entryCount, settings.appendsPerSecond, settings.jobGatherMs);
+	const claimPaceMs = getAppendIntervalMs(entryCount, settings.appendsPerSecond, settings.claimAppendEveryMs);
+	const jobPaceMs = getAppendIntervalMs(entryCount, settings.appendsPerSecond, settings.jobGatherMs);
 	const claimAppends = entryCount * Math.min(1000 / claimPaceMs, 2 * assumed.claimsPerSecond / entryCount);
 	const jobEntries = jobsPerSecond * (1 + assumed.tasksPerJob);
 	const jobAppends = entryCount * Math.min(1000 / jobPaceMs, jobEntries / entryCount);
--- a/src/measure/day-story.ts
+++ b/src/measure/day-story.ts
@@ -58,7 +58,7 @@
 	try {
 		const fields = new Fields(JSON.parse(line.slice(from)), 'read log line');
 		return {
-			atMs: fields.number('time'), process: fields.text('process', ''), event: fields.text('msg'), fields,
+			atMs: fields.number('time'), process: fields.string('process', ''), event: fields.string('msg'), fields,
 		};
 	} catch {
 		// A line that was cut off tells nothing.
@@ -96,15 +96,15 @@
 		}
 
 		case 'run moved': {
-			noteEvent(getJob(day, fields), atMs, `${fields.text('taskId')} moved from ${fields.text('host')} at ${fields.number('percent', 0)}%`);
+			noteEvent(getJob(day, fields), atMs, `${fields.string('taskId')} moved from ${fields.string('host')} at ${fields.number('percent', 0)}%`);
 			break;
 		}
 
 		case 'job over': {
-			const job = day.jobs.get(fields.text('id'));
+			const job = day.jobs.get(fields.string('id'));
 			if (job) {
 				Object.assign(job, {
-					overAtMs: atMs, end: fields.text('end'), tookMs: fields.number('tookMs'), allowedMs: fields.number('allowedMs'), coreMs: fields.number('coreMs', 0),
+					overAtMs: atMs, end: fields.string('end'), tookMs: fields.number('tookMs'), allowedMs: fields.number('allowedMs'), coreMs: fields.number('coreMs', 0),
 				});
 				noteEvent(job, atMs, `over: ${job.end} after ${job.tookMs} ms of ${job.allowedMs} allowed`);
 			}
@@ -121,7 +121,7 @@
 		}
 
 		case 'answered': {
-			const key = `${fields.text('method', '')} ${fields.number('status', 0)}`;
+			const key = `${fields.string('method', '')} ${fields.number('status', 0)}`;
 			day.answers.set(key, (day.answers.get(key) ?? 0) + 1);
 			break;
 		}
@@ -131,15 +131,15 @@
 };
 
 const takeJob = (day: DayStory, atMs: number, fields: Fields): void => {
-	const id = fields.text('id');
+	const id = fields.string('id');
 	if (!day.jobs.has(id)) {
 		day.jobs.set(id, {
-			id, queue: fields.text('queue'), takenAtMs: atMs, acceptedAfterMs: fields.number('ageMs', 0), coreMs: 0, waitedMs: 0, ranMs: 0, wastedMs: new Map(), starts: 0, events: [`steps ${fields.counts('steps').join(', ')}`],
+			id, queue: fields.string('queue'), takenAtMs: atMs, acceptedAfterMs: fields.number('ageMs', 0), coreMs: 0, waitedMs: 0, ranMs: 0, wastedMs: new Map(), starts: 0, events: [`steps ${fields.nonNegativeIntegers('steps').join(', ')}`],
 		});
 	}
 };
 
-const getJob = (day: DayStory, fields: Fields): JobStory | undefined => day.jobs.get(parseTaskId(fields.text('taskId'))?.workflowId ?? '');
+const getJob = (day: DayStory, fields: Fields): JobStory | undefined => day.jobs.get(parseTaskId(fields.string('taskId'))?.workflowId ?? '');
 
 const noteStart = (day: DayStory, open: Map<string, Open>, atMs: number, fields: Fields): void => {
 	const job = getJob(day, fields);
@@ -147,13 +147,13 @@
 		return;
 	}
 
-	const host = fields.text('host');
+	const host = fields.string('host');
 	const waitedMs = fields.number('waitedMs', 0);
 	open.set(getRunKey(fields), {startedAtMs: atMs, host});
 	job.firstStartAtMs ??= atMs;
 	job.starts++;
 	job.waitedMs += waitedMs;
-	noteEvent(job, atMs, `${fields.text('taskId')} run ${fields.number('run')} on ${host} after ${waitedMs} ms`);
+	noteEvent(job, atMs, `${fields.string('taskId')} run ${fields.number('run')} on ${host} after ${waitedMs} ms`);
 };
 
 const noteEnd = (day: DayStory, open: Map<string, Open>, {atMs, event, fields}: {atMs: number; event: string; fields: Fields}): void => {
@@ -165,17 +165,17 @@
 
 	open.delete(getRunKey(fields));
 	const ranMs = atMs - run.startedAtMs;
-	const end = event === 'run lost' ? `lost, ${fields.text('reason')}` : fields.text('end');
+	const end = event === 'run lost' ? `lost, ${fields.string('reason')}` : fields.string('end');
 	if (end === 'done') {
 		job.ranMs += ranMs;
 	} else {
 		job.wastedMs.set(end, (job.wastedMs.get(end) ?? 0) + ranMs);
 	}
 
-	noteEvent(job, atMs, `${fields.text('taskId')} run ${fields.number('run')} ${end} after ${ranMs} ms`);
+	noteEvent(job, atMs, `${fields.string('taskId')} run ${fields.number('run')} ${end} after ${ranMs} ms`);
 };
 
-const getRunKey = (fields: Fields): string => `${fields.text('taskId')} ${fields.number('run')}`;
+const getRunKey = (fields: Fields): string => `${fields.string('taskId')} ${fields.number('run')}`;
 
 const noteEvent = (job: JobStory | undefined, atMs: number, text: string): void => {
 	if (job && job.events.length < maxEvents) {
--- a/src/measure/deciding-run.ts
+++ b/src/measure/deciding-run.ts
@@ -3,7 +3,7 @@
 */
 import {createHash} from 'node:crypto';
 import {Agent} from '../agents/agent.ts';
-import {leaseHorizonMs} from '../agents/lease-clock.ts';
+import {leaseDurationMs} from '../agents/worker-lease.ts';
 import {MemoryStore} from '../standin/memory-store.ts';
 import {SharedWorker} from '../standin/shared-worker.ts';
 import {type Random} from '../types/random.ts';
@@ -227,7 +227,7 @@
 		client: worker.createClient(),
 		clock: world.clock,
 		life: `${host}-${world.clock.monotonicMs()}`,
-		leaseHorizonMs,
+		leaseDurationMs,
 		maxLeaseMs: 10_000,
 		note: () => undefined,
 	});
@@ -235,7 +235,7 @@
 	void agent.run(aborter.signal);
 	const announce = () => {
 		if (!aborter.signal.aborted) {
-			agent.announce(worker.announce());
+			agent.handleAnnouncement(worker.announce());
 			world.clock.setTimer(announce, secondMs);
 		}
 	};
@@ -263,7 +263,7 @@
 		order: async (host, request) => call(host, async agent => agent.order(structuredClone(request))),
 	};
 	const owner = new Owner({
-		store, clock, client, adviceClient: undefined, follower, partition, host: 'entry', epoch, leaseHorizonMs, cancelMs: 3000, getEvacuations: () => ({asOf: 0, failureDomains: []}), getReachedAtMs: () => Number.NEGATIVE_INFINITY, maxCallBytes: 2_000_000, keptMs: 300_000, isMine: () => true, policy, onDeposed: () => undefined, note,
+		store, clock, client, adviceClient: undefined, follower, partition, host: 'entry', epoch, leaseDurationMs, cancelMs: 3000, getEvacuations: () => ({asOf: 0, failureDomains: []}), getHeartbeatAtMs: () => Number.NEGATIVE_INFINITY, maxCallBytes: 2_000_000, retentionMs: 300_000, isOwned: () => true, policy, onSuperseded: () => undefined, note,
 	});
 	const run = async () => {
 		await follower.catchUp(secondMs);
@@ -305,7 +305,7 @@
 	const servers = getImages(({serving}) => serving !== undefined);
 	const fillers = getImages(({isFilling}) => isFilling);
 	await write(world, {
-		type: RecordType.Harm, pairs: servers.flatMap(server => fillers.map(filler => ({
+		type: RecordType.Interference, pairs: servers.flatMap(server => fillers.map(filler => ({
 			server, filler, mean: world.getEffect(server, filler) / tenths, deviation: knownDeviation,
 		}))),
 	});
--- a/src/measure/jobs-run.ts
+++ b/src/measure/jobs-run.ts
@@ -121,7 +121,7 @@
 			this.#arrive();
 			this.#pass();
 			for (const {taskId, usage} of this.#world.takeReports(this.#nowMs)) {
-				this.#engine.noteUsage(taskId, usage);
+				this.#engine.recordUsage(taskId, usage);
 			}
 
 			for (const decision of this.#engine.decide(this.#nowMs, 1000)) {
@@ -194,7 +194,7 @@
 
 	#finish(task: TrueTask): void {
 		this.#world.remove(task);
-		this.#engine.noteEnded(task.taskId, true, this.#nowMs);
+		this.#engine.recordEnded(task.taskId, true, this.#nowMs);
 		this.#kept.delete(task.taskId);
 		this.#specs.delete(task.taskId);
 		if (this.#isCounted) {
@@ -213,7 +213,7 @@
 
 		this.#world.remove(task);
 		this.#kept.set(taskId, keptMs);
-		this.#engine.noteEnded(taskId, false, this.#nowMs);
+		this.#engine.recordEnded(taskId, false, this.#nowMs);
 		this.#enqueue({...this.#specs.get(taskId)!, attempt: task.attempt + 1, queuedAtMs: this.#nowMs});
 	}
 
--- a/src/measure/jobs-scale.ts
+++ b/src/measure/jobs-scale.ts
@@ -103,7 +103,7 @@
 				failureDomain: `domain-${domain}`,
 				rack: `rack-${domain}-${Math.floor(index / domains / rackSize)}`,
 				capacity: {processors: 16, memoryMb: 61_440, accelerators: index % 4 === 0 ? 4 : 0},
-				isOpen: true,
+				isSchedulable: true,
 			});
 		}
 	}
@@ -140,7 +140,7 @@
 		const startMs = getCpuMs();
 		for (let count = 0; count < measuredReports; count++) {
 			const {taskId, spec} = this.running[this.#random.below(this.running.length)]!;
-			this.#engine.noteUsage(taskId, {
+			this.#engine.recordUsage(taskId, {
 				measuredAtMs: this.#nowMs, processors: spec.resources.processors, memoryMb: 1024, slowdown: 1 + (0.2 * this.#random.next()),
 			});
 		}
@@ -218,7 +218,7 @@
 			this.running[index] = last;
 		}
 
-		this.#engine.noteEnded(task.taskId, true, this.#nowMs);
+		this.#engine.recordEnded(task.taskId, true, this.#nowMs);
 	}
 }
 
--- a/src/measure/jobs-users.ts
+++ b/src/measure/jobs-users.ts
@@ -60,7 +60,7 @@
 		failureDomain: domains[rack % domains.length]!,
 		rack: `rack-${rack}`,
 		capacity,
-		isOpen: true,
+		isSchedulable: true,
 	};
 });
 
--- a/src/measure/requests-cpu.ts
+++ b/src/measure/requests-cpu.ts
@@ -11,7 +11,7 @@
 import {parseConfigText} from '../core/config-text.ts';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {createLogClient} from '../plugins/log-client.ts';
-import {callJson} from '../utils/http-client.ts';
+import {callJson} from '../utils/json-client.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 import {createSystemClock} from '../utils/system-clock.ts';
 import {type MeasureOptions, type MeasureReport, type MeasureRow} from './measure-types.ts';
--- a/src/measure/requests-entry.ts
+++ b/src/measure/requests-entry.ts
@@ -75,7 +75,7 @@
 	readonly #failureDomain: string;
 	readonly #inFlight = new Map<string, number>();
 	readonly #indexes = new Map<string, number>();
-	readonly #budget = new RetryBudget(budgetShare.fallback, budgetBurst.fallback);
+	readonly #budget = new RetryBudget(budgetShare.defaultValue, budgetBurst.defaultValue);
 
 	constructor(options: EntryOptions) {
 		this.#options = options;
@@ -164,7 +164,7 @@
 		const {upstreamId, failureDomain} = upstream;
 		const startedAtMs = clock.monotonicMs();
 		this.#inFlight.set(upstreamId, (this.#inFlight.get(upstreamId) ?? 0) + 1);
-		chooser.noteStart(upstreamId, requestClass);
+		chooser.recordStart(upstreamId, requestClass);
 		const run = hosts.start(this.#indexes.get(upstreamId)!, requestClass, idleMs, startedAtMs);
 		const delayMs = 2 * (failureDomain === this.#failureDomain ? site.withinDomainMs : site.betweenDomainsMs);
 		const boundMs = requestClass === RequestClass.Check
@@ -241,7 +241,7 @@
 		oneTry.hedgeTimer?.cancel();
 		this.#inFlight.set(upstreamId, inFlight - 1);
 		hosts.end(this.#indexes.get(upstreamId)!, requestClass);
-		chooser.noteEnd(upstreamId, {
+		chooser.recordEnd(upstreamId, {
 			requestClass, latencyMs, isSuccess, isAbandoned: oneTry.isAbandoned,
 		});
 		const limit = limits?.getOrCreate(upstreamId, site.slots);
@@ -297,7 +297,7 @@
 		this.#inFlight.set(upstreamId, this.#inFlight.get(upstreamId)! - 1);
 		hosts.end(this.#indexes.get(upstreamId)!, requestClass);
 		const latencyMs = clock.monotonicMs() - oneTry.startedAtMs;
-		chooser.noteEnd(upstreamId, {
+		chooser.recordEnd(upstreamId, {
 			requestClass, latencyMs, isSuccess: false, isAbandoned: true,
 		});
 	}
@@ -307,7 +307,7 @@
 		const {requestClass, deadlineAtMs, isCounted} = served.request;
 		// An error of the upstream is its answer, and is passed on.
 		const isRetryable = answer === HostAnswer.None && getRetryReason(AttemptFailure.TimedOut, requestClass === RequestClass.Check) !== undefined;
-		const isUseful = clock.monotonicMs() < deadlineAtMs && served.excluded.size + 1 < maxAttempts.fallback;
+		const isUseful = clock.monotonicMs() < deadlineAtMs && served.excluded.size + 1 < maxAttempts.defaultValue;
 		if (isRetryable && isUseful && this.#budget.tryTake()) {
 			recorder.retries += isCounted ? 1 : 0;
 			served.excluded.add(upstream.upstreamId);
--- a/src/measure/requests-run.ts
+++ b/src/measure/requests-run.ts
@@ -48,7 +48,7 @@
 };
 const {queueLimit, longShare, waitShare} = settingsSchema.admission;
 /** The product's defaults. */
-const admissionLimits: AdmissionLimits = {queueLimit: queueLimit.fallback, longShare: longShare.fallback, waitShare: waitShare.fallback};
+const admissionLimits: AdmissionLimits = {queueLimit: queueLimit.defaultValue, longShare: longShare.defaultValue, waitShare: waitShare.defaultValue};
 const callerCount = 20;
 
 /** Runs once. */
@@ -111,11 +111,11 @@
 		endMs: run.endMs,
 		chooser: {
 			...bindChooser(chooser),
-			noteStart(upstreamId, requestClass) {
+			recordStart(upstreamId, requestClass) {
 				const upstreamIndex = run.indexes.get(upstreamId)!;
 				run.choiceDigest = ((run.choiceDigest * 31) + upstreamIndex + 1) % 2_147_483_647;
 				run.maxRunning = Math.max(run.maxRunning, hosts.getRunning(upstreamIndex) + 1);
-				chooser.noteStart(upstreamId, requestClass);
+				chooser.recordStart(upstreamId, requestClass);
 			},
 		},
 		createAdmission: getFreeSlots => new Admission({
@@ -130,7 +130,7 @@
 };
 
 const bindChooser = (chooser: ReturnType<Policy['createChooser']>) => ({
-	choose: chooser.choose.bind(chooser), noteStart: chooser.noteStart.bind(chooser), noteEnd: chooser.noteEnd.bind(chooser),
+	choose: chooser.choose.bind(chooser), recordStart: chooser.recordStart.bind(chooser), recordEnd: chooser.recordEnd.bind(chooser),
 });
 
 /** Offers requests until the end, as a Poisson process that no policy influences. */
--- a/src/measure/slots-measure.ts
+++ b/src/measure/slots-measure.ts
@@ -1,7 +1,7 @@
 /**
 What dividing slots among entries strands: static shares beside shares that follow demand, on seeded manual time.
 */
-import {SlotAsker, type AskedShare} from '../requests/slot-asker.ts';
+import {SlotClient, type RequestedShare} from '../requests/slot-client.ts';
 import {divideByDemand, getWaitingPart} from '../requests/slot-policy.ts';
 import {SlotMode, SlotShare} from '../requests/slot-share.ts';
 import {SlotSponsor} from '../requests/slot-sponsor.ts';
@@ -66,13 +66,13 @@
 	index: number;
 	shares: SlotShare[];
 	sponsor: SlotSponsor;
-	askers: Map<number, SlotAsker>;
+	askers: Map<number, SlotClient>;
 	queue: number[];
 };
 
 type Question = {
-	asker: SlotAsker;
-	shares: AskedShare[];
+	asker: SlotClient;
+	shares: RequestedShare[];
 	/** Sent only to report what was given back. */
 	isReport: boolean;
 };
@@ -148,11 +148,11 @@
 			divide: divideByDemand,
 			getSponsorship: upstreamId => Number(upstreamId) % entryShares.length === index
 				? {
-					incarnation: 1, epoch: 1, startedAtMs: 0, believedUntilMs: Number.POSITIVE_INFINITY, isFirst: true, slots,
+					incarnation: 1, epoch: 1, startedAtMs: 0, validUntilMs: Number.POSITIVE_INFINITY, isFirst: true, slots,
 				}
 				: undefined,
 		});
-		const askers = new Map(entryShares.flatMap((_, other) => other === index ? [] : [[other, new SlotAsker(String(index), String(other))] as const]));
+		const askers = new Map(entryShares.flatMap((_, other) => other === index ? [] : [[other, new SlotClient(String(index), String(other))] as const]));
 		return {
 			index, shares, sponsor, askers, queue: [],
 		};
@@ -163,9 +163,9 @@
 		const {periodMs, entryShares, upstreamCount} = this.#condition;
 		const waiting = entry.queue.length;
 		const first = this.#random.below(upstreamCount);
-		const asked: AskedShare[][] = entryShares.map(() => []);
+		const asked: RequestedShare[][] = entryShares.map(() => []);
 		for (const [upstream, share] of entry.shares.entries()) {
-			const wanted = share.takeWanted(getWaitingPart(waiting, (first + upstream) % upstreamCount, upstreamCount), waiting > 0, (upstream + 0.5) / upstreamCount);
+			const wanted = share.measureWanted(getWaitingPart(waiting, (first + upstream) % upstreamCount, upstreamCount), waiting > 0, (upstream + 0.5) / upstreamCount);
 			const sponsorIndex = upstream % entryShares.length;
 			if (sponsorIndex === entry.index) {
 				share.share = entry.sponsor.grantOwn(String(upstream), 1, {share: share.share, limit: share.getLimit(), wanted})!;
--- a/src/measure/soak-faults.ts
+++ b/src/measure/soak-faults.ts
@@ -1,7 +1,7 @@
 /**
 Faults of a soak run, chosen by its seed.
 */
-import {callJson} from '../utils/http-client.ts';
+import {callJson} from '../utils/json-client.ts';
 import {type SoakCallers} from './soak-callers.ts';
 import {Role, type SoakProcess} from './soak-processes.ts';
 import {callTimeoutMs, type World} from './soak-world.ts';
--- a/src/measure/soak.ts
+++ b/src/measure/soak.ts
@@ -7,7 +7,7 @@
 import {parseConfigText} from '../core/config-text.ts';
 import {ConfigVerdict, type SectionChange} from '../types/config.ts';
 import {JobState, TaskClass, type JobStatus} from '../types/jobs.ts';
-import {callJson} from '../utils/http-client.ts';
+import {callJson} from '../utils/json-client.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 import {type PromiseChecker, type PromiseReport} from './promise-checker.ts';
 import {SoakCallers, type CallerTally} from './soak-callers.ts';
--- a/src/platform/advice-calls.ts
+++ b/src/platform/advice-calls.ts
@@ -4,7 +4,7 @@
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type AdviceClient} from '../types/advice.ts';
 import {Fields} from '../utils/fields.ts';
-import {type HttpClient} from '../utils/http-calls.ts';
+import {type HttpClient} from '../utils/keep-alive-client.ts';
 
 /** The service answers one call after the other: when all calls of this process wait, an answer takes some seconds. */
 const timeoutMs = 10_000;
@@ -21,11 +21,11 @@
 
 		const fields = new Fields(json, 'read advice');
 		return {
-			tickets: fields.list('good', value => {
+			tickets: fields.array('good', value => {
 				const row = new Fields(value, 'read advice');
-				return {workerId: row.text(0), ticket: row.text(1)};
+				return {workerId: row.string(0), ticket: row.string(1)};
 			}),
-			validMs: fields.amount('validityMs', 0),
+			validMs: fields.nonNegativeNumber('validityMs', 0),
 		};
 	},
 });
--- a/src/platform/caller-server.ts
+++ b/src/platform/caller-server.ts
@@ -25,14 +25,14 @@
 type Answer = {status: number; body?: unknown; retryAfterMs?: number};
 
 /** Called after each answer, for logging and metrics. */
-export type AnswerNote = (note: {method: string; queue?: string; id?: string; status: number; reason?: string; tookMs: number}) => void;
+export type AnswerHandler = (note: {method: string; queue?: string; id?: string; status: number; reason?: string; tookMs: number}) => void;
 
 /** Options of the server. */
 export type CallerServerOptions = {
 	jobs: JobApi;
 	clock: Clock;
 	findQueue: (queues: QueueConfig[], host: string, path: string) => QueueConfig | undefined;
-	onAnswer: AnswerNote;
+	onAnswer: AnswerHandler;
 	/** Whether to close connections after the answer, so that callers connect elsewhere. */
 	isClosing: () => boolean;
 };
@@ -92,7 +92,7 @@
 
 		const {maxBodyBytes, headerTimeoutMs} = config.limits;
 		const body = await readBody(request, clock, {maxBytes: maxBodyBytes, timeoutMs: Math.min(timeoutMs, headerTimeoutMs)});
-		return decodeSubmitReply(await jobs.submit(queue, id, decodeSpec(body), timeoutMs));
+		return decodeSubmitReply(await jobs.submit(queue, id, decodeWorkflowSpec(body), timeoutMs));
 	};
 
 	return server;
@@ -144,42 +144,42 @@
 };
 
 /** Decodes a job as callers send it. Throws `bad-input`. */
-export const decodeSpec = (body: Buffer): WorkflowSpec => {
+export const decodeWorkflowSpec = (body: Buffer): WorkflowSpec => {
 	const fields = parseFields(body, 'read job');
-	const steps = fields.list('steps', value => new Fields(value, 'read step')).map((step, index) => decodeStep(step, index));
+	const steps = fields.array('steps', value => new Fields(value, 'read step')).map((step, index) => decodeStep(step, index));
 	if (steps.length === 0 || steps.length > maxSteps) {
 		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `no steps or too many: got ${steps.length} steps`});
 	}
 
 	return {
-		input: fields.text('spec', ''),
+		input: fields.string('spec', ''),
 		steps,
-		firstDueMs: fields.amount('firstMs', 0),
-		intervalMs: fields.amount('intervalMs', 0),
-		repeatCount: fields.count('repeatCount', 0),
+		firstDueMs: fields.nonNegativeNumber('firstMs', 0),
+		intervalMs: fields.nonNegativeNumber('intervalMs', 0),
+		repeatCount: fields.nonNegativeInteger('repeatCount', 0),
 	};
 };
 
 const decodeStep = (fields: Fields, index: number): WorkflowStep => {
 	const step: WorkflowStep = {
-		count: fields.count('count', 0),
-		milliCpu: fields.amount('cpu', 0),
-		memoryMb: fields.amount('memMb', 0),
-		accelerators: fields.amount('gpu', 0),
-		estimateMs: fields.amount('estimateMs', 0),
-		after: fields.counts('after'),
-		isCheckpointing: fields.flag('checkpointing', false),
-		isGang: fields.flag('gang', false),
-		isSameRack: fields.flag('sameRack', false),
-		requiredLabel: fields.text('requirements', '') || undefined,
-		dataRack: fields.text('affinity', '') || undefined,
-		maxPerWorker: fields.count('antiAffinity', 0),
-		isSpeculative: fields.flag('speculative', false),
-		isLasting: fields.flag('longRunning', false),
-		image: fields.text('image', '') || undefined,
-		targetMs: fields.amount('targetMs', 0),
-		isFilling: fields.flag('fills', false),
-		maxAway: fields.has('mayMiss') ? fields.count('mayMiss') : undefined,
+		count: fields.nonNegativeInteger('count', 0),
+		milliCpu: fields.nonNegativeNumber('cpu', 0),
+		memoryMb: fields.nonNegativeNumber('memMb', 0),
+		accelerators: fields.nonNegativeNumber('gpu', 0),
+		estimateMs: fields.nonNegativeNumber('estimateMs', 0),
+		after: fields.nonNegativeIntegers('after'),
+		isCheckpointing: fields.boolean('checkpointing', false),
+		isGang: fields.boolean('gang', false),
+		isSameRack: fields.boolean('sameRack', false),
+		requiredLabel: fields.string('requirements', '') || undefined,
+		dataRack: fields.string('affinity', '') || undefined,
+		maxPerWorker: fields.nonNegativeInteger('antiAffinity', 0),
+		isSpeculative: fields.boolean('speculative', false),
+		isLasting: fields.boolean('longRunning', false),
+		image: fields.string('image', '') || undefined,
+		targetMs: fields.nonNegativeNumber('targetMs', 0),
+		isFilling: fields.boolean('fills', false),
+		maxAway: fields.has('mayMiss') ? fields.nonNegativeInteger('mayMiss') : undefined,
 	};
 	if (step.count > maxTasksPerStep || step.after.some(earlier => earlier >= index)) {
 		throw createError(ErrorCode.BadInput, {step: 'read job', detail: `step ${index}: too many tasks, or a dependency on itself or a later step`});
--- a/src/platform/site-config.ts
+++ b/src/platform/site-config.ts
@@ -21,14 +21,14 @@
 	const limits = fields.optionalFields('limits') ?? new Fields({}, 'read configuration');
 	return {
 		version: fields.number('version'),
-		queues: fields.list('routes', decodeQueue),
-		services: fields.list('services', decodeService),
+		queues: fields.array('routes', decodeQueue),
+		services: fields.array('services', decodeService),
 		// Fields with the value 0 are omitted from the encoded form; a limit of 0 would refuse every request, so the defaults apply.
 		limits: {
-			maxBodyBytes: limits.amount('maxBodyBytes', 262_144),
-			maxHeaderBytes: limits.amount('maxHeaderBytes', 16_384),
-			headerTimeoutMs: limits.amount('headerTimeoutMs', 3000),
-			idleTimeoutMs: limits.amount('idleTimeoutMs', 15_000),
+			maxBodyBytes: limits.nonNegativeNumber('maxBodyBytes', 262_144),
+			maxHeaderBytes: limits.nonNegativeNumber('maxHeaderBytes', 16_384),
+			headerTimeoutMs: limits.nonNegativeNumber('headerTimeoutMs', 3000),
+			idleTimeoutMs: limits.nonNegativeNumber('idleTimeoutMs', 15_000),
 		},
 	};
 };
@@ -36,7 +36,7 @@
 const decodeService = (value: unknown): SiteConfig['services'][number] => {
 	const service = new Fields(value, 'read service');
 	return {
-		name: service.text('name'), guardsCapacity: service.flag('enforcesCapacity', false), isSpare: service.flag('spare', false),
+		name: service.string('name'), enforcesCapacity: service.boolean('enforcesCapacity', false), isSpare: service.boolean('spare', false),
 	};
 };
 
@@ -44,15 +44,15 @@
 	const route = new Fields(value, 'read route');
 	const advice = route.optionalFields('advice');
 	return {
-		name: route.text('name', ''),
-		host: route.text('host', ''),
-		pathPrefix: route.text('pathPrefix', '/'),
-		service: route.text('service', ''),
+		name: route.string('name', ''),
+		host: route.string('host', ''),
+		pathPrefix: route.string('pathPrefix', '/'),
+		service: route.string('service', ''),
 		priority: route.number('priority', 0),
-		maxAttempts: route.count('maxAttempts', 1),
-		stretch: route.amount('stretch', 1),
-		targetLatencyMs: route.amount('targetLatencyMs', 0),
-		timeoutMs: route.amount('timeoutMs', 0),
-		...(advice && {advice: {decisionMs: advice.amount('decisionMs', 0), perWorkerMs: advice.amount('periodMs', 0), validMs: advice.amount('validityMs', 0)}}),
+		maxAttempts: route.nonNegativeInteger('maxAttempts', 1),
+		stretch: route.nonNegativeNumber('stretch', 1),
+		targetLatencyMs: route.nonNegativeNumber('targetLatencyMs', 0),
+		timeoutMs: route.nonNegativeNumber('timeoutMs', 0),
+		...(advice && {advice: {decisionMs: advice.nonNegativeNumber('decisionMs', 0), perWorkerMs: advice.nonNegativeNumber('periodMs', 0), validMs: advice.nonNegativeNumber('validityMs', 0)}}),
 	};
 };
--- a/src/platform/store-calls.ts
+++ b/src/platform/store-calls.ts
@@ -6,10 +6,10 @@
 	createError, ErrorCode, getMessage,
 } from '../core/errors.ts';
 import {
-	AppendOutcome, type AppendOptions, type AppendResult, type GroupShare, type KeyedRecord, type KeyedWrite, type PartitionRef, type ReadOptions, type StoreClient, type StorePage,
+	AppendOutcome, type AppendOptions, type AppendResult, type GroupAssignment, type KeyedRecord, type KeyedWrite, type PartitionRef, type ReadOptions, type StoreClient, type StorePage,
 } from '../types/store.ts';
 import {Fields, parseFields} from '../utils/fields.ts';
-import {type HttpAnswer, type HttpCall, type HttpClient} from '../utils/http-calls.ts';
+import {type HttpAnswer, type HttpCall, type HttpClient} from '../utils/keep-alive-client.ts';
 
 /** Added to the wait of a read for its timeout: the store answers a read without records after the wait, a slow store up to half a second later. */
 const readSlackMs = 700;
@@ -33,7 +33,7 @@
 		}
 
 		if (answer.status === 410) {
-			throw createError(ErrorCode.OffsetGone, {step: call.step, peer: address, detail: String(parseReply(answer.body).count('first', 0))});
+			throw createError(ErrorCode.OffsetGone, {step: call.step, peer: address, detail: String(parseReply(answer.body).nonNegativeInteger('first', 0))});
 		}
 
 		return answer;
@@ -80,7 +80,7 @@
 			const page = await read(ref, fromOffset, {waitMs, signal});
 			return {records: page.records.map(({offset, value}) => ({...decodeKeyed(value), offset})), endOffset: page.endOffset};
 		},
-		async newest(ref, signal) {
+		async readNewest(ref, signal) {
 			const records: KeyedRecord[] = [];
 			let endOffset: number | undefined;
 			for (let after: string | undefined; ;) {
@@ -89,24 +89,24 @@
 					method: 'GET', path: `/log-newest?${query.toString()}`, timeoutMs: callTimeoutMs, step: `read newest of ${ref.topic}`, signal,
 				});
 				const page = parseReply(answer.body);
-				const items = page.list('items', decodeNewest);
+				const items = page.array('items', decodeNewest);
 				records.push(...items);
 				// The pages are not one snapshot. A record written meanwhile under a key of an earlier page lies before the end offset
 				// of a later page, so reading goes on from the end offset of the first page.
-				endOffset ??= page.count('end', 0);
+				endOffset ??= page.nonNegativeInteger('end', 0);
 				after = items.at(-1)?.key;
-				if (!page.flag('hasMore', false) || after === undefined) {
+				if (!page.boolean('hasMore', false) || after === undefined) {
 					return {records, endOffset};
 				}
 			}
 		},
-		async join({group, member, topics, ttlMs, generation}): Promise<GroupShare> {
+		async join({group, member, topics, ttlMs, generation}): Promise<GroupAssignment> {
 			const reply = await postJson('/log-join', {
 				group, member, topics, ttlMs, generation,
 			}, 'join group');
-			return {generation: reply.count('generation'), partitions: reply.list('parts', decodePartition)};
+			return {generation: reply.nonNegativeInteger('generation'), partitions: reply.array('parts', decodePartition)};
 		},
-		async getOwners(group) {
+		async getPartitionHolders(group) {
 			const query = new URLSearchParams({group});
 			const answer = await sendExpectingOk({
 				method: 'GET', path: `/log-owners?${query.toString()}`, timeoutMs: callTimeoutMs, step: 'read owners of group',
@@ -123,20 +123,20 @@
 
 const decodeNewest = (value: unknown): KeyedRecord => {
 	const item = new Fields(value, 'read newest record');
-	return {key: item.text('key'), value: Buffer.from(item.text('value', ''), 'base64'), offset: item.count('offset')};
+	return {key: item.string('key'), value: Buffer.from(item.string('value', ''), 'base64'), offset: item.nonNegativeInteger('offset')};
 };
 
 /** Decodes a row of topic, partition and committed offset. */
 const decodePartition = (value: unknown): PartitionRef => {
 	const row = new Fields(value, 'read group share');
-	return {topic: row.text(0), partition: row.count(1)};
+	return {topic: row.string(0), partition: row.nonNegativeInteger(1)};
 };
 
 /** Decodes rows of topic, partition, member and offset. The platform's documentation does not name the field that holds the rows. */
 const decodeOwners = (body: Buffer): string[] => {
 	const reply = JSON.parse(body.toString('utf8')) as unknown;
 	const rows: unknown[] = Array.isArray(reply) ? reply : Object.values((reply ?? {}) as Record<string, unknown>).find(value => Array.isArray(value)) ?? [];
-	const members = rows.map(row => new Fields(row, 'read group owners').text(2, ''));
+	const members = rows.map(row => new Fields(row, 'read group owners').string(2, ''));
 	return [...new Set(members.filter(member => member !== ''))];
 };
 
@@ -162,16 +162,16 @@
 	switch (status) {
 		case 200: {
 			const reply = parseReply(body);
-			return {outcome: AppendOutcome.Appended, offset: reply.count('offset', 0), endOffset: reply.count('end', 0)};
+			return {outcome: AppendOutcome.Appended, offset: reply.nonNegativeInteger('offset', 0), endOffset: reply.nonNegativeInteger('end', 0)};
 		}
 
 		case 412: {
-			return {outcome: AppendOutcome.NotAtEnd, endOffset: parseReply(body).count('end', 0)};
+			return {outcome: AppendOutcome.NotAtEnd, endOffset: parseReply(body).nonNegativeInteger('end', 0)};
 		}
 
 		case 409: {
 			const reply = parseReply(body);
-			return reply.text('reason', '') === 'fenced' ? {outcome: AppendOutcome.Fenced} : {outcome: AppendOutcome.WrongSequence, expected: getExpected(reply)};
+			return reply.string('reason', '') === 'fenced' ? {outcome: AppendOutcome.Fenced} : {outcome: AppendOutcome.WrongSequence, expected: getExpected(reply)};
 		}
 
 		default: {
--- a/src/platform/worker-calls.ts
+++ b/src/platform/worker-calls.ts
@@ -6,15 +6,15 @@
 } from '../types/fleet.ts';
 import {RunEnd} from '../types/workflows.ts';
 import {Fields, parseFields} from '../utils/fields.ts';
-import {type HttpClient} from '../utils/http-calls.ts';
+import {type HttpClient} from '../utils/keep-alive-client.ts';
 
 /** Timeout of an order. The worker is on this host and answers in a few ms. */
 const orderTimeoutMs = 700;
 
 const refusalByReason: Record<string, OrderRefusal> = {
-	fence: OrderRefusal.Fence,
+	fence: OrderRefusal.StaleFence,
 	old: OrderRefusal.OldRun,
-	late: OrderRefusal.Late,
+	late: OrderRefusal.StartTooLate,
 	room: OrderRefusal.NoRoom,
 	ticket: OrderRefusal.Ticket,
 };
@@ -22,7 +22,7 @@
 const refusalByStatus: Record<number, OrderRefusal> = {
 	400: OrderRefusal.Invalid,
 	// The worker is another incarnation than the one named in the request.
-	421: OrderRefusal.OtherWorker,
+	421: OrderRefusal.OtherWorkerIncarnation,
 	429: OrderRefusal.Unhealthy,
 	503: OrderRefusal.Unhealthy,
 };
@@ -51,7 +51,7 @@
 			}, workerId, orderTimeoutMs));
 		},
 		stop: async (workerId, {taskId, run}, fence) => decodeAnswer(await post('/run-stop', {task: taskId, run, fence}, workerId, orderTimeoutMs)),
-		pace: async (workerId, {taskId, run, percent}, fence) => decodeAnswer(await post('/pace', {
+		throttle: async (workerId, {taskId, run, percent}, fence) => decodeAnswer(await post('/pace', {
 			task: taskId, run, percent: Math.round(percent), fence,
 		}, workerId, orderTimeoutMs)),
 		// The worker has one path for three operations: renewing leases, dropping ends, and listing.
@@ -74,7 +74,7 @@
 		return {isDone: true, clockMs};
 	}
 
-	const refusal = status === 409 ? refusalByReason[fields.text('reason', '')] : refusalByStatus[status];
+	const refusal = status === 409 ? refusalByReason[fields.string('reason', '')] : refusalByStatus[status];
 	return {isDone: false, refusal: refusal ?? OrderRefusal.Invalid, clockMs};
 };
 
@@ -83,8 +83,8 @@
 	return {
 		workerId: instanceId,
 		clockMs: fields.number('clockMs'),
-		running: fields.list('running', decodeRunning),
-		ended: fields.list('ended', decodeEnded),
+		running: fields.array('running', decodeRunning),
+		ended: fields.array('ended', decodeEnded),
 	};
 };
 
@@ -92,7 +92,7 @@
 const decodeRunning = (value: unknown): RunningRow => {
 	const row = new Fields(value, 'read running run');
 	return {
-		taskId: row.text(0), run: row.count(1), checkpoint: row.text(2, ''), percent: row.amount(3, 0), recent: row.amount(4, 0),
+		taskId: row.string(0), run: row.nonNegativeInteger(1), checkpoint: row.string(2, ''), percent: row.nonNegativeNumber(3, 0), recent: row.nonNegativeNumber(4, 0),
 	};
 };
 
@@ -100,7 +100,7 @@
 const decodeEnded = (value: unknown): EndedRow => {
 	const row = new Fields(value, 'read ended run');
 	return {
-		number: row.count(0), taskId: row.text(1), run: row.count(2), end: row.oneOf(3, Object.values(RunEnd)), checkpoint: row.text(4, ''),
+		number: row.nonNegativeInteger(0), taskId: row.string(1), run: row.nonNegativeInteger(2), end: row.oneOf(3, Object.values(RunEnd)), checkpoint: row.string(4, ''),
 	};
 };
 
@@ -119,14 +119,14 @@
 	const capacity = fields.fields('capacity');
 	return {
 		workerId,
-		service: fields.text('service'),
-		failureDomain: fields.text('zone'),
+		service: fields.string('service'),
+		failureDomain: fields.string('zone'),
 		isDraining: fields.oneOf('state', Object.values(AnnouncedState)) === AnnouncedState.Draining,
-		remainingMs: fields.has('remainingMs') ? fields.amount('remainingMs') : undefined,
-		milliCpu: capacity.amount('cpu'),
-		memoryMb: capacity.amount('memMb'),
-		accelerators: capacity.amount('gpu', 0),
-		labels: fields.texts('labels'),
-		sequence: fields.count('seq'),
+		remainingMs: fields.has('remainingMs') ? fields.nonNegativeNumber('remainingMs') : undefined,
+		milliCpu: capacity.nonNegativeNumber('cpu'),
+		memoryMb: capacity.nonNegativeNumber('memMb'),
+		accelerators: capacity.nonNegativeNumber('gpu', 0),
+		labels: fields.strings('labels'),
+		sequence: fields.nonNegativeInteger('seq'),
 	};
 };
--- a/src/plugins/callers-claimed.ts
+++ b/src/plugins/callers-claimed.ts
@@ -13,7 +13,7 @@
 import {type CallerRefusal} from './callers-refusals.ts';
 
 /** Dependencies of claimed requests. */
-export type ClaimedOptions = {
+export type ClaimedRequestOptions = {
 	claims: ClaimsService;
 	clock: Clock;
 	maxBodyBytes: number;
@@ -22,7 +22,7 @@
 };
 
 /** How a claimed request ended: with an answer or a refusal. */
-export type ClaimedEnd = {
+export type ClaimedResult = {
 	answer?: WholeAnswer & {isReplayed?: boolean};
 	refusal?: CallerRefusal;
 };
@@ -35,11 +35,11 @@
 const maxContentTypeLength = 256;
 
 /** Serves one request with an id. */
-export const serveClaimed = async (call: Call, lane: Lane, options: ClaimedOptions): Promise<ClaimedEnd> => {
+export const serveClaimedRequest = async (call: Call, lane: Lane, options: ClaimedRequestOptions): Promise<ClaimedResult> => {
 	const {claims, clock, isSettled} = options;
 	const {serviceName} = call.facts;
 	const requestId = call.facts.requestId!;
-	const reason = claims.judge(requestId);
+	const reason = claims.checkRequestId(requestId);
 	if (reason) {
 		// The request may have run before its id expired.
 		const outcome = reason === RefusalReason.RequestIdExpired ? Outcome.Unknown : Outcome.NotRun;
@@ -47,7 +47,7 @@
 	}
 
 	if (!isSettled(serviceName)) {
-		return refuseNotRun(RefusalReason.WrongSide, wrongRegionRetryAfterMs);
+		return refuseNotRun(RefusalReason.WrongRegion, wrongRegionRetryAfterMs);
 	}
 
 	// Checked before the claim, because a refusal after it would cost two log records for each request under overload.
@@ -76,9 +76,9 @@
 	return lane.run(call);
 };
 
-const refuseNotRun = (reason: RefusalReason, retryAfterMs: number): ClaimedEnd => ({refusal: {reason, outcome: Outcome.NotRun, retryAfterMs}});
+const refuseNotRun = (reason: RefusalReason, retryAfterMs: number): ClaimedResult => ({refusal: {reason, outcome: Outcome.NotRun, retryAfterMs}});
 
-const answerDuplicate = (claim: ClaimStatus): ClaimedEnd => {
+const answerDuplicate = (claim: ClaimStatus): ClaimedResult => {
 	const {state, status, body, contentType} = claim;
 	if (state !== ClaimState.Done || status === undefined) {
 		return {refusal: {reason: RefusalReason.RequestIdInUse, outcome: Outcome.Unknown, retryAfterMs: inUseRetryAfterMs}};
--- a/src/plugins/callers-lanes.ts
+++ b/src/plugins/callers-lanes.ts
@@ -24,7 +24,7 @@
 	stalls: StallWatch;
 	get(serviceName: string): Lane;
 	/** Why no request of the service can be dispatched now. */
-	findObstacle(serviceName: string): RefusalReason | undefined;
+	findRefusalReason(serviceName: string): RefusalReason | undefined;
 	/** Whether non-idempotent requests of the service may run in this region now. */
 	isSettled(serviceName: string): boolean;
 	getStatus(): unknown;
@@ -129,12 +129,12 @@
 
 	return {
 		get: serviceName => laneEntries.get(serviceName)?.lane ?? createLane(serviceName),
-		findObstacle(serviceName) {
+		findRefusalReason(serviceName) {
 			if (getCandidates(serviceName).length > 0) {
 				return undefined;
 			}
 
-			return upstreams.getRoutable(serviceName).length > 0 ? RefusalReason.WrongSide : RefusalReason.NoUpstream;
+			return upstreams.getRoutable(serviceName).length > 0 ? RefusalReason.WrongRegion : RefusalReason.NoUpstream;
 		},
 		isSettled: serviceName => moves?.isSettled(serviceName) ?? true,
 		stalls,
--- a/src/plugins/callers-refusals.ts
+++ b/src/plugins/callers-refusals.ts
@@ -14,7 +14,7 @@
 	/** Additional headers. */
 	headers?: Record<string, string>;
 	/** Request whose body was not read to its end, so its connection cannot be reused. */
-	unread?: IncomingMessage;
+	unreadRequest?: IncomingMessage;
 };
 
 /** What the entry adds to its refusals. */
@@ -26,7 +26,7 @@
 const statusByReason: Record<RefusalReason, number> = {
 	[RefusalReason.UnknownService]: 404,
 	[RefusalReason.NoUpstream]: 503,
-	[RefusalReason.WrongSide]: 503,
+	[RefusalReason.WrongRegion]: 503,
 	[RefusalReason.QueueFull]: 503,
 	[RefusalReason.CallerShare]: 429,
 	[RefusalReason.DeadlineUnmeetable]: 503,
@@ -72,7 +72,7 @@
 		[Header.RefusalReason]: reason,
 		...refusal.headers,
 		...ownHeaders,
-		...(refusal.unread && {connection: 'close'}),
+		...(refusal.unreadRequest && {connection: 'close'}),
 	};
 	if (retryAfterMs > 0) {
 		headers[Header.RetryAfter] = String(Math.ceil(retryAfterMs / msPerSecond));
@@ -80,9 +80,9 @@
 	}
 
 	response.writeHead(statusByReason[reason], headers);
-	if (refusal.unread) {
+	if (refusal.unreadRequest) {
 		response.write(body);
-		closeUnread(refusal.unread, response, clock);
+		closeUnread(refusal.unreadRequest, response, clock);
 	} else {
 		response.end(body);
 	}
--- a/src/plugins/callers-service.ts
+++ b/src/plugins/callers-service.ts
@@ -6,18 +6,18 @@
 import {type Kernel} from '../core/kernel.ts';
 import {type WholeAnswer} from '../requests/answer.ts';
 import {Call} from '../requests/dispatch-call.ts';
-import {getPassedDown, getPassedUp} from '../requests/headers.ts';
-import {readFacts, type RequestFacts} from '../requests/headers-contract.ts';
+import {getForwardedResponseHeaders, getForwardedRequestHeaders} from '../requests/headers.ts';
+import {readRequestFacts, type RequestFacts} from '../requests/request-facts.ts';
 import {Metric} from '../types/metrics.ts';
 import {Header, Outcome, RefusalReason} from '../types/requests.ts';
 import {ServiceName, type CallersService} from '../types/services.ts';
 import {close, listen, readBody} from '../utils/http-server.ts';
-import {createLogger, Part} from '../utils/logger.ts';
-import {serveClaimed} from './callers-claimed.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
+import {serveClaimedRequest} from './callers-claimed.ts';
 import {createLanes} from './callers-lanes.ts';
 import {sendRefusal, type CallerRefusal} from './callers-refusals.ts';
 
-const log = createLogger(Part.Callers);
+const log = createLogger(LogNamespace.Callers);
 const stoppingRetryAfterMs = 200;
 const noUpstreamRetryAfterMs = 1000;
 const maxHeaderBytes = 32_768;
@@ -85,7 +85,7 @@
 	const serve = async (request: IncomingMessage, response: ServerResponse) => {
 		const arrivedAtMs = clock.monotonicMs();
 		metrics.count(Metric.Requests);
-		const facts = readFacts(request, settings.callers);
+		const facts = readRequestFacts(request, settings.callers);
 		if (typeof facts === 'string') {
 			refuseUnread(request, response, {reason: facts, outcome: Outcome.NotRun, retryAfterMs: 0});
 			return;
@@ -145,7 +145,7 @@
 			return {reason: RefusalReason.UnknownService, outcome: Outcome.NotRun, retryAfterMs: 0};
 		}
 
-		const obstacle = lanes.findObstacle(serviceName);
+		const obstacle = lanes.findRefusalReason(serviceName);
 		return obstacle && {reason: obstacle, outcome: Outcome.NotRun, retryAfterMs: noUpstreamRetryAfterMs};
 	};
 
@@ -164,7 +164,7 @@
 
 	const createCall = (request: IncomingMessage, response: ServerResponse, {facts, arrivedAtMs, body}: CallParts): Call => new Call({
 		facts,
-		headers: getPassedUp(request.rawHeaders, request.headers.connection),
+		headers: getForwardedRequestHeaders(request.rawHeaders, request.headers.connection),
 		body,
 		arrivedAtMs,
 		target: {
@@ -175,7 +175,7 @@
 
 	const answer = async (call: Call) => {
 		const lane = lanes.get(call.facts.serviceName);
-		const end = call.facts.isIdempotent ? await lane.run(call) : await serveClaimed(call, lane, claimedOptions);
+		const end = call.facts.isIdempotent ? await lane.run(call) : await serveClaimedRequest(call, lane, claimedOptions);
 		const {response} = call.target;
 		if (end.refusal) {
 			refuse(response, end.refusal);
@@ -196,7 +196,7 @@
 			return;
 		}
 
-		const passed: Record<string, string | string[]> = {...getPassedDown(headers), ...getConnectionHeaders()};
+		const passed: Record<string, string | string[]> = {...getForwardedResponseHeaders(headers), ...getConnectionHeaders()};
 		if (isReplayed) {
 			passed[Header.Replayed] = 'true';
 		}
@@ -219,7 +219,7 @@
 
 	const refuseUnread = (request: IncomingMessage, response: ServerResponse, refusal: CallerRefusal) => {
 		const hasBody = request.headers['content-length'] !== undefined || request.headers['transfer-encoding'] !== undefined;
-		refuse(response, hasBody && !request.complete ? {...refusal, unread: request} : refusal);
+		refuse(response, hasBody && !request.complete ? {...refusal, unreadRequest: request} : refusal);
 	};
 
 	const getConnectionHeaders = (): Record<string, string> => isStopping ? {...ownHeaders, connection: 'close'} : ownHeaders;
--- a/src/plugins/claims-service.ts
+++ b/src/plugins/claims-service.ts
@@ -1,18 +1,18 @@
 /**
 Stores claims of request ids in the log, so that no request with an id runs twice, and reports the state of each request.
 */
-import {createAppendPace} from '../core/append-pace.ts';
+import {createAppendInterval} from '../core/append-interval.ts';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
 import {followLog} from '../core/log-reader.ts';
-import {ClaimBook} from '../requests/claim-book.ts';
+import {ClaimRegistry} from '../requests/claim-registry.ts';
 import {findStartOffset} from '../requests/claim-start.ts';
 import {Metric} from '../types/metrics.ts';
 import {Stream} from '../types/platform.ts';
 import {ServiceName, type ClaimsService} from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 
-const log = createLogger(Part.Claims);
+const log = createLogger(LogNamespace.Claims);
 const defaultListLimit = 1000;
 
 /** Creates the claims service. */
@@ -28,13 +28,13 @@
 	let following: Promise<void> | undefined;
 	let running: Promise<void> | undefined;
 
-	const registry = new ClaimBook({
+	const registry = new ClaimRegistry({
 		log: platformLog,
 		clock,
 		random,
 		entryId: kernel.get(ServiceName.Identity).processId,
 		settings,
-		getPaceMs: createAppendPace(kernel, settings.claims.appendEveryMs),
+		getAppendIntervalMs: createAppendInterval(kernel, settings.claims.appendEveryMs),
 		onAppend(isSuccess, error) {
 			metrics.count(isSuccess ? Metric.LogAppends : Metric.LogErrors, Stream.Claims);
 			if (!isSuccess) {
@@ -98,7 +98,7 @@
 
 	return {
 		claim: async (requestId, serviceName, timeoutMs) => registry.claim(requestId, serviceName, timeoutMs),
-		judge: requestId => registry.judge(requestId),
+		checkRequestId: requestId => registry.checkRequestId(requestId),
 		isDispatchable: requestId => registry.isDispatchable(requestId),
 		finish(requestId, end) {
 			registry.finish(requestId, end);
--- a/src/plugins/config-service.ts
+++ b/src/plugins/config-service.ts
@@ -11,9 +11,9 @@
 import {Metric} from '../types/metrics.ts';
 import {Stream, type LogPage, type LogRecord} from '../types/platform.ts';
 import {PeerMethod, ServiceName, type ConfigService} from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 
-const log = createLogger(Part.Config);
+const log = createLogger(LogNamespace.Config);
 
 /** Summary that two entries exchange to compare their configurations. */
 type ConfigSummary = {
@@ -70,7 +70,7 @@
 		onPage: handlePage,
 		onGap(_fromOffset, oldestOffset) {
 			log('Configuration records before offset %d have expired.', oldestOffset);
-			fold.noteGap(oldestOffset);
+			fold.markGap(oldestOffset);
 		},
 		onBadRecord(record, error) {
 			metrics.count(Metric.BadRecords, Stream.Config);
--- a/src/plugins/entry-messages.ts
+++ b/src/plugins/entry-messages.ts
@@ -10,7 +10,7 @@
 } from '../types/job-api.ts';
 import {type QueueConfig} from '../types/site.ts';
 import {type WorkflowSpec} from '../types/workflows.ts';
-import {type HttpClient} from '../utils/http-calls.ts';
+import {type HttpClient} from '../utils/keep-alive-client.ts';
 import {type JsonServer} from '../utils/http-server.ts';
 import {createRelayTarget} from '../workflows/relaying-api.ts';
 
--- a/src/plugins/guard-admission.ts
+++ b/src/plugins/guard-admission.ts
@@ -67,7 +67,7 @@
 	}
 
 	/** Resolves when no request is in progress. */
-	async becomeIdle(): Promise<void> {
+	async waitUntilIdle(): Promise<void> {
 		if (this.inProgress === 0) {
 			return;
 		}
--- a/src/plugins/guard.ts
+++ b/src/plugins/guard.ts
@@ -16,7 +16,7 @@
 import {parseAddress} from '../utils/address.ts';
 import {startAnnouncer, type Announcer, type PostAnnouncement} from '../utils/announcer.ts';
 import {close, listen} from '../utils/http-server.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {GuardAdmission} from './guard-admission.ts';
 
 /** Options of a guard. */
@@ -36,7 +36,7 @@
 	getRefusals(): Record<string, number>;
 };
 
-const log = createLogger(Part.Guard);
+const log = createLogger(LogNamespace.Guard);
 const hopByHop = new Set(['connection', 'keep-alive', 'transfer-encoding', 'upgrade', 'te', 'trailer', 'proxy-connection', 'expect']);
 const maxHoldMs = 600_000;
 const probeTimeoutMs = 500;
@@ -190,7 +190,7 @@
 			// Entries that have not received the announcement yet may still send requests, which are served.
 			await clock.sleep(guard.drainMs);
 			isClosing = true;
-			await admission.becomeIdle();
+			await admission.waitUntilIdle();
 			announcer?.stop();
 			await close(server);
 			agent.destroy();
--- a/src/plugins/jobs-quotas.ts
+++ b/src/plugins/jobs-quotas.ts
@@ -9,7 +9,7 @@
 const checkIntervalMs = 500;
 
 /** Options of the quota follower. */
-export type QuotaOptions = {
+export type QuotaFollowerOptions = {
 	engine: Pick<PlacementEngine, 'setQuota'>;
 	clock: Clock;
 	config: Pick<ConfigService, 'getOffset' | 'getSections'>;
@@ -21,7 +21,7 @@
 Follows the configuration until the signal aborts. Jobs are distributed over the shards by their ids, so each entry applies the
 same fraction of a quota as it owns of the shards; the entries together apply the full quota.
 */
-export const followQuotas = async ({engine, clock, config, getOwnedShare}: QuotaOptions, signal: AbortSignal): Promise<void> => {
+export const followQuotas = async ({engine, clock, config, getOwnedShare}: QuotaFollowerOptions, signal: AbortSignal): Promise<void> => {
 	const knownTeams = new Set<string>();
 	let applied = '';
 	while (!signal.aborted) {
--- a/src/plugins/jobs-service.ts
+++ b/src/plugins/jobs-service.ts
@@ -1,7 +1,7 @@
 /**
 Accepts jobs and reports their status at any entry, and runs the jobs whose shards this entry owns.
 */
-import {createAppendPace} from '../core/append-pace.ts';
+import {createAppendInterval} from '../core/append-interval.ts';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
 import {jobSpecSchema} from '../jobs/job-records.ts';
@@ -9,11 +9,11 @@
 import {createPlacementEngine} from '../jobs/placement-engine.ts';
 import {type JobStatus} from '../types/jobs.ts';
 import {PeerMethod, ServiceName, type JobsService} from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {createParser} from '../utils/parser.ts';
 import {followQuotas} from './jobs-quotas.ts';
 
-const log = createLogger(Part.Jobs);
+const log = createLogger(LogNamespace.Jobs);
 const parseSpec = createParser('read job', jobSpecSchema);
 
 /** Creates the jobs service. */
@@ -33,7 +33,7 @@
 		settings,
 		workers: kernel.get(ServiceName.Workers),
 		engine,
-		getGatherMs: createAppendPace(kernel, kernel.get(ServiceName.Settings).jobs.gatherMs),
+		getGatherMs: createAppendInterval(kernel, kernel.get(ServiceName.Settings).jobs.gatherMs),
 		getRegion: service => kernel.has(ServiceName.Moves) ? kernel.get(ServiceName.Moves).getRegion(service) : undefined,
 	});
 	const aborter = new AbortController();
--- a/src/plugins/log-client.ts
+++ b/src/plugins/log-client.ts
@@ -5,7 +5,7 @@
 import {z} from 'zod';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type PlatformLog} from '../types/platform.ts';
-import {callJson} from '../utils/http-client.ts';
+import {callJson} from '../utils/json-client.ts';
 
 const pageSchema = z.object({
 	records: z.array(z.object({offset: z.number().int().nonnegative(), value: z.unknown()})),
--- a/src/plugins/membership-service.ts
+++ b/src/plugins/membership-service.ts
@@ -4,21 +4,21 @@
 import {z} from 'zod';
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Kernel, type Service} from '../core/kernel.ts';
-import {Taken} from '../requests/announcement-book.ts';
+import {AnnouncementOutcome} from '../requests/announcement-registry.ts';
 import {FlapDamper} from '../requests/flap-damper.ts';
 import {AnnouncementBudget} from '../requests/membership-budget.ts';
 import {
 	getHostKey, HostKind, parsePull, parsePullAnswer, parseUpstreamAnnouncement, type HostAnnouncement,
 } from '../requests/membership-messages.ts';
 import {MembershipState} from '../requests/membership-state.ts';
-import {getSponsorId} from '../requests/sponsor-book.ts';
+import {getSponsorId} from '../requests/sponsor-registry.ts';
 import {type AnnouncementReply, type UpstreamAnnouncement} from '../types/announcements.ts';
 import {Metric} from '../types/metrics.ts';
 import {PeerMethod, ServiceName} from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {createParser} from '../utils/parser.ts';
 
-const log = createLogger(Part.Membership);
+const log = createLogger(LogNamespace.Membership);
 
 enum RelayKind {
 	Pull = 'pull',
@@ -36,7 +36,7 @@
 	/** Id of this incarnation of the entry, as a sponsor and as the owner of its set of monitored hosts. */
 	readonly ownId: string;
 	/** Applies an announcement of a host. `isMonitoredHere`: this entry monitors the host even if another one does too. */
-	hear(kind: HostKind, id: string, announcement: HostAnnouncement, isMonitoredHere?: boolean): AnnouncementReply;
+	receiveAnnouncement(kind: HostKind, id: string, announcement: HostAnnouncement, isMonitoredHere?: boolean): AnnouncementReply;
 	getAlive(kind: HostKind): HostAnnouncement[];
 	get(kind: HostKind, id: string): HostAnnouncement | undefined;
 	list(kind: HostKind): HostAnnouncement[];
@@ -71,10 +71,10 @@
 		const sentAtMs = clock.monotonicMs();
 		try {
 			const answer = await peers.call(peerId, PeerMethod.Announcements, {kind: RelayKind.Pull, content: request});
-			state.takeAnswer(parsePullAnswer(answer), sentAtMs);
+			state.applyAnswer(parsePullAnswer(answer), sentAtMs);
 			repliedPeers.add(peerId);
 		} catch (error) {
-			state.takeFailure(request);
+			state.handleFailure(request);
 			log('Changes of hosts not pulled from %s: %s', peerId, getMessage(error));
 		}
 	};
@@ -116,8 +116,8 @@
 	const setGauges = () => {
 		metrics.gauge(Metric.UpstreamsAlive, state.getAlive(HostKind.Upstream).length);
 		metrics.gauge(Metric.WorkersAlive, state.getAlive(HostKind.Worker).length);
-		metrics.gauge(Metric.HostsInCare, state.careCount);
-		metrics.gauge(Metric.HostsHeldDown, damper.countHeld());
+		metrics.gauge(Metric.HostsMonitored, state.monitoredCount);
+		metrics.gauge(Metric.HostsHeldDown, damper.countHeldDown());
 	};
 
 	peers.handle(PeerMethod.Announcements, body => {
@@ -135,21 +135,21 @@
 	// An entry that has just started knows no hosts and would refuse callers for lack of upstreams that all others know.
 	control.addReadiness('membership', () => clock.monotonicMs() - startedAtMs >= settings.announceEveryMs
 		&& peers.list().every(({processId: peerId, isAlive}) => !isAlive || repliedPeers.has(peerId)));
-	control.addStatus('membership', () => ({ownId, hostsInCare: state.careCount, heldDown: damper.countHeld()}));
+	control.addStatus('membership', () => ({ownId, hostsInCare: state.monitoredCount, heldDown: damper.countHeldDown()}));
 
 	return {
 		ownId,
-		hear(kind, id, announcement, isMonitoredHere = false) {
-			const nextAfterMs = budget.note(state.careCount);
+		receiveAnnouncement(kind, id, announcement, isMonitoredHere = false) {
+			const nextAfterMs = budget.recordAnnouncement(state.monitoredCount);
 			if (nextAfterMs > settings.announceEveryMs) {
 				metrics.count(Metric.AnnouncementsSlowed);
 			}
 
 			// The lease must not expire because the host was asked to announce itself less often.
 			const leaseMs = Math.max(settings.leaseMs, nextAfterMs * leaseFactor);
-			const taken = state.hear(getHostKey(kind, id), announcement, leaseMs, isMonitoredHere);
+			const taken = state.receiveAnnouncement(getHostKey(kind, id), announcement, leaseMs, isMonitoredHere);
 			metrics.count(Metric.Announcements, taken);
-			return taken === Taken.Stale
+			return taken === AnnouncementOutcome.Stale
 				? {isAccepted: false, reason: 'a newer announcement is known', nextAfterMs}
 				: {isAccepted: true, nextAfterMs};
 		},
--- a/src/plugins/moves-service.ts
+++ b/src/plugins/moves-service.ts
@@ -12,9 +12,9 @@
 import {Metric} from '../types/metrics.ts';
 import {Stream} from '../types/platform.ts';
 import {ServiceName, type MovesService} from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 
-const log = createLogger(Part.Moves);
+const log = createLogger(LogNamespace.Moves);
 /** Moves nothing if the configuration was last read to its end longer ago. */
 const maxConfigAgeMs = 3000;
 
--- a/src/plugins/peers-directory.ts
+++ b/src/plugins/peers-directory.ts
@@ -57,7 +57,7 @@
 	}
 
 	/** Adds an entry; true if the entry or this incarnation of it was unknown. Idempotent and independent of order. */
-	learn(presence: Presence): boolean {
+	add(presence: Presence): boolean {
 		if (presence.processId === this.#ownId) {
 			return false;
 		}
@@ -78,15 +78,15 @@
 	}
 
 	/** Extends the lease of an entry that answered, until `aliveUntilMs`. */
-	noteAnswer(presence: Presence, aliveUntilMs: number): void {
-		this.learn(presence);
+	extendLease(presence: Presence, aliveUntilMs: number): void {
+		this.add(presence);
 		const known = this.#peers.get(presence.processId);
 		if (known?.presence.incarnation === presence.incarnation && !known.hasLeft) {
 			known.aliveUntilMs = Math.max(known.aliveUntilMs, aliveUntilMs);
 		}
 	}
 
-	noteLeaving(processId: string, incarnation: number): void {
+	markLeft(processId: string, incarnation: number): void {
 		const known = this.#peers.get(processId);
 		if (known?.presence.incarnation === incarnation) {
 			known.hasLeft = true;
--- a/src/plugins/peers-memory-transport.ts
+++ b/src/plugins/peers-memory-transport.ts
@@ -4,7 +4,7 @@
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {type Random} from '../types/random.ts';
-import {type PeerRequest, type PeerTransport, type ServePeer} from './peers-transport.ts';
+import {type PeerRequest, type PeerTransport, type PeerRequestHandler} from './peers-transport.ts';
 
 /** Faults injected into calls between entries. */
 export type NetworkFaults = {
@@ -23,7 +23,7 @@
 export class MemoryNetwork {
 	faults: NetworkFaults = {...noFaults};
 	calls = 0;
-	readonly #servers = new Map<string, ServePeer>();
+	readonly #servers = new Map<string, PeerRequestHandler>();
 	readonly #downLinks = new Set<string>();
 	readonly #clock: Clock;
 	readonly #random: Random;
@@ -35,7 +35,7 @@
 	}
 
 	/** Breaks both directions between two addresses, or restores them. */
-	setCut(a: string, b: string, isCut: boolean): void {
+	setLinkBroken(a: string, b: string, isCut: boolean): void {
 		for (const link of [`${a}>${b}`, `${b}>${a}`]) {
 			if (isCut) {
 				this.#downLinks.add(link);
@@ -45,7 +45,7 @@
 		}
 	}
 
-	healAll(): void {
+	restoreAllLinks(): void {
 		this.#downLinks.clear();
 	}
 
--- a/src/plugins/peers-service.ts
+++ b/src/plugins/peers-service.ts
@@ -10,13 +10,13 @@
 import {
 	PeerMethod, ServiceName, type PeerHandler, type PeersService,
 } from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {
 	parseHello, parsePresenceRecord, PeersDirectory, type Hello, type Presence,
 } from './peers-directory.ts';
 import {createGrpcTransport, type PeerRequest, type PeerTransport} from './peers-transport.ts';
 
-const log = createLogger(Part.Peers);
+const log = createLogger(LogNamespace.Peers);
 const peersPerHello = 3;
 const maxPauseFactor = 8;
 
@@ -51,7 +51,7 @@
 	};
 
 	const addPeer = (presence: Presence) => {
-		directory.learn(presence);
+		directory.add(presence);
 		if (presence.processId !== identity.processId && !tasks.has(presence.processId) && !signal.aborted) {
 			tasks.add(presence.processId);
 			running.push(heartbeatPeer(presence.processId));
@@ -65,7 +65,7 @@
 		}
 
 		if (hello.isLeaving) {
-			directory.noteLeaving(hello.presence.processId, hello.presence.incarnation);
+			directory.markLeft(hello.presence.processId, hello.presence.incarnation);
 		}
 	};
 
@@ -76,7 +76,7 @@
 		}, callTimeoutMs));
 		handleHello(answer);
 		// Counted from the send time: a late answer proves only that the peer was alive at some time after that.
-		directory.noteAnswer(answer.presence, sentAtMs + leaseMs);
+		directory.extendLease(answer.presence, sentAtMs + leaseMs);
 	};
 
 	const heartbeatPeer = async (processId: string) => {
@@ -143,7 +143,7 @@
 		onRecord({value}) {
 			const record = parsePresenceRecord(value);
 			if (record.isLeaving) {
-				directory.noteLeaving(record.processId, record.incarnation);
+				directory.markLeft(record.processId, record.incarnation);
 				return;
 			}
 
--- a/src/plugins/peers-transport.ts
+++ b/src/plugins/peers-transport.ts
@@ -19,12 +19,12 @@
 };
 
 /** Handles one call of a peer. */
-export type ServePeer = (request: PeerRequest) => Promise<unknown>;
+export type PeerRequestHandler = (request: PeerRequest) => Promise<unknown>;
 
 /** Carries calls between entries. */
 export type PeerTransport = {
 	/** Serves calls; resolves to the bound address. */
-	listen(address: string, serve: ServePeer): Promise<string>;
+	listen(address: string, serve: PeerRequestHandler): Promise<string>;
 	/** Calls the entry at the address. Throws `peer-unavailable` if no answer arrives. */
 	call(address: string, request: PeerRequest, timeoutMs: number): Promise<unknown>;
 	close(): Promise<void>;
--- a/src/plugins/site-agent.ts
+++ b/src/plugins/site-agent.ts
@@ -2,7 +2,7 @@
 The agent role, on the host of a worker: creates an agent from the site's settings.
 */
 import {Agent} from '../agents/agent.ts';
-import {leaseHorizonMs} from '../agents/lease-clock.ts';
+import {leaseDurationMs} from '../agents/worker-lease.ts';
 import {createError, ErrorCode} from '../core/errors.ts';
 import {getPartition} from '../core/partitions.ts';
 import {createAnnounceServer} from '../platform/announce-server.ts';
@@ -34,7 +34,7 @@
 
 /** Runs the role until SIGTERM or SIGINT. */
 export const runSiteAgent = async (site: SiteSettings): Promise<void> => runSiteProcess('agent', site, async ({
-	clock, http, note, metrics, life: incarnation, internalAddress, signal,
+	clock, http, note, metrics, incarnation, internalAddress, signal,
 }) => {
 	const {announceAddress, workerAddress, workerService} = site;
 	if (announceAddress === undefined || workerAddress === undefined || workerService === undefined) {
@@ -50,7 +50,7 @@
 		client: createWorkerClient(http, workerAddress),
 		clock,
 		life: incarnation,
-		leaseHorizonMs,
+		leaseDurationMs,
 		maxLeaseMs: site.bounds.maxLeaseMs,
 		note,
 	});
@@ -60,14 +60,14 @@
 	const announcements = createAnnounceServer(clock, {
 		onReport(report) {
 			if (report.service === workerService) {
-				agent.announce(report);
+				agent.handleAnnouncement(report);
 			} else {
 				metrics.count('announcement not valid', 'service');
 				invalid.reportOnce(report.workerId, `service ${report.service}`);
 			}
 		},
 		onLeave(workerId) {
-			agent.workerLeft(workerId);
+			agent.handleWorkerLeave(workerId);
 		},
 		onInvalid(writer, reason) {
 			metrics.count('announcement not valid', 'unreadable');
--- a/src/plugins/site-entry.ts
+++ b/src/plugins/site-entry.ts
@@ -4,7 +4,7 @@
 */
 import {createServer} from 'node:http';
 import {agentsTopic} from '../agents/control-records.ts';
-import {leaseHorizonMs} from '../agents/lease-clock.ts';
+import {leaseDurationMs} from '../agents/worker-lease.ts';
 import {createError, ErrorCode} from '../core/errors.ts';
 import {getPartition} from '../core/partitions.ts';
 import {createCallerServer} from '../platform/caller-server.ts';
@@ -15,7 +15,7 @@
 import {createStoreClient} from '../platform/store-calls.ts';
 import {type JobApi} from '../types/job-api.ts';
 import {type SiteConfig, type SiteSettings} from '../types/site.ts';
-import {type HttpClient} from '../utils/http-calls.ts';
+import {type HttpClient} from '../utils/keep-alive-client.ts';
 import {close, createJsonServer, listen} from '../utils/http-server.ts';
 import {alivePath} from '../utils/metrics-page.ts';
 import {ConfigFollower} from '../workflows/config-follower.ts';
@@ -110,9 +110,9 @@
 	local: jobs, client: createEntryClient(http), clock, getOthers: () => directory.others, isStoreLost, note,
 });
 
-const createComponents = ({site, clock, http, streams, note, life: incarnation, signal, metrics, metricsAddress, internalAddress}: SiteProcess) => {
+const createComponents = ({site, clock, http, streams, note, incarnation, signal, metrics, metricsAddress, internalAddress}: SiteProcess) => {
 	const store = createStoreClient(http, site.store.address);
-	const {partitions, maxCallBytes, minMemberTtlMs, keptMs} = site.store;
+	const {partitions, maxCallBytes, minMemberTtlMs, retentionMs} = site.store;
 	const client = createAgentClient(streams);
 	const adviceClient = site.adviceAddress === undefined ? undefined : createAdviceClient(http, site.adviceAddress);
 	const followers = new Map<number, WorkflowFollower>();
@@ -189,14 +189,14 @@
 		member: formatMember(metricsAddress, site.processors, incarnation),
 		processors: site.processors,
 		async countWorkers() {
-			const {records} = await store.newest({topic: agentsTopic, partition: 0});
+			const {records} = await store.readNewest({topic: agentsTopic, partition: 0});
 			return records.length;
 		},
 		isAlive: async address => isProcessAlive(http, address),
 		minTtlMs: minMemberTtlMs,
-		isUsed: partition => followers.has(partition),
-		getProvenAtMs: () => isCaughtUp() ? Math.min(...[...followers.values()].map(({provenAtMs}) => provenAtMs)) : Number.NEGATIVE_INFINITY,
-		createOwner: (partition, epoch, {onDeposed, getReachedAtMs}) => new Owner({
+		hasService: partition => followers.has(partition),
+		getCaughtUpAtMs: () => isCaughtUp() ? Math.min(...[...followers.values()].map(({caughtUpAtMs}) => caughtUpAtMs)) : Number.NEGATIVE_INFINITY,
+		createOwner: (partition, epoch, {onSuperseded, getHeartbeatAtMs}) => new Owner({
 			store,
 			clock,
 			client,
@@ -204,17 +204,17 @@
 			partition,
 			epoch,
 			maxCallBytes,
-			keptMs,
-			leaseHorizonMs,
+			retentionMs,
+			leaseDurationMs,
 			cancelMs: site.bounds.cancelMs,
 			getEvacuations: () => config.evacuations,
-			getReachedAtMs,
+			getHeartbeatAtMs,
 			note,
-			onDeposed,
+			onSuperseded,
 			policy,
 			host: site.hostName,
 			follower: getFollower(partition),
-			isMine: ({service}) => getPartition(service, partitions) === partition,
+			isOwned: ({service}) => getPartition(service, partitions) === partition,
 		}),
 	});
 	metrics.addGauge('chervilworks_partitions_owned', 'Partitions that this entry owns.', () => ownership.owners.size);
--- a/src/plugins/site-process.ts
+++ b/src/plugins/site-process.ts
@@ -5,14 +5,14 @@
 import {type Clock} from '../types/clock.ts';
 import {type SiteSettings} from '../types/site.ts';
 import {createAborter} from '../utils/aborter.ts';
-import {createEventLog, type Note} from '../utils/event-log.ts';
+import {createEventLog, type LogEvent} from '../utils/event-log.ts';
 import {createStreamClient, type StreamClient} from '../utils/call-stream-client.ts';
-import {createHttpClient, type HttpClient} from '../utils/http-calls.ts';
+import {createHttpClient, type HttpClient} from '../utils/keep-alive-client.ts';
 import {close, listen} from '../utils/http-server.ts';
 import {createMetricsPage, type MetricsPage} from '../utils/metrics-page.ts';
 import {ProcessLoad} from '../utils/process-load.ts';
 import {createSystemClock} from '../utils/system-clock.ts';
-import {Turns} from '../utils/turns.ts';
+import {TurnScheduler} from '../utils/turn-scheduler.ts';
 
 /** What a role gets from its process. */
 export type SiteProcess = {
@@ -23,7 +23,7 @@
 	streams: StreamClient;
 	metrics: MetricsPage;
 	/** Writes a log line and counts the event in the metrics. */
-	note: Note;
+	note: LogEvent;
 	/** How late the process runs its timers. */
 	load: ProcessLoad;
 	/** Address for calls between the processes of this program. */
@@ -33,7 +33,7 @@
 	/** Aborts when the process ends. */
 	signal: AbortSignal;
 	/** Unique for each start of the process. */
-	life: string;
+	incarnation: string;
 };
 
 /** Connections to one peer: a few calls are long polls, the others return at once. */
@@ -54,7 +54,7 @@
 	const metrics = createMetricsPage();
 	const aborter = createAborter();
 	const incarnation = `${clock.now().getTime().toString(36)}-${process.pid}`;
-	const note: Note = (event, fields = {}) => {
+	const note: LogEvent = (event, fields = {}) => {
 		metrics.count(event, typeof fields.reason === 'string' ? fields.reason : (fields.refusal as string | undefined) ?? (fields.end as string | undefined));
 		log.note(event, fields);
 	};
@@ -75,7 +75,7 @@
 	const [internalPort, metricsPort] = site.internalPorts;
 	const metricsAddress = `${site.ip}:${metricsPort}`;
 	await listen(metrics.server, metricsAddress);
-	const turns = new Turns();
+	const turns = new TurnScheduler();
 	const http = createHttpClient(maxConnections, turns);
 	note('started', {
 		life: incarnation, ip: site.ip, failureDomain: site.failureDomain, startupMs: Math.round(process.uptime() * 1000),
@@ -83,7 +83,7 @@
 	const load = new ProcessLoad(clock, note);
 	void load.watch(aborter.signal);
 	const shutDown = await start({
-		site, clock, http, streams: createStreamClient(http, turns), metrics, note, load, life: incarnation, metricsAddress, internalAddress: `${site.ip}:${internalPort}`, signal: aborter.signal,
+		site, clock, http, streams: createStreamClient(http, turns), metrics, note, load, incarnation, metricsAddress, internalAddress: `${site.ip}:${internalPort}`, signal: aborter.signal,
 	});
 	await stopped;
 	note('stopping');
--- a/src/plugins/slots-service.ts
+++ b/src/plugins/slots-service.ts
@@ -4,18 +4,18 @@
 */
 import {getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
-import {SlotAsker, type AskedShare} from '../requests/slot-asker.ts';
+import {SlotClient, type RequestedShare} from '../requests/slot-client.ts';
 import {parseSlotAnswer, parseSlotMessage} from '../requests/slot-messages.ts';
 import {divideByDemand, getWaitingPart, type DivideSlots} from '../requests/slot-policy.ts';
 import {SlotMode, SlotShare} from '../requests/slot-share.ts';
 import {SlotSponsor} from '../requests/slot-sponsor.ts';
-import {getSponsorId} from '../requests/sponsor-book.ts';
+import {getSponsorId} from '../requests/sponsor-registry.ts';
 import {HostState, type UpstreamAnnouncement} from '../types/announcements.ts';
 import {Metric} from '../types/metrics.ts';
 import {PeerMethod, ServiceName, type SlotsService} from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 
-const log = createLogger(Part.Slots);
+const log = createLogger(LogNamespace.Slots);
 const forgetAfterFactor = 10;
 
 enum SlotRefusal {
@@ -99,7 +99,7 @@
 			const index = indexes.get(service) ?? 0;
 			indexes.set(service, index + 1);
 			const count = perService.get(service)!;
-			wanted.set(upstreamId, share.takeWanted(getWaitingPart(waiting, (index + rotation) % count, count), waiting > 0, (index + 0.5) / count));
+			wanted.set(upstreamId, share.measureWanted(getWaitingPart(waiting, (index + rotation) % count, count), waiting > 0, (index + 0.5) / count));
 			hasGrown ||= grantOwn(upstreamId, share);
 		}
 
@@ -138,8 +138,8 @@
 		sponsor.forget(upstreamId => known.has(upstreamId), (leaseMs + maxHoldMs) * forgetAfterFactor);
 	};
 
-	const getRequestedShares = (sponsorId: string): AskedShare[] => {
-		const asked: AskedShare[] = [];
+	const getRequestedShares = (sponsorId: string): RequestedShare[] => {
+		const asked: RequestedShare[] = [];
 		for (const [upstreamId, share] of shares) {
 			if (share.mode === SlotMode.Sponsored && share.sponsorId === sponsorId) {
 				const isFormer = upstreams.get(upstreamId)?.formerSponsorId === ownId;
@@ -156,7 +156,7 @@
 	};
 
 	/** Sends one request; true if a share shrank and the released slots must be reported at once, since others wait for them. */
-	const requestShares = async (peerId: string, sponsorId: string, asker: SlotAsker): Promise<boolean> => {
+	const requestShares = async (peerId: string, sponsorId: string, asker: SlotClient): Promise<boolean> => {
 		const asked = asker.compose(getRequestedShares(sponsorId), clock.monotonicMs(), isLeaving);
 		if (!asked) {
 			return false;
@@ -178,7 +178,7 @@
 	};
 
 	const requestFromPeer = async (peerId: string) => {
-		let asker: SlotAsker | undefined;
+		let asker: SlotClient | undefined;
 		let askerSponsorId = '';
 		while (!signal.aborted) {
 			const peer = peers.list().find(({processId}) => processId === peerId);
@@ -188,7 +188,7 @@
 
 			const sponsorId = getSponsorId(peerId, peer.incarnation);
 			if (!asker || askerSponsorId !== sponsorId) {
-				asker = new SlotAsker(ownId, sponsorId);
+				asker = new SlotClient(ownId, sponsorId);
 				askerSponsorId = sponsorId;
 			}
 
--- a/src/plugins/upstreams-service.ts
+++ b/src/plugins/upstreams-service.ts
@@ -4,13 +4,13 @@
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
 import {HostKind, parseUpstreamAnnouncement} from '../requests/membership-messages.ts';
-import {getSponsorProcess, SponsorBook} from '../requests/sponsor-book.ts';
+import {getSponsorProcess, SponsorRegistry} from '../requests/sponsor-registry.ts';
 import {HostState, type AnnouncementReply, type UpstreamAnnouncement} from '../types/announcements.ts';
 import {Metric} from '../types/metrics.ts';
 import {ServiceName, type UpstreamRegistry} from '../types/services.ts';
-import {createLogger, Part} from '../utils/logger.ts';
+import {createLogger, LogNamespace} from '../utils/logger.ts';
 
-const log = createLogger(Part.Membership);
+const log = createLogger(LogNamespace.Membership);
 /** Time until an upstream without a confirmed sponsor announces itself again; short, since it gets no requests before. */
 const handshakeMs = 50;
 
@@ -23,14 +23,14 @@
 	const peers = kernel.get(ServiceName.Peers);
 	const control = kernel.get(ServiceName.Control);
 	const metrics = kernel.get(ServiceName.Metrics);
-	const sponsors = new SponsorBook(clock, membership.ownId);
+	const sponsors = new SponsorRegistry(clock, membership.ownId);
 	const aborter = new AbortController();
 	let cleaning: Promise<void> | undefined;
 	let isLeaving = false;
 	let grouped: {of: UpstreamAnnouncement[]; byService: Map<string, UpstreamAnnouncement[]>} = {of: [], byService: new Map()};
 
 	const acceptHere = (announcement: UpstreamAnnouncement, isMonitoredHere: boolean): AnnouncementReply => {
-		const reply = membership.hear(HostKind.Upstream, announcement.upstreamId, announcement, isMonitoredHere);
+		const reply = membership.receiveAnnouncement(HostKind.Upstream, announcement.upstreamId, announcement, isMonitoredHere);
 		if (!reply.isAccepted || announcement.isGuarded || announcement.sponsorTerm === undefined) {
 			return reply;
 		}
@@ -47,7 +47,7 @@
 		}
 
 		const lockMs = Math.max(sponsorLockMs, reply.nextAfterMs * 3);
-		return {...reply, ...sponsors.note(announcement, lockMs), nextAfterMs: isConfirmedSponsor ? reply.nextAfterMs : handshakeMs};
+		return {...reply, ...sponsors.handleAnnouncement(announcement, lockMs), nextAfterMs: isConfirmedSponsor ? reply.nextAfterMs : handshakeMs};
 	};
 
 	const receive = async (announcement: UpstreamAnnouncement): Promise<AnnouncementReply> => {
@@ -71,7 +71,7 @@
 
 		// The upstream stays locked to its sponsor until the lock expires by its own clock; no other entry may grant slots before.
 		metrics.count(Metric.SponsorUnreachable);
-		const reply = membership.hear(HostKind.Upstream, announcement.upstreamId, announcement);
+		const reply = membership.receiveAnnouncement(HostKind.Upstream, announcement.upstreamId, announcement);
 		return {...reply, sponsorId, sponsorTerm};
 	};
 
@@ -127,7 +127,7 @@
 			return {isAccepted: false, reason: `it is ${known.state}`, nextAfterMs: 0};
 		}
 
-		return membership.hear(HostKind.Upstream, upstreamId, {...known, state: HostState.Draining, sequence: known.sequence + 1});
+		return membership.receiveAnnouncement(HostKind.Upstream, upstreamId, {...known, state: HostState.Draining, sequence: known.sequence + 1});
 	};
 
 	control.route('POST', '/v1/upstreams/:id/drain', ({params}) => ({body: drain(params.id ?? '')}));
--- a/src/plugins/worker-client.ts
+++ b/src/plugins/worker-client.ts
@@ -3,7 +3,7 @@
 */
 import {Agent} from 'undici';
 import {type WorkerClient} from '../types/platform.ts';
-import {callJson} from '../utils/http-client.ts';
+import {callJson} from '../utils/json-client.ts';
 
 const timeoutMs = 2000;
 
--- a/src/plugins/workers-service.ts
+++ b/src/plugins/workers-service.ts
@@ -41,7 +41,7 @@
 	};
 
 	const registry: WorkerRegistry = {
-		announce: announcement => membership.hear(HostKind.Worker, announcement.workerId, announcement),
+		announce: announcement => membership.receiveAnnouncement(HostKind.Worker, announcement.workerId, announcement),
 		list: () => membership.getAlive(HostKind.Worker) as WorkerAnnouncement[],
 		getClient(workerId) {
 			const announcement = membership.get(HostKind.Worker, workerId) as WorkerAnnouncement | undefined;
--- a/src/requests/announcement-book.ts
+++ b/src/requests/announcement-registry.ts
@@ -5,14 +5,14 @@
 import {HostState} from '../types/announcements.ts';
 
 /** Fields that all announcements have. */
-export type Announced = {
+export type AnnouncementBase = {
 	incarnation: number;
 	sequence: number;
 	state: HostState;
 };
 
 /** What an announcement changed. */
-export enum Taken {
+export enum AnnouncementOutcome {
 	/** This announcement, or a newer one, is already known. */
 	Stale = 'stale',
 	/** Newer, with no change that other entries need to know. */
@@ -21,7 +21,7 @@
 	Changed = 'changed',
 }
 
-type Entry<A extends Announced> = {
+type Entry<A extends AnnouncementBase> = {
 	announcement: A;
 	content: string;
 	/** End of the lease that this entry tracks. */
@@ -37,7 +37,7 @@
 };
 
 /** Tells whether the new announcement overrides the known one. */
-export const isNewer = (next: Announced, known: Announced): boolean => {
+export const isNewer = (next: AnnouncementBase, known: AnnouncementBase): boolean => {
 	if (next.incarnation !== known.incarnation) {
 		return next.incarnation > known.incarnation;
 	}
@@ -51,11 +51,11 @@
 };
 
 /** Serializes what concerns other entries: all fields except those that change with each announcement. */
-const getContent = (announcement: Announced): string =>
+const getContent = (announcement: AnnouncementBase): string =>
 	JSON.stringify({...announcement, sequence: undefined, sponsorTerm: undefined});
 
 /** Announcements by host id. An announcement is only ever replaced by a newer one. */
-export class AnnouncementBook<A extends Announced> {
+export class AnnouncementRegistry<A extends AnnouncementBase> {
 	readonly #entries = new Map<string, Entry<A>>();
 	readonly #clock: Clock;
 
@@ -64,9 +64,9 @@
 	}
 
 	/** Applies an announcement that this entry received from the host, or on its behalf, and extends the host's lease. */
-	take(id: string, announcement: A, leaseMs: number): Taken {
+	receive(id: string, announcement: A, leaseMs: number): AnnouncementOutcome {
 		const outcome = this.merge(id, announcement);
-		if (outcome !== Taken.Stale) {
+		if (outcome !== AnnouncementOutcome.Stale) {
 			const entry = this.#entries.get(id)!;
 			entry.leaseUntilMs = Math.max(entry.leaseUntilMs, this.#clock.monotonicMs() + leaseMs);
 		}
@@ -75,10 +75,10 @@
 	}
 
 	/** Applies an announcement that another entry passed on, without a lease: the other entry tracks that. */
-	merge(id: string, announcement: A): Taken {
+	merge(id: string, announcement: A): AnnouncementOutcome {
 		const known = this.#entries.get(id);
 		if (known && !isNewer(announcement, known.announcement)) {
-			return Taken.Stale;
+			return AnnouncementOutcome.Stale;
 		}
 
 		const content = getContent(announcement);
@@ -89,11 +89,11 @@
 			leaseUntilMs: known?.announcement.incarnation === announcement.incarnation ? known.leaseUntilMs : Number.NEGATIVE_INFINITY,
 			lastSeenMs: this.#clock.monotonicMs(),
 		});
-		return isSame ? Taken.Refreshed : Taken.Changed;
+		return isSame ? AnnouncementOutcome.Refreshed : AnnouncementOutcome.Changed;
 	}
 
 	/** Extends the lease of a host whose announcement was received by another entry. */
-	refresh(id: string, incarnation: number, leaseMs: number): boolean {
+	renewLease(id: string, incarnation: number, leaseMs: number): boolean {
 		const entry = this.#entries.get(id);
 		if (entry?.announcement.incarnation !== incarnation) {
 			return false;
@@ -108,7 +108,7 @@
 	}
 
 	/** Tells whether the host has a valid lease at this entry. */
-	isHeard(id: string): boolean {
+	hasLease(id: string): boolean {
 		return (this.#entries.get(id)?.leaseUntilMs ?? Number.NEGATIVE_INFINITY) > this.#clock.monotonicMs();
 	}
 
@@ -118,7 +118,7 @@
 	}
 
 	/** Records that the set of another entry still contains the host. */
-	noteNamed(id: string): void {
+	markSeen(id: string): void {
 		const entry = this.#entries.get(id);
 		if (entry) {
 			entry.lastSeenMs = this.#clock.monotonicMs();
--- a/src/requests/answer.ts
+++ b/src/requests/answer.ts
@@ -2,7 +2,7 @@
 One answer on its way to its caller: held until it is whole when it is small, streamed with backpressure when it is not.
 */
 import {type IncomingHttpHeaders, type ServerResponse} from 'node:http';
-import {getPassedDown} from './headers.ts';
+import {getForwardedResponseHeaders} from './headers.ts';
 
 /** A whole answer. Without a body it was streamed to the caller already. */
 export type WholeAnswer = {
@@ -97,7 +97,7 @@
 			return true;
 		}
 
-		response.writeHead(this.#status, {...getPassedDown(this.#headers), ...ownHeaders});
+		response.writeHead(this.#status, {...getForwardedResponseHeaders(this.#headers), ...ownHeaders});
 		return this.#write(Buffer.concat(chunks), onDrain);
 	}
 
--- a/src/requests/choice-baselines.ts
+++ b/src/requests/choice-baselines.ts
@@ -14,10 +14,10 @@
 	return {
 		choose: (_serviceName: string, candidates: Candidates, context: ChoiceContext) =>
 			pick(candidates.filter(({upstreamId}) => !context.excluded.has(upstreamId) && context.hasSlot(upstreamId)), getInFlight),
-		noteStart(upstreamId) {
+		recordStart(upstreamId) {
 			inFlight.set(upstreamId, getInFlight(upstreamId) + 1);
 		},
-		noteEnd(upstreamId) {
+		recordEnd(upstreamId) {
 			const count = getInFlight(upstreamId) - 1;
 			if (count > 0) {
 				inFlight.set(upstreamId, count);
--- a/src/requests/choice.ts
+++ b/src/requests/choice.ts
@@ -114,11 +114,11 @@
 		return isAnyAdmitted ? undefined : ejected[this.#random.below(ejected.length)];
 	}
 
-	noteStart(upstreamId: string, requestClass: RequestClass): void {
+	recordStart(upstreamId: string, requestClass: RequestClass): void {
 		this.#states.noteStart(upstreamId, requestClass);
 	}
 
-	noteEnd(upstreamId: string, end: RequestEnd): void {
+	recordEnd(upstreamId: string, end: RequestEnd): void {
 		const state = this.#states.noteEnd(upstreamId, end.requestClass);
 		if (!state) {
 			return;
--- a/src/requests/claim-id.ts
+++ b/src/requests/claim-id.ts
@@ -26,7 +26,7 @@
 A request would run again if its id were still accepted after its claim has expired from the log. That may be so now for
 an id that is too old, and later for an id from the future.
 */
-export const judgeRequestId = (requestId: string, {oldestMs, newestMs}: IdWindow): RefusalReason | undefined => {
+export const checkIdAgainstWindow = (requestId: string, {oldestMs, newestMs}: IdWindow): RefusalReason | undefined => {
 	const createdAtMs = getRequestIdTimeMs(requestId);
 	if (createdAtMs === undefined || createdAtMs > newestMs) {
 		return RefusalReason.BadRequestId;
--- a/src/requests/claim-book.ts
+++ b/src/requests/claim-registry.ts
@@ -13,7 +13,7 @@
 } from '../types/services.ts';
 import {ClaimFold, toStatus, type KnownClaim} from './claim-fold.ts';
 import {
-	getIdLifetimeMs, getMarginMs, judgeRequestId, type IdWindow,
+	getIdLifetimeMs, getMarginMs, checkIdAgainstWindow, type IdWindow,
 } from './claim-id.ts';
 import {
 	ClaimItemType, parseClaimRecord, type ClaimItem, type EndItem,
@@ -22,14 +22,14 @@
 import {DeadlineHeap} from './deadline-heap.ts';
 
 /** Options of a claim registry. */
-export type ClaimBookOptions = {
+export type ClaimRegistryOptions = {
 	log: PlatformLog;
 	clock: Clock;
 	random: Random;
 	entryId: string;
 	settings: Pick<Settings, 'claims' | 'log'>;
 	/** Returns the current minimum time between two appends; by default `claims.appendEveryMs`. */
-	getPaceMs?(): number;
+	getAppendIntervalMs?(): number;
 	onAppend?(isSuccess: boolean, error?: unknown): void;
 	/** Called when an end or a release is dropped because the write buffer is full; the request stays listed as open. */
 	onEndDropped?(requestId: string): void;
@@ -50,8 +50,8 @@
 const probeIntervalMs = 250;
 
 /** Claims request ids for one entry and tracks the claims of all entries. */
-export class ClaimBook implements LogFollower {
-	readonly #options: ClaimBookOptions;
+export class ClaimRegistry implements LogFollower {
+	readonly #options: ClaimRegistryOptions;
 	readonly #fold = new ClaimFold();
 	readonly #writer: ClaimWriter;
 	readonly #deadlines: DeadlineHeap<PendingClaim>;
@@ -66,7 +66,7 @@
 	#failingSinceMs: number | undefined;
 	#probedAtMs = Number.NEGATIVE_INFINITY;
 
-	constructor(options: ClaimBookOptions) {
+	constructor(options: ClaimRegistryOptions) {
 		const {log, clock, random, entryId, settings} = options;
 		this.#options = options;
 		this.#writer = new ClaimWriter({
@@ -74,8 +74,8 @@
 			clock,
 			random,
 			entryId,
-			getPaceMs: options.getPaceMs ?? (() => settings.claims.appendEveryMs),
-			isWanted: item => this.#shouldRetry(item),
+			getAppendIntervalMs: options.getAppendIntervalMs ?? (() => settings.claims.appendEveryMs),
+			shouldRetry: item => this.#shouldRetry(item),
 			onAppend: (isSuccess, error) => {
 				this.#recordLogResult(isSuccess);
 				options.onAppend?.(isSuccess, error);
@@ -117,8 +117,8 @@
 	}
 
 	/** Returns why the id may not be claimed, or undefined if it may. */
-	judge(requestId: string): RefusalReason | undefined {
-		return judgeRequestId(requestId, this.window);
+	checkRequestId(requestId: string): RefusalReason | undefined {
+		return checkIdAgainstWindow(requestId, this.window);
 	}
 
 	/** Claims the id. Only if the result has `isWon` may this entry dispatch the request, once. */
@@ -129,7 +129,7 @@
 			return {isWon: false, claim: toStatus(known)};
 		}
 
-		if (this.judge(id) !== undefined || !this.#isWorthTrying()) {
+		if (this.checkRequestId(id) !== undefined || !this.#isWorthTrying()) {
 			return {isWon: false};
 		}
 
@@ -318,7 +318,7 @@
 
 		// An entry that was paused may read its claim long after the deadline, before the deadline timer fires.
 		// An id that has become too old since may have been forgotten here, with an earlier claim of it.
-		if (clock.monotonicMs() > deadlineMs || this.judge(item.requestId) !== undefined) {
+		if (clock.monotonicMs() > deadlineMs || this.checkRequestId(item.requestId) !== undefined) {
 			this.#abandon(pending);
 			return;
 		}
--- a/src/requests/claim-start.ts
+++ b/src/requests/claim-start.ts
@@ -10,7 +10,7 @@
 import {parseClaimRecord} from './claim-records.ts';
 
 /** Options of the search. */
-export type StartOptions = {
+export type StartSearchOptions = {
 	log: PlatformLog;
 	clock: Clock;
 	random: Random;
@@ -23,7 +23,7 @@
 const retryMs = 200;
 
 /** Finds the offset to begin at; retries until the log answers or the signal aborts. */
-export const findStartOffset = async (options: StartOptions): Promise<number> => {
+export const findStartOffset = async (options: StartSearchOptions): Promise<number> => {
 	const {clock, random, signal} = options;
 	while (!signal.aborted) {
 		try {
@@ -37,7 +37,7 @@
 };
 
 /** Binary search by write time. Records are nearly in that order; the margin covers clock errors and late appends. */
-const search = async ({log, clock, settings, signal}: StartOptions): Promise<number> => {
+const search = async ({log, clock, settings, signal}: StartSearchOptions): Promise<number> => {
 	const oldestMs = clock.now().getTime() - getIdLifetimeMs(settings) - getMarginMs(settings);
 	const first = await log.read(Stream.Claims, 0, {limit: 1, signal});
 	let low = first.oldestOffset;
--- a/src/requests/claim-writer.ts
+++ b/src/requests/claim-writer.ts
@@ -13,9 +13,9 @@
 	random: Random;
 	entryId: string;
 	/** Returns the current minimum time between the starts of two appends. */
-	getPaceMs(): number;
+	getAppendIntervalMs(): number;
 	/** Tells whether an item whose append failed is to be appended again. */
-	isWanted(item: ClaimItem): boolean;
+	shouldRetry(item: ClaimItem): boolean;
 	onAppend?(isSuccess: boolean, error?: unknown): void;
 };
 
@@ -58,11 +58,11 @@
 
 	/** Appends until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
-		const {clock, random, getPaceMs, onAppend} = this.#options;
+		const {clock, random, getAppendIntervalMs, onAppend} = this.#options;
 		let pauseMs = minPauseMs;
 		while (!signal.aborted) {
 			await this.#waitForItem(signal);
-			await clock.sleep(this.#lastAppendMs + getPaceMs() - clock.monotonicMs(), signal);
+			await clock.sleep(this.#lastAppendMs + getAppendIntervalMs() - clock.monotonicMs(), signal);
 			// The items may have been removed during the pause.
 			if (signal.aborted || this.#queued.size === 0) {
 				continue;
@@ -88,7 +88,7 @@
 	}
 
 	async #appendBatch(signal?: AbortSignal): Promise<void> {
-		const {log, clock, random, entryId, isWanted} = this.#options;
+		const {log, clock, random, entryId, shouldRetry} = this.#options;
 		const batch = this.#dequeueBatch();
 		this.#lastAppendMs = clock.monotonicMs();
 		const record: ClaimRecord = {
@@ -99,7 +99,7 @@
 			await log.append(Stream.Claims, record, signal);
 		} catch (error) {
 			// The append may have taken effect. Items are idempotent by their claim ids, so those still needed are appended again.
-			const retried = batch.filter(item => isWanted(item)).map(item => [item, true] as const);
+			const retried = batch.filter(item => shouldRetry(item)).map(item => [item, true] as const);
 			const later = [...this.#queued];
 			this.#queued.clear();
 			for (const [item, wasTried] of [...retried, ...later]) {
--- a/src/requests/dispatch-call.ts
+++ b/src/requests/dispatch-call.ts
@@ -2,7 +2,7 @@
 One request of a caller on its way: what to send, how long there is, and whether anybody still waits for the answer.
 */
 import {type AnswerTarget} from './answer.ts';
-import {type RequestFacts} from './headers-contract.ts';
+import {type RequestFacts} from './request-facts.ts';
 
 /** What a call is created with. */
 export type CallOptions = {
--- a/src/requests/dispatch-lane.ts
+++ b/src/requests/dispatch-lane.ts
@@ -173,7 +173,7 @@
 			return undefined;
 		}
 
-		chooser.noteStart(upstream.upstreamId, requestClass);
+		chooser.recordStart(upstream.upstreamId, requestClass);
 		return {
 			upstream, hold, takenAtMs, holdMs,
 		};
@@ -232,7 +232,7 @@
 		const latencyMs = clock.monotonicMs() - takenAtMs;
 		call.setOnClose(undefined);
 		hold.release();
-		chooser.noteEnd(upstream.upstreamId, {
+		chooser.recordEnd(upstream.upstreamId, {
 			requestClass,
 			latencyMs,
 			isSuccess: end.failure === undefined && (end.answer?.status ?? 0) < 500,
--- a/src/requests/flap-damper.ts
+++ b/src/requests/flap-damper.ts
@@ -35,7 +35,7 @@
 	}
 
 	/** Counts a failure that the host did not announce. */
-	noteFlap(id: string): void {
+	recordFlap(id: string): void {
 		const score = this.#getDecayed(id) ?? {
 			penalty: 0, atMs: this.#clock.monotonicMs(), isHeld: false, isProbing: false,
 		};
@@ -52,7 +52,7 @@
 	}
 
 	/** Counts the hosts that are held down. */
-	countHeld(): number {
+	countHeldDown(): number {
 		return [...this.#scores.keys()].filter(id => this.isHeldDown(id)).length;
 	}
 
--- a/src/requests/headers.ts
+++ b/src/requests/headers.ts
@@ -17,7 +17,7 @@
 const notForwardedToCaller = new Set<string>([...hopByHop, Header.Entry, Header.Replayed]);
 
 /** Gets the headers of a request that are forwarded to the upstream, as a flat list of names and values. */
-export const getPassedUp = (rawHeaders: readonly string[], connection: string | undefined): string[] => {
+export const getForwardedRequestHeaders = (rawHeaders: readonly string[], connection: string | undefined): string[] => {
 	const listed = getListedHopByHop(connection);
 	const forwarded: string[] = [];
 	for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
@@ -31,7 +31,7 @@
 };
 
 /** Gets the headers of a response that are forwarded to the caller. */
-export const getPassedDown = (headers: IncomingHttpHeaders): Record<string, string | string[]> => {
+export const getForwardedResponseHeaders = (headers: IncomingHttpHeaders): Record<string, string | string[]> => {
 	const listed = getListedHopByHop(headers.connection);
 	const forwarded: Record<string, string | string[]> = {};
 	for (const name in headers) {
--- a/src/requests/membership-budget.ts
+++ b/src/requests/membership-budget.ts
@@ -21,7 +21,7 @@
 	}
 
 	/** Counts an announcement and returns the time in ms until its host is to announce next. */
-	note(monitoredHosts: number): number {
+	recordAnnouncement(monitoredHosts: number): number {
 		const nowMs = this.#clock.monotonicMs();
 		if (nowMs - this.#windowStartMs >= windowMs) {
 			this.#lastCount = nowMs - this.#windowStartMs >= 2 * windowMs ? 0 : this.#count;
--- a/src/requests/membership-sets.ts
+++ b/src/requests/membership-sets.ts
@@ -1,16 +1,16 @@
 /**
 The hosts that one entry monitors, as a versioned set: other entries request the changes since the version that they have.
 */
-import {type Announced} from './announcement-book.ts';
+import {type AnnouncementBase} from './announcement-registry.ts';
 
 /** One change of a set; without an announcement, the host was removed. */
-export type SetChange<A extends Announced> = {
+export type SetChange<A extends AnnouncementBase> = {
 	id: string;
 	announcement?: A;
 };
 
 /** The changes of a set since a version. */
-export type SetDelta<A extends Announced> = {
+export type SetDelta<A extends AnnouncementBase> = {
 	version: number;
 	/** The changes are the complete set: hosts not listed are not in it. */
 	isFull: boolean;
@@ -20,7 +20,7 @@
 const maxRemoved = 4096;
 
 /** A versioned set of hosts. */
-export class VersionedSet<A extends Announced> {
+export class VersionedSet<A extends AnnouncementBase> {
 	version = 0;
 	readonly hosts = new Map<string, A>();
 	/** Version of the last change of each host, in the order of versions. */
--- a/src/requests/membership-state.ts
+++ b/src/requests/membership-state.ts
@@ -7,7 +7,7 @@
 */
 import {HostState} from '../types/announcements.ts';
 import {type Clock} from '../types/clock.ts';
-import {AnnouncementBook, isNewer, Taken} from './announcement-book.ts';
+import {AnnouncementRegistry, isNewer, AnnouncementOutcome} from './announcement-registry.ts';
 import {type FlapDamper} from './flap-damper.ts';
 import {
 	type HostAnnouncement, type HostKind, type Pull, type PullAnswer,
@@ -35,7 +35,7 @@
 
 /** The hosts that this entry knows, and their states. */
 export class MembershipState {
-	readonly #registry: AnnouncementBook<HostAnnouncement>;
+	readonly #registry: AnnouncementRegistry<HostAnnouncement>;
 	readonly #monitored = new VersionedSet<HostAnnouncement>();
 	readonly #owners = new Map<string, Owner>();
 	/** Leases that the entries monitoring the hosts are to extend, by owner id of their set, until the next pull from there. */
@@ -55,24 +55,24 @@
 		this.#ownerId = ownerId;
 		this.#policy = policy;
 		this.#damper = damper;
-		this.#registry = new AnnouncementBook(clock);
+		this.#registry = new AnnouncementRegistry(clock);
 	}
 
 	/** Number of hosts that this entry monitors. */
-	get careCount(): number {
+	get monitoredCount(): number {
 		return this.#monitored.hosts.size;
 	}
 
 	/** Applies an announcement that this entry received. With `isMonitoredHere`, this entry monitors the host even if another does. */
-	hear(id: string, announcement: HostAnnouncement, leaseMs: number, isMonitoredHere = false): Taken {
+	receiveAnnouncement(id: string, announcement: HostAnnouncement, leaseMs: number, isMonitoredHere = false): AnnouncementOutcome {
 		this.#checkForFlap(id, announcement);
-		const outcome = this.#registry.take(id, announcement, leaseMs);
-		if (outcome === Taken.Stale) {
+		const outcome = this.#registry.receive(id, announcement, leaseMs);
+		if (outcome === AnnouncementOutcome.Stale) {
 			return outcome;
 		}
 
 		const isAlreadyMonitored = this.#monitored.hosts.has(id);
-		if (outcome === Taken.Changed || (isMonitoredHere && !isAlreadyMonitored)) {
+		if (outcome === AnnouncementOutcome.Changed || (isMonitoredHere && !isAlreadyMonitored)) {
 			this.#startMonitoring(id, announcement);
 			return outcome;
 		}
@@ -111,7 +111,7 @@
 	isAlive(id: string): boolean {
 		const announcement = this.#registry.get(id);
 		return announcement?.state === HostState.Alive && !this.#damper.isHeldDown(id)
-			&& (this.#registry.isHeard(id) || this.#isAttested(id, announcement.incarnation));
+			&& (this.#registry.hasLease(id) || this.#isAttested(id, announcement.incarnation));
 	}
 
 	/** Creates the request for changes to the entry that owns the given set. */
@@ -133,7 +133,7 @@
 	servePull({known, refreshed}: Pull): PullAnswer {
 		for (const {id, incarnation, leaseMs} of refreshed) {
 			if (this.#monitored.hosts.has(id)) {
-				this.#registry.refresh(id, incarnation, leaseMs);
+				this.#registry.renewLease(id, incarnation, leaseMs);
 			}
 		}
 
@@ -155,7 +155,7 @@
 	}
 
 	/** Applies the answer to a request that was sent at `sentAtMs`. */
-	takeAnswer({owners}: PullAnswer, sentAtMs: number): void {
+	applyAnswer({owners}: PullAnswer, sentAtMs: number): void {
 		for (const {ownerId, ageMs, ...delta} of owners) {
 			if (ownerId === this.#ownerId) {
 				continue;
@@ -180,10 +180,10 @@
 	}
 
 	/** After a request without an answer: this entry monitors the hosts whose leases the request was to extend. */
-	takeFailure({refreshed}: Pull): void {
+	handleFailure({refreshed}: Pull): void {
 		for (const {id} of refreshed) {
 			const announcement = this.#registry.get(id);
-			if (announcement && this.#registry.isHeard(id)) {
+			if (announcement && this.#registry.hasLease(id)) {
 				this.#startMonitoring(id, announcement);
 			}
 		}
@@ -192,7 +192,7 @@
 	/** Removes what has expired. After a pause of this process, expired leases do not count as flaps of the hosts. */
 	expire(wasPaused: boolean): void {
 		for (const id of this.#monitored.hosts.keys()) {
-			if (!this.#registry.isHeard(id)) {
+			if (!this.#registry.hasLease(id)) {
 				this.#monitored.remove(id);
 				this.#recordExpiry(id, wasPaused);
 			}
@@ -208,7 +208,7 @@
 
 			if (nowMs - aliveAtMs <= this.#policy.voucherLeaseMs) {
 				for (const id of set.hosts.keys()) {
-					this.#registry.noteNamed(id);
+					this.#registry.markSeen(id);
 				}
 			}
 		}
@@ -227,7 +227,7 @@
 		}
 
 		this.#checkForFlap(id, announcement);
-		if (this.#registry.merge(id, announcement) !== Taken.Stale) {
+		if (this.#registry.merge(id, announcement) !== AnnouncementOutcome.Stale) {
 			// The host now announces itself to the other entry, which has the newer state.
 			this.#monitored.remove(id);
 		}
@@ -281,7 +281,7 @@
 
 	#recordExpiry(id: string, wasPaused: boolean): void {
 		const announcement = this.#registry.get(id);
-		if (!wasPaused && announcement?.state === HostState.Alive && !this.#registry.isHeard(id) && !this.#isAttested(id, announcement.incarnation)) {
+		if (!wasPaused && announcement?.state === HostState.Alive && !this.#registry.hasLease(id) && !this.#isAttested(id, announcement.incarnation)) {
 			this.#expired.add(id);
 		}
 
@@ -297,7 +297,7 @@
 		// A restart after an announced drain is no flap.
 		const isCrash = next.incarnation > known.incarnation && known.state === HostState.Alive;
 		if ((this.#expired.delete(id) || isCrash) && next.state === HostState.Alive) {
-			this.#damper.noteFlap(id);
+			this.#damper.recordFlap(id);
 		}
 	}
 
--- a/src/requests/headers-contract.ts
+++ b/src/requests/request-facts.ts
@@ -29,7 +29,7 @@
 const integerPattern = /^\d{1,9}$/;
 
 /** Reads the attributes of a request, or returns why it is refused. */
-export const readFacts = (request: IncomingMessage, settings: Settings['callers']): RequestFacts | RefusalReason => {
+export const readRequestFacts = (request: IncomingMessage, settings: Settings['callers']): RequestFacts | RefusalReason => {
 	const {headers, method = 'GET', url = '/'} = request;
 	if (!url.startsWith('/') || headers.upgrade !== undefined || !(idempotentMethods.has(method) || nonIdempotentMethods.has(method))) {
 		return RefusalReason.BadRequest;
--- a/src/requests/slot-asker.ts
+++ b/src/requests/slot-client.ts
@@ -6,7 +6,7 @@
 import {type SlotGrant} from './slot-table.ts';
 
 /** A share, and how many slots this entry wants of its upstream. */
-export type AskedShare = {
+export type RequestedShare = {
 	upstreamId: string;
 	share: SlotShare;
 	wanted: number;
@@ -15,14 +15,14 @@
 };
 
 /** A message, with the state that is needed to apply its answer. */
-export type Asked = {
+export type ComposedSlotMessage = {
 	message: SlotMessage;
 	sentAtMs: number;
 	generations: Map<string, {share: SlotShare; generation: number}>;
 };
 
 /** What an answer changed. */
-export type Applied = {
+export type SlotAnswerEffect = {
 	/** Slots have become free. */
 	hasGrown: boolean;
 	/** A share became smaller; to be reported at once, since other entries wait for the released slots. */
@@ -30,7 +30,7 @@
 };
 
 /** Messages of one entry to one sponsor, one at a time. */
-export class SlotAsker {
+export class SlotClient {
 	#seq = 0;
 	#afterSeq = 0;
 	#isFull = true;
@@ -44,13 +44,13 @@
 	}
 
 	/** Composes the next message; undefined if there is nothing to request from this sponsor or to report to it. */
-	compose(requested: AskedShare[], nowMs: number, isLeaving = false): Asked | undefined {
+	compose(requested: RequestedShare[], nowMs: number, isLeaving = false): ComposedSlotMessage | undefined {
 		if (requested.length === 0 && this.#reported.size === 0) {
 			return undefined;
 		}
 
 		const current = new Map<string, SlotItem>();
-		const generations: Asked['generations'] = new Map();
+		const generations: ComposedSlotMessage['generations'] = new Map();
 		const items: SlotItem[] = [];
 		for (const {upstreamId, share, wanted, grants} of requested) {
 			const item = {
@@ -74,7 +74,7 @@
 	}
 
 	/** Applies an answer. */
-	apply({message, sentAtMs, generations}: Asked, answer: SlotAnswer, leaseMs: number): Applied {
+	apply({message, sentAtMs, generations}: ComposedSlotMessage, answer: SlotAnswer, leaseMs: number): SlotAnswerEffect {
 		if (answer.isResync) {
 			return {hasGrown: false, hasShrunk: false};
 		}
--- a/src/requests/slot-share.ts
+++ b/src/requests/slot-share.ts
@@ -97,7 +97,7 @@
 	upstreams of a service, from 0 to 1, so that the sum is no more than is in use: rounding the mean up at each of eleven
 	upstreams kept a tenth of all slots idle.
 	*/
-	takeWanted(waiting: number, hasWaiting: boolean, rounding: number): number {
+	measureWanted(waiting: number, hasWaiting: boolean, rounding: number): number {
 		this.#account();
 		const durationMs = this.#accountedMs - this.#periodStartMs;
 		const mean = durationMs > 0 ? this.#heldMs / durationMs : this.held;
--- a/src/requests/slot-sponsor.ts
+++ b/src/requests/slot-sponsor.ts
@@ -5,7 +5,7 @@
 import {type SlotAnswer, type SlotItem, type SlotMessage} from './slot-messages.ts';
 import {type DivideSlots} from './slot-policy.ts';
 import {SlotTable, type SlotGrant, type SlotReport} from './slot-table.ts';
-import {type Sponsorship} from './sponsor-book.ts';
+import {type Sponsorship} from './sponsor-registry.ts';
 
 /** Options of a slot sponsor. */
 export type SlotSponsorOptions = {
@@ -130,7 +130,7 @@
 
 			const sponsored = this.#sponsored.get(upstreamId)!;
 			if (item.grants && sponsored.formerSponsorId === granteeId) {
-				table.takeOver(item.grants);
+				table.adoptGrants(item.grants);
 				// Adopted only once: later these records are out of date, and slots released since would be counted again.
 				sponsored.formerSponsorId = undefined;
 			}
--- a/src/requests/slot-table.ts
+++ b/src/requests/slot-table.ts
@@ -104,7 +104,7 @@
 	}
 
 	/** Adopts the grant records of the former sponsor; no slot is withheld from then on. */
-	takeOver(grants: SlotGrant[]): void {
+	adoptGrants(grants: SlotGrant[]): void {
 		const {clock, slots, leaseMs} = this.#options;
 		for (const {granteeId, limit} of grants) {
 			if (!this.#grantees.has(granteeId)) {
--- a/src/requests/sponsor-book.ts
+++ b/src/requests/sponsor-registry.ts
@@ -15,7 +15,7 @@
 	/** Term at which it began; a different epoch means that another sponsor may have granted slots in between. */
 	epoch: number;
 	startedAtMs: number;
-	believedUntilMs: number;
+	validUntilMs: number;
 	/** No entry has granted slots of this incarnation before. */
 	isFirst: boolean;
 	formerSponsorId?: string;
@@ -47,7 +47,7 @@
 export const getSponsorProcess = (sponsorId: string): string => sponsorId.slice(0, sponsorId.lastIndexOf('#'));
 
 /** Sponsorships of one entry. */
-export class SponsorBook {
+export class SponsorRegistry {
 	readonly ownId: string;
 	readonly #clock: Clock;
 	readonly #sponsored = new Map<string, Sponsored>();
@@ -60,7 +60,7 @@
 	}
 
 	/** Handles an announcement that names this entry as sponsor, or none; returns the fields of the reply. */
-	note(announcement: UpstreamAnnouncement, lockMs: number): Pick<AnnouncementReply, 'sponsorId' | 'sponsorTerm' | 'sponsorLockMs'> {
+	handleAnnouncement(announcement: UpstreamAnnouncement, lockMs: number): Pick<AnnouncementReply, 'sponsorId' | 'sponsorTerm' | 'sponsorLockMs'> {
 		const sponsored = this.#get(announcement);
 		sponsored.lastAnnouncedAtMs = this.#clock.monotonicMs();
 		if (announcement.incarnation < sponsored.incarnation) {
@@ -86,7 +86,7 @@
 	/** Gets the sponsorship of the upstream while it is valid. */
 	get(upstreamId: string): Sponsorship | undefined {
 		const sponsorship = this.#sponsored.get(upstreamId)?.sponsorship;
-		return sponsorship && sponsorship.believedUntilMs > this.#clock.monotonicMs() ? sponsorship : undefined;
+		return sponsorship && sponsorship.validUntilMs > this.#clock.monotonicMs() ? sponsorship : undefined;
 	}
 
 	/** Ends all sponsorships, so that other entries can become sponsors without waiting. */
@@ -105,10 +105,10 @@
 	}
 
 	#extend(sponsored: Sponsored, echoed: Term, announcement: UpstreamAnnouncement): void {
-		const believedUntilMs = echoed.sentAtMs + (echoed.lockMs * trustedFraction);
+		const validUntilMs = echoed.sentAtMs + (echoed.lockMs * trustedFraction);
 		const known = sponsored.sponsorship;
 		if (known?.epoch === echoed.epoch) {
-			known.believedUntilMs = Math.max(known.believedUntilMs, believedUntilMs);
+			known.validUntilMs = Math.max(known.validUntilMs, validUntilMs);
 			return;
 		}
 
@@ -121,7 +121,7 @@
 			incarnation: announcement.incarnation,
 			epoch: echoed.epoch,
 			startedAtMs: this.#clock.monotonicMs(),
-			believedUntilMs,
+			validUntilMs,
 			isFirst: announcement.formerSponsorId === undefined,
 			formerSponsorId: announcement.formerSponsorId,
 			slots: announcement.slots,
--- a/src/standin/demo.ts
+++ b/src/standin/demo.ts
@@ -18,7 +18,7 @@
 import {type Random} from '../types/random.ts';
 import {Header, Outcome, RequestClass} from '../types/requests.ts';
 import {ServiceName} from '../types/services.ts';
-import {callJson} from '../utils/http-client.ts';
+import {callJson} from '../utils/json-client.ts';
 import {createRequestId} from '../utils/request-id.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 import {createSystemClock} from '../utils/system-clock.ts';
--- a/src/standin/memory-log.ts
+++ b/src/standin/memory-log.ts
@@ -4,7 +4,7 @@
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {
-	type LogPage, type LogRecord, type PlatformLog, type ReadOptions, type Stream,
+	type LogPage, type LogRecord, type PlatformLog, type LogReadOptions, type Stream,
 } from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
 
@@ -61,7 +61,7 @@
 		return offset;
 	}
 
-	async read(stream: Stream, fromOffset: number, options: ReadOptions = {}): Promise<LogPage> {
+	async read(stream: Stream, fromOffset: number, options: LogReadOptions = {}): Promise<LogPage> {
 		const {limit = defaultLimit, waitMs = 0, signal} = options;
 		await this.#answerLate();
 		this.#failWhen(this.faults.isDown, 'read');
--- a/src/standin/memory-store.ts
+++ b/src/standin/memory-store.ts
@@ -6,7 +6,7 @@
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {
-	AppendOutcome, type AppendOptions, type AppendResult, type GroupMember, type GroupShare, type KeyedRecord, type KeyedWrite, type PartitionRef, type ReadOptions, type StoreClient, type StorePage,
+	AppendOutcome, type AppendOptions, type AppendResult, type GroupMember, type GroupAssignment, type KeyedRecord, type KeyedWrite, type PartitionRef, type ReadOptions, type StoreClient, type StorePage,
 } from '../types/store.ts';
 
 /** How the store treats a call. */
@@ -91,13 +91,13 @@
 				const {records, endOffset} = await this.#read(client, ref, fromOffset, {waitMs, signal});
 				return {records: records.map(({offset, value}) => ({...decodeKeyed(value), offset})), endOffset};
 			},
-			newest: async ref => {
+			readNewest: async ref => {
 				await this.#answer(client, 'read', ref);
 				const partition = this.#get(ref);
 				return {records: [...partition.newest.values()], endOffset: partition.oldest + partition.records.length};
 			},
 			join: async member => this.#join(client, member),
-			getOwners: async group => {
+			getPartitionHolders: async group => {
 				await this.#answer(client, 'read');
 				return [...new Set(this.#groups.get(group)?.owners.values())];
 			},
@@ -293,7 +293,7 @@
 		};
 	}
 
-	async #join(client: string, {group, member, topics, ttlMs, generation}: GroupMember): Promise<GroupShare> {
+	async #join(client: string, {group, member, topics, ttlMs, generation}: GroupMember): Promise<GroupAssignment> {
 		await this.#answer(client, 'join');
 		let state = this.#groups.get(group);
 		if (!state) {
--- a/src/standin/memory-worker.ts
+++ b/src/standin/memory-worker.ts
@@ -5,7 +5,7 @@
 import {type Clock, type Timer} from '../types/clock.ts';
 import {type Random} from '../types/random.ts';
 import {
-	TaskState, WorkerRefusal, type Resources, type StartOrder, type TaskRef, type TaskReport, type TaskUsage, type WorkerClient, type WorkerReply,
+	TaskState, WorkerRefusal, type Resources, type StartOrder, type AttemptRef, type TaskReport, type TaskUsage, type WorkerClient, type WorkerReply,
 	type WorkerSnapshot,
 } from '../types/platform.ts';
 
@@ -117,11 +117,11 @@
 		return this.#serve(() => this.#start(order));
 	}
 
-	async renew(refs: TaskRef[], leaseMs: number): Promise<WorkerReply[]> {
+	async renew(refs: AttemptRef[], leaseMs: number): Promise<WorkerReply[]> {
 		return this.#serve(() => refs.map(ref => this.#renew(ref, leaseMs)));
 	}
 
-	async stop(ref: TaskRef, options: {isCheckpoint: boolean}): Promise<WorkerReply> {
+	async stop(ref: AttemptRef, options: {isCheckpoint: boolean}): Promise<WorkerReply> {
 		return this.#serve(() => {
 			const found = this.#find(ref);
 			if ('refusal' in found) {
@@ -138,14 +138,14 @@
 		});
 	}
 
-	async throttle(ref: TaskRef, _share: number): Promise<WorkerReply> {
+	async throttle(ref: AttemptRef, _share: number): Promise<WorkerReply> {
 		return this.#serve(() => {
 			const found = this.#find(ref);
 			return 'refusal' in found ? found : {isAccepted: true, state: found.task.report.state};
 		});
 	}
 
-	async forget(refs: TaskRef[]): Promise<void> {
+	async forget(refs: AttemptRef[]): Promise<void> {
 		return this.#serve(() => {
 			for (const ref of refs) {
 				const found = this.#find(ref);
@@ -224,7 +224,7 @@
 		return {isAccepted: true, state: TaskState.Running};
 	}
 
-	#renew(ref: TaskRef, leaseMs: number): WorkerReply {
+	#renew(ref: AttemptRef, leaseMs: number): WorkerReply {
 		const found = this.#find(ref);
 		if ('refusal' in found && found.refusal === WorkerRefusal.StaleToken) {
 			return found;
@@ -303,11 +303,11 @@
 		task.leaseTimer?.cancel();
 		task.leaseEndMs = clock.monotonicMs() + leaseMs;
 		task.leaseTimer = clock.setTimer(() => {
-			this.#end(task, TaskState.Lapsed);
+			this.#end(task, TaskState.LeaseExpired);
 		}, leaseMs);
 	}
 
-	#find(ref: TaskRef): {task: RunningTask} | (WorkerReply & {refusal: WorkerRefusal}) {
+	#find(ref: AttemptRef): {task: RunningTask} | (WorkerReply & {refusal: WorkerRefusal}) {
 		if (this.#isStale(ref)) {
 			return {isAccepted: false, refusal: WorkerRefusal.StaleToken};
 		}
--- a/src/standin/shared-worker.ts
+++ b/src/standin/shared-worker.ts
@@ -95,7 +95,7 @@
 	/** Loses all that runs, and comes back as a new incarnation. */
 	crash(): void {
 		for (const {start, doneMs} of this.runs.values()) {
-			this.#options.onEnd(start.taskId, RunEnd.Lapsed, doneMs);
+			this.#options.onEnd(start.taskId, RunEnd.LeaseExpired, doneMs);
 		}
 
 		this.runs.clear();
@@ -111,7 +111,7 @@
 		const nowMs = this.#options.clock.monotonicMs();
 		if (this.#leaseUntilMs < nowMs) {
 			for (const run of this.runs.values()) {
-				this.#end(run, RunEnd.Lapsed);
+				this.#end(run, RunEnd.LeaseExpired);
 			}
 		}
 
@@ -138,13 +138,13 @@
 			await clock.sleep(answerMs);
 			return workerId === undefined || workerId === this.workerId
 				? {...act(), clockMs: clock.monotonicMs()}
-				: {isDone: false, refusal: OrderRefusal.OtherWorker};
+				: {isDone: false, refusal: OrderRefusal.OtherWorkerIncarnation};
 		};
 
 		return {
 			start: async (workerId, start, {leaseUntilMs}) => answer(workerId, () => this.#start(start, leaseUntilMs)),
 			stop: async (workerId, {taskId, run}) => answer(workerId, () => this.#stop(taskId, run)),
-			pace: async (workerId, {taskId, percent}) => answer(workerId, () => {
+			throttle: async (workerId, {taskId, percent}) => answer(workerId, () => {
 				clock.setTimer(() => {
 					const run = this.runs.get(taskId);
 					if (run) {
--- a/src/standin/site-worker.ts
+++ b/src/standin/site-worker.ts
@@ -136,7 +136,7 @@
 		return {
 			start: async (workerId, start, {fence, leaseUntilMs}) => this.#call('start', workerId, () => this.#start(start, fence, leaseUntilMs)),
 			stop: async (workerId, {taskId, run}, fence) => this.#call('stop', workerId, () => this.#stop(taskId, run, fence)),
-			pace: async (workerId, _, fence) => this.#call('stop', workerId, () => this.#checkFence(fence) ?? {isDone: true}),
+			throttle: async (workerId, _, fence) => this.#call('stop', workerId, () => this.#checkFence(fence) ?? {isDone: true}),
 			renew: async (workerId, terms) => {
 				const answer = await this.#call('renew', workerId, () => this.#checkFence(terms.fence) ?? {isDone: true});
 				if (!answer.isDone) {
@@ -194,7 +194,7 @@
 
 		await clock.sleep(answerMs);
 		if (workerId !== undefined && workerId !== this.workerId) {
-			return {isDone: false, refusal: OrderRefusal.OtherWorker};
+			return {isDone: false, refusal: OrderRefusal.OtherWorkerIncarnation};
 		}
 
 		return {...act(), clockMs: this.#clockMs};
@@ -202,7 +202,7 @@
 
 	#checkFence(fence: number): WorkerAnswer | undefined {
 		if (fence < this.#fence) {
-			return {isDone: false, refusal: OrderRefusal.Fence};
+			return {isDone: false, refusal: OrderRefusal.StaleFence};
 		}
 
 		this.#fence = fence;
@@ -224,7 +224,7 @@
 		}
 
 		if (leaseUntilMs <= this.#clockMs) {
-			return {isDone: false, refusal: OrderRefusal.Late};
+			return {isDone: false, refusal: OrderRefusal.StartTooLate};
 		}
 
 		this.#prolong(leaseUntilMs);
@@ -341,7 +341,7 @@
 		this.#options.clock.setTimer(() => {
 			if (this.#clockMs > this.#leaseUntilMs) {
 				for (const run of this.running.values()) {
-					this.#end(run, RunEnd.Lapsed);
+					this.#end(run, RunEnd.LeaseExpired);
 				}
 			}
 
--- a/src/standin/worker-server.ts
+++ b/src/standin/worker-server.ts
@@ -1,7 +1,7 @@
 /**
 Serves a stand-in worker over HTTP with JSON and announces it to an entry.
 */
-import {type StartOrder, type TaskRef} from '../types/platform.ts';
+import {type StartOrder, type AttemptRef} from '../types/platform.ts';
 import {type Clock} from '../types/clock.ts';
 import {createJsonServer, type JsonServer} from '../utils/http-server.ts';
 import {type MemoryWorker} from './memory-worker.ts';
@@ -14,10 +14,10 @@
 	};
 
 	serve('start', async (order: StartOrder) => worker.start(order));
-	serve('renew', async ({refs, leaseMs}: {refs: TaskRef[]; leaseMs: number}) => worker.renew(refs, leaseMs));
-	serve('stop', async ({ref, isCheckpoint}: {ref: TaskRef; isCheckpoint: boolean}) => worker.stop(ref, {isCheckpoint}));
-	serve('throttle', async ({ref, share}: {ref: TaskRef; share: number}) => worker.throttle(ref, share));
-	serve('forget', async ({refs}: {refs: TaskRef[]}) => worker.forget(refs));
+	serve('renew', async ({refs, leaseMs}: {refs: AttemptRef[]; leaseMs: number}) => worker.renew(refs, leaseMs));
+	serve('stop', async ({ref, isCheckpoint}: {ref: AttemptRef; isCheckpoint: boolean}) => worker.stop(ref, {isCheckpoint}));
+	serve('throttle', async ({ref, share}: {ref: AttemptRef; share: number}) => worker.throttle(ref, share));
+	serve('forget', async ({refs}: {refs: AttemptRef[]}) => worker.forget(refs));
 	serve('seal', async ({shard, fencingToken}: {shard: number; fencingToken: number}) => worker.seal(shard, fencingToken));
 	serve('list', async () => worker.list());
 	return server;
--- a/src/types/choice.ts
+++ b/src/types/choice.ts
@@ -26,6 +26,6 @@
 /** Chooses upstreams, based on how earlier requests ended. */
 export type Chooser = {
 	choose(serviceName: string, candidates: readonly UpstreamAnnouncement[], context: ChoiceContext): UpstreamAnnouncement | undefined;
-	noteStart(upstreamId: string, requestClass: RequestClass): void;
-	noteEnd(upstreamId: string, end: RequestEnd): void;
+	recordStart(upstreamId: string, requestClass: RequestClass): void;
+	recordEnd(upstreamId: string, end: RequestEnd): void;
 };
