--- a/src/types/fleet.ts
+++ b/src/types/fleet.ts
@@ -73,21 +73,21 @@
 	/** It arrived after `notAfterMs`. */
 	Expired = 'expired',
 	/** It was meant for another incarnation of the agent. */
-	OtherLife = 'other-life',
+	OtherAgentIncarnation = 'other-life',
 	Draining = 'draining',
 	/** Operators have requested the evacuation of the worker's failure domain. */
 	Evacuated = 'evacuated',
 	/** The agent has no proven lease with enough time left. */
 	NoLease = 'no-lease',
 	/** The worker is another incarnation than the one named, or there is none. */
-	OtherWorker = 'other-worker',
+	OtherWorkerIncarnation = 'other-worker',
 	/** The worker has seen a higher fencing token. */
-	Fence = 'fence',
+	StaleFence = 'fence',
 	OldRun = 'old-run',
-	Late = 'late',
+	StartTooLate = 'late',
 	NoRoom = 'no-room',
 	/** The worker's capacity is now smaller than the owner assumed. */
-	Shrunk = 'shrunk',
+	CapacityReduced = 'shrunk',
 	Ticket = 'ticket',
 	Unhealthy = 'unhealthy',
 	Invalid = 'invalid',
@@ -118,7 +118,7 @@
 export type WorkerClient = {
 	start(workerId: string, start: WorkerStart, terms: {fence: number; leaseUntilMs: number}): Promise<WorkerAnswer>;
 	stop(workerId: string, run: {taskId: string; run: number}, fence: number): Promise<WorkerAnswer>;
-	pace(workerId: string, run: {taskId: string; run: number; percent: number}, fence: number): Promise<WorkerAnswer>;
+	throttle(workerId: string, run: {taskId: string; run: number; percent: number}, fence: number): Promise<WorkerAnswer>;
 	/** Renews the lease of all running runs, drops ends up to `forgetUpTo`, and lists the runs; waits up to `waitMs` for a new end. */
 	renew(workerId: string | undefined, terms: {
 		fence: number; forgetUpTo: number; leaseUntilMs?: number; waitMs: number;
@@ -129,14 +129,14 @@
 export enum OrderType {
 	Start = 'start',
 	Stop = 'stop',
-	Pace = 'pace',
+	Throttle = 'pace',
 }
 
 /** An order from an owner to an agent. */
 export type Order
 	= | {type: OrderType.Start; start: WorkerStart}
 		| {type: OrderType.Stop; taskId: string; run: number}
-		| {type: OrderType.Pace; taskId: string; run: number; percent: number};
+		| {type: OrderType.Throttle; taskId: string; run: number; percent: number};
 
 /** Orders from one owner for one incarnation of a worker. */
 export type OrdersRequest = {
--- a/src/types/metrics.ts
+++ b/src/types/metrics.ts
@@ -35,7 +35,7 @@
 	PeerErrors = 'peer_errors',
 	Announcements = 'announcements',
 	AnnouncementsSlowed = 'announcements_slowed',
-	HostsInCare = 'hosts_in_care',
+	HostsMonitored = 'hosts_in_care',
 	HostsHeldDown = 'hosts_held_down',
 	SponsorUnreachable = 'sponsor_unreachable',
 	SlotRefusals = 'slot_refusals',
--- a/src/types/placement.ts
+++ b/src/types/placement.ts
@@ -12,9 +12,9 @@
 	rack: string;
 	capacity: Resources;
 	/** Used by tasks that this engine does not manage, and so not available to it. */
-	foreign?: Resources;
+	usedByOthers?: Resources;
 	/** False while the worker is draining or held down: no task is placed on it, and running tasks still use its capacity. */
-	isOpen: boolean;
+	isSchedulable: boolean;
 };
 
 /** A task that waits for a worker. */
@@ -67,12 +67,12 @@
 	/** Drops a waiting task. */
 	cancel(taskId: string): void;
 	/** Records that a task runs on the worker, after a decision or as learned from the worker after a takeover. */
-	noteRunning(task: PendingTask, workerId: string, startedAtMs: number): void;
+	recordRunning(task: PendingTask, workerId: string, startedAtMs: number): void;
 	/** Records that the worker refused a start or never answered it: the capacity stays reserved until `recordEnded`. */
-	noteStartRefused(taskId: string, workerId: string): void;
+	recordStartRefused(taskId: string, workerId: string): void;
 	/** Records the confirmed end of a task, and frees its capacity. */
-	noteEnded(taskId: string, isSuccess: boolean, nowMs: number): void;
-	noteUsage(taskId: string, usage: TaskUsage): void;
+	recordEnded(taskId: string, isSuccess: boolean, nowMs: number): void;
+	recordUsage(taskId: string, usage: TaskUsage): void;
 	/** Makes at most `maxDecisions` decisions. The capacity for a start is reserved at once. */
 	decide(nowMs: number, maxDecisions: number): Decision[];
 };
--- a/src/types/platform.ts
+++ b/src/types/platform.ts
@@ -26,7 +26,7 @@
 };
 
 /** How much to read, and how long to wait for a first record. */
-export type ReadOptions = {
+export type LogReadOptions = {
 	limit?: number;
 	waitMs?: number;
 	signal?: AbortSignal;
@@ -37,7 +37,7 @@
 	/** Appends one record; resolves to its offset. After a rejection, it is unknown whether the record was appended. */
 	append(stream: Stream, value: unknown, signal?: AbortSignal): Promise<number>;
 	/** Reads records from the offset on, or from the oldest retained one if that is later. */
-	read(stream: Stream, fromOffset: number, options?: ReadOptions): Promise<LogPage>;
+	read(stream: Stream, fromOffset: number, options?: LogReadOptions): Promise<LogPage>;
 };
 
 /** Amounts that a worker has or a task needs. */
@@ -55,7 +55,7 @@
 	/** Stopped on request, with a checkpoint when one was asked for. */
 	Stopped = 'stopped',
 	/** Stopped by the worker because its lease was not renewed in time. */
-	Lapsed = 'lapsed',
+	LeaseExpired = 'lapsed',
 }
 
 /** Order to start one attempt of a task under a lease. */
@@ -123,7 +123,7 @@
 };
 
 /** Reference to one attempt of a task, with the fencing token of the shard owner that sends it. */
-export type TaskRef = {
+export type AttemptRef = {
 	taskId: string;
 	attempt: number;
 	shard: number;
@@ -147,13 +147,13 @@
 export type WorkerClient = {
 	start(order: StartOrder): Promise<WorkerReply>;
 	/** Renews the leases of the given attempts; the reply has one item for each, in the same order. */
-	renew(refs: TaskRef[], leaseMs: number): Promise<WorkerReply[]>;
+	renew(refs: AttemptRef[], leaseMs: number): Promise<WorkerReply[]>;
 	/** Stops an attempt, after a checkpoint if `isCheckpoint` is set. The reply confirms the end. */
-	stop(ref: TaskRef, options: {isCheckpoint: boolean}): Promise<WorkerReply>;
+	stop(ref: AttemptRef, options: {isCheckpoint: boolean}): Promise<WorkerReply>;
 	/** Sets the share of its processors that an attempt may use, from 0 to 1. */
-	throttle(ref: TaskRef, share: number): Promise<WorkerReply>;
+	throttle(ref: AttemptRef, share: number): Promise<WorkerReply>;
 	/** Drops ended attempts whose ends have been recorded. */
-	forget(refs: TaskRef[]): Promise<void>;
+	forget(refs: AttemptRef[]): Promise<void>;
 	/** Makes the worker refuse lower tokens for the shard from now on, and lists its attempts. */
 	seal(shard: number, fencingToken: number): Promise<WorkerSnapshot>;
 	/** Lists running and ended attempts. */
--- a/src/types/requests.ts
+++ b/src/types/requests.ts
@@ -22,7 +22,7 @@
 export enum RefusalReason {
 	UnknownService = 'unknown-service',
 	NoUpstream = 'no-upstream',
-	WrongSide = 'wrong-side',
+	WrongRegion = 'wrong-side',
 	QueueFull = 'queue-full',
 	CallerShare = 'caller-share',
 	DeadlineUnmeetable = 'deadline-unmeetable',
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -4,7 +4,7 @@
 import {type Service} from '../core/kernel.ts';
 import {type Settings} from '../core/settings-schema.ts';
 import {type MembershipService} from '../plugins/membership-service.ts';
-import {type Sponsorship} from '../requests/sponsor-book.ts';
+import {type Sponsorship} from '../requests/sponsor-registry.ts';
 import {type JsonServer} from '../utils/http-server.ts';
 import {type AnnouncementReply, type UpstreamAnnouncement, type WorkerAnnouncement} from './announcements.ts';
 import {type Clock} from './clock.ts';
@@ -206,7 +206,7 @@
 	/** Records the end of a claim that this entry won. */
 	finish(requestId: string, end: ClaimEnd): void;
 	/** Gets the reason why the id may not be claimed; undefined if it may. */
-	judge(requestId: string): RefusalReason | undefined;
+	checkRequestId(requestId: string): RefusalReason | undefined;
 	/** Whether a request whose claim was won may still be dispatched; to be checked right before its first byte is sent. */
 	isDispatchable(requestId: string): boolean;
 	lookup(requestId: string): ClaimStatus | undefined;
--- a/src/types/site.ts
+++ b/src/types/site.ts
@@ -13,23 +13,23 @@
 	/** A stop takes at most this long. */
 	stopMs: number;
 	/** How long members of a gang wait for each other. */
-	gangWaitMs: number;
+	gangTimeoutMs: number;
 	/** Nothing of a cancelled job runs after this time. */
 	cancelMs: number;
 	/** An occurrence of a repeated job starts at most this long before it is due. */
-	earlyMs: number;
+	maxEarlyStartMs: number;
 	/** How long the state of a job is available after its end. */
-	statusKeptMs: number;
+	statusRetentionMs: number;
 	/** Factor on the run time of a task far from its data, or of a step that is spread over racks. */
-	farFactor: number;
-	checkpointEveryMs: number;
+	remoteSlowdownFactor: number;
+	checkpointIntervalMs: number;
 	restoreMs: number;
 	/** A throttle is in effect after this time. */
-	paceMs: number;
+	throttleDelayMs: number;
 	/** Longest time for which a latency-critical task may miss its target without a break. */
-	harmMs: number;
+	maxTargetMissMs: number;
 	/** A task that was unavailable for this long counts as unavailable, whatever the cause. */
-	awayMs: number;
+	unavailableAfterMs: number;
 	/** Time between SIGTERM and SIGKILL. */
 	graceMs: number;
 };
@@ -57,7 +57,7 @@
 		partitions: number;
 		minMemberTtlMs: number;
 		/** How long records are retained. */
-		keptMs: number;
+		retentionMs: number;
 		maxCallBytes: number;
 	};
 	bounds: SiteBounds;
@@ -91,6 +91,6 @@
 export type SiteConfig = {
 	version: number;
 	queues: QueueConfig[];
-	services: Array<{name: string; guardsCapacity: boolean; isSpare: boolean}>;
+	services: Array<{name: string; enforcesCapacity: boolean; isSpare: boolean}>;
 	limits: {maxBodyBytes: number; maxHeaderBytes: number; headerTimeoutMs: number; idleTimeoutMs: number};
 };
--- a/src/types/store.ts
+++ b/src/types/store.ts
@@ -90,7 +90,7 @@
 };
 
 /** Partitions assigned to a member as of a generation. */
-export type GroupShare = {
+export type GroupAssignment = {
 	generation: number;
 	partitions: PartitionRef[];
 };
@@ -111,9 +111,9 @@
 	/** Returns as soon as there is a record, or after `waitMs`, with at most about `maxBytes` of records. */
 	read(ref: PartitionRef, fromOffset: number, options: ReadOptions): Promise<StorePage>;
 	readKeyed(ref: PartitionRef, fromOffset: number, waitMs: number, signal?: AbortSignal): Promise<{records: Array<KeyedWrite & {offset: number}>; endOffset: number}>;
-	newest(ref: PartitionRef, signal?: AbortSignal): Promise<KeyedPage>;
-	join(member: GroupMember): Promise<GroupShare>;
+	readNewest(ref: PartitionRef, signal?: AbortSignal): Promise<KeyedPage>;
+	join(member: GroupMember): Promise<GroupAssignment>;
 	leave(group: string, member: string): Promise<void>;
 	/** Gets the members of the group that have a partition assigned. */
-	getOwners(group: string): Promise<string[]>;
+	getPartitionHolders(group: string): Promise<string[]>;
 };
--- a/src/types/workflows.ts
+++ b/src/types/workflows.ts
@@ -83,11 +83,11 @@
 	Done = 'done',
 	Failed = 'failed',
 	Stopped = 'stopped',
-	Lapsed = 'lapsed',
+	LeaseExpired = 'lapsed',
 	/** Another member of its gang ended. */
-	Broken = 'broken',
+	GangBroken = 'broken',
 	/** The other members of its gang did not start in time. */
-	Alone = 'alone',
+	GangTimeout = 'alone',
 }
 
 /** Identifies a task: job, occurrence, step and index. */
--- a/src/utils/announcer.ts
+++ b/src/utils/announcer.ts
@@ -5,7 +5,7 @@
 import {HostState, type AnnouncementReply} from '../types/announcements.ts';
 import {type Clock} from '../types/clock.ts';
 import {type Random} from '../types/random.ts';
-import {createLogger, Part} from './logger.ts';
+import {createLogger, LogNamespace} from './logger.ts';
 
 /** Sends one announcement. */
 export type PostAnnouncement = (url: string, body: unknown, timeoutMs: number) => Promise<AnnouncementReply>;
@@ -35,11 +35,11 @@
 const timeoutMs = 1000;
 const retryMs = 300;
 const maxRetryMs = 5000;
-const log = createLogger(Part.Membership);
+const log = createLogger(LogNamespace.Membership);
 
 /** Loads the HTTP client on first use, because a guard uses another one. */
 const postJson: PostAnnouncement = async (url, body, timeoutMs) => {
-	const {callJson} = await import('./http-client.ts');
+	const {callJson} = await import('./json-client.ts');
 	return callJson<AnnouncementReply>({
 		method: 'POST', url, body, timeoutMs, step: 'announce',
 	});
@@ -72,7 +72,7 @@
 	}
 
 	/** Handles the reply to an announcement that carried `sent`. */
-	take({sponsorId, sponsorTerm, sponsorLockMs = 0, isSponsorLeaving}: AnnouncementReply, sent: Echo): void {
+	handleReply({sponsorId, sponsorTerm, sponsorLockMs = 0, isSponsorLeaving}: AnnouncementReply, sent: Echo): void {
 		if (isSponsorLeaving) {
 			// A late reply about a former sponsor must not release the lock on the current one.
 			if (sent.sponsorId === this.#echo.sponsorId) {
@@ -126,7 +126,7 @@
 				...body, ...(path === 'upstreams' && echo), sequence: ++sequence, state,
 			}, timeoutMs);
 			failures = 0;
-			lock.take(reply, echo);
+			lock.handleReply(reply, echo);
 			if (reply.isSponsorLeaving) {
 				target = (target + 1) % entryAddresses.length;
 			}
--- a/src/utils/call-stream-client.ts
+++ b/src/utils/call-stream-client.ts
@@ -9,8 +9,8 @@
 import {
 	callStreamPath, callStreamProtocol, formatLine, readLines, type CallLine,
 } from './call-stream.ts';
-import {type HttpClient} from './http-calls.ts';
-import {afterPendingInput, type Turns} from './turns.ts';
+import {type HttpClient} from './keep-alive-client.ts';
+import {afterPendingInput, type TurnScheduler} from './turn-scheduler.ts';
 
 /** A call to a peer. */
 export type StreamCall = {
@@ -43,13 +43,13 @@
 class PeerStream {
 	isClosed = false;
 	readonly #pending = new Map<number, Pending>();
-	readonly #turnScheduler: Turns;
+	readonly #turnScheduler: TurnScheduler;
 	readonly #onClosed: () => void;
 	readonly #abortConnect: () => void;
 	#socket: Socket | undefined;
 	#lastNumber = 0;
 
-	constructor(address: string, turnScheduler: Turns, onClosed: () => void) {
+	constructor(address: string, turnScheduler: TurnScheduler, onClosed: () => void) {
 		this.#turnScheduler = turnScheduler;
 		this.#onClosed = onClosed;
 		const request = sendRequest({
@@ -145,7 +145,7 @@
 		}
 	}
 
-	#handleLine({number, word, json}: CallLine): void {
+	#handleLine({number, pathOrStatus, json}: CallLine): void {
 		const pending = this.#pending.get(number);
 		if (!pending) {
 			// The call was aborted before its response arrived.
@@ -156,9 +156,9 @@
 		const {call: {address, step}, resolve, reject} = pending;
 		const answer = async () => {
 			// Handling a response may take long; yield first, so that other work on the thread gets a turn.
-			await this.#turnScheduler.next();
+			await this.#turnScheduler.waitForTurn();
 			try {
-				resolve({status: Number(word), json: JSON.parse(json) as unknown});
+				resolve({status: Number(pathOrStatus), json: JSON.parse(json) as unknown});
 			} catch (error) {
 				reject(createError(ErrorCode.BadInput, {
 					step, peer: address, detail: 'the response is not JSON', cause: error,
@@ -189,7 +189,7 @@
 }
 
 /** Creates the client; `http` is used for peers that do not support call streams. */
-export const createStreamClient = (http: HttpClient, turnScheduler: Turns): StreamClient => {
+export const createStreamClient = (http: HttpClient, turnScheduler: TurnScheduler): StreamClient => {
 	const streams = new Map<string, PeerStream>();
 	const getStream = (address: string): PeerStream => {
 		let stream = streams.get(address);
--- a/src/utils/call-stream-server.ts
+++ b/src/utils/call-stream-server.ts
@@ -50,7 +50,7 @@
 		}
 	}
 
-	async #handleCall(socket: Socket, {number, word, json}: CallLine, signal: AbortSignal): Promise<void> {
+	async #handleCall(socket: Socket, {number, pathOrStatus, json}: CallLine, signal: AbortSignal): Promise<void> {
 		this.#changeCount(socket, 1);
 		let body: unknown;
 		try {
@@ -61,7 +61,7 @@
 			return;
 		}
 
-		const answer = await this.#runCall(word, body, signal);
+		const answer = await this.#runCall(pathOrStatus, body, signal);
 		if (!socket.destroyed) {
 			socket.write(formatLine(number, answer.status, answer.body));
 		}
--- a/src/utils/call-stream.ts
+++ b/src/utils/call-stream.ts
@@ -17,7 +17,7 @@
 export type CallLine = {
 	number: number;
 	/** Path of a call, or status of a response. */
-	word: string;
+	pathOrStatus: string;
 	json: string;
 };
 
@@ -30,7 +30,7 @@
 	const jsonStart = line.indexOf(' ', wordStart) + 1;
 	const number = Number(line.slice(0, wordStart));
 	return wordStart > 1 && jsonStart > wordStart + 1 && Number.isSafeInteger(number)
-		? {number, word: line.slice(wordStart, jsonStart - 1), json: line.slice(jsonStart)}
+		? {number, pathOrStatus: line.slice(wordStart, jsonStart - 1), json: line.slice(jsonStart)}
 		: undefined;
 };
 
--- a/src/utils/engine.ts
+++ b/src/utils/engine.ts
@@ -7,11 +7,11 @@
 const minOptimizingProcessors = 0.25;
 
 /** Whether the optimizing compiler saves time on a host with so many processors. */
-export const isOptimizing = (processors: number): boolean => processors >= minOptimizingProcessors;
+export const isOptimizerWorthwhile = (processors: number): boolean => processors >= minOptimizingProcessors;
 
 /** Turns the optimizing compiler off on small hosts; must be called before the main work starts. */
-export const fitEngine = (processors: number): void => {
-	if (!isOptimizing(processors)) {
+export const configureEngine = (processors: number): void => {
+	if (!isOptimizerWorthwhile(processors)) {
 		setFlagsFromString('--no-opt');
 	}
 };
--- a/src/utils/event-log.ts
+++ b/src/utils/event-log.ts
@@ -7,11 +7,11 @@
 import {type Clock} from '../types/clock.ts';
 
 /** Writes one line for an event. */
-export type Note = (event: string, fields?: Record<string, unknown>) => void;
+export type LogEvent = (event: string, fields?: Record<string, unknown>) => void;
 
 /** Log of a process. */
 export type EventLog = {
-	note: Note;
+	note: LogEvent;
 	/** Writes all buffered lines synchronously; called at the end of the process. */
 	flush(): void;
 };
@@ -27,14 +27,14 @@
 const windowMs = 1000;
 
 /** Rate limit on lines, with a minimum for each event. */
-export class LineBudget {
+export class LineRateLimiter {
 	#windowStartMs = Number.NEGATIVE_INFINITY;
 	#lines = 0;
 	#linesByEvent = new Map<string, number>();
 	#droppedByEvent = new Map<string, number>();
 
 	/** Returns whether a line of the event may be written; counts it as written or dropped. */
-	take(event: string): boolean {
+	tryTake(event: string): boolean {
 		const eventLines = this.#linesByEvent.get(event) ?? 0;
 		if (eventLines >= minLinesPerSOfEvent && this.#lines >= maxLinesPerS) {
 			this.#droppedByEvent.set(event, (this.#droppedByEvent.get(event) ?? 0) + 1);
@@ -47,7 +47,7 @@
 	}
 
 	/** Starts a new window if the last one has ended; returns the number of lines dropped in the last one, by event. */
-	renew(nowMs: number): Record<string, number> | undefined {
+	startWindow(nowMs: number): Record<string, number> | undefined {
 		if (nowMs - this.#windowStartMs < windowMs) {
 			return undefined;
 		}
@@ -67,7 +67,7 @@
 		fd: 1, sync: false, minLength: minWriteBytes, maxLength: maxBufferedBytes,
 	});
 	const logger = pino({base, timestamp: () => `,"time":${clock.now().getTime()}`}, destination);
-	const budget = new LineBudget();
+	const budget = new LineRateLimiter();
 	const flush = () => {
 		destination.flush();
 	};
@@ -75,12 +75,12 @@
 	setInterval(flush, flushEveryMs).unref();
 	return {
 		note(event, fields = {}) {
-			const dropped = budget.renew(clock.monotonicMs());
+			const dropped = budget.startWindow(clock.monotonicMs());
 			if (dropped) {
 				logger.info({dropped}, 'lines dropped');
 			}
 
-			if (budget.take(event)) {
+			if (budget.tryTake(event)) {
 				logger.info(fields, event);
 			}
 		},
--- a/src/utils/fields.ts
+++ b/src/utils/fields.ts
@@ -23,7 +23,7 @@
 	}
 
 	/** The field may be missing only if there is a fallback. */
-	text(key: string | number, fallback?: string): string {
+	string(key: string | number, fallback?: string): string {
 		return this.#get(key, fallback, value => typeof value === 'string', 'a string');
 	}
 
@@ -32,27 +32,27 @@
 	}
 
 	/** A finite number of at least 0. */
-	amount(key: string | number, fallback?: number): number {
+	nonNegativeNumber(key: string | number, fallback?: number): number {
 		return this.#get(key, fallback, value => Number.isFinite(value) && value >= 0, 'a number of at least 0');
 	}
 
 	/** An integer of at least 0. */
-	count(key: string | number, fallback?: number): number {
+	nonNegativeInteger(key: string | number, fallback?: number): number {
 		return this.#get(key, fallback, value => Number.isSafeInteger(value) && value >= 0, 'an integer of at least 0');
 	}
 
-	flag(key: string | number, fallback?: boolean): boolean {
+	boolean(key: string | number, fallback?: boolean): boolean {
 		return this.#get(key, fallback, value => typeof value === 'boolean', 'true or false');
 	}
 
 	/** Decodes each item of an array; empty if the field is missing. */
-	list<T>(key: string | number, decode: (item: unknown) => T): T[] {
+	array<T>(key: string | number, decode: (item: unknown) => T): T[] {
 		const items: unknown[] = this.#get<unknown[]>(key, [], value => Array.isArray(value), 'a list');
 		return items.map(item => decode(item));
 	}
 
-	texts(key: string | number): string[] {
-		return this.list(key, item => {
+	strings(key: string | number): string[] {
+		return this.array(key, item => {
 			if (typeof item !== 'string') {
 				throw this.#createError(key, 'a list of strings');
 			}
@@ -61,8 +61,8 @@
 		});
 	}
 
-	counts(key: string | number): number[] {
-		return this.list(key, item => {
+	nonNegativeIntegers(key: string | number): number[] {
+		return this.array(key, item => {
 			if (typeof item !== 'number' || !Number.isSafeInteger(item) || item < 0) {
 				throw this.#createError(key, 'a list of integers of at least 0');
 			}
--- a/src/utils/http-server.ts
+++ b/src/utils/http-server.ts
@@ -40,7 +40,7 @@
 };
 
 /** Limits on the body of a request. */
-export type BodyBounds = {
+export type BodyLimits = {
 	maxBytes: number;
 	timeoutMs: number;
 };
@@ -51,7 +51,7 @@
 	handler: JsonHandler;
 };
 
-const defaultBounds: BodyBounds = {maxBytes: 4_194_304, timeoutMs: 10_000};
+const defaultBounds: BodyLimits = {maxBytes: 4_194_304, timeoutMs: 10_000};
 const idleSweepMs = 20;
 const statusByCode: Partial<Record<ErrorCode, number>> = {
 	[ErrorCode.BadInput]: 400,
@@ -173,7 +173,7 @@
 Reads a body within limits on size and time. Throws `body-too-large`, `body-too-slow` or `peer-unavailable`; the request is then
 paused but stays open, so that a response can still be sent.
 */
-export const readBody = async (request: IncomingMessage, clock: Clock, bounds: BodyBounds): Promise<Buffer> => new Promise((resolve, reject) => {
+export const readBody = async (request: IncomingMessage, clock: Clock, bounds: BodyLimits): Promise<Buffer> => new Promise((resolve, reject) => {
 	const chunks: Buffer[] = [];
 	let size = 0;
 	const cleanUp = () => {
@@ -221,7 +221,7 @@
 	request.on('close', onClose);
 });
 
-const readJson = async (request: IncomingMessage, clock: Clock, bounds: BodyBounds): Promise<unknown> => {
+const readJson = async (request: IncomingMessage, clock: Clock, bounds: BodyLimits): Promise<unknown> => {
 	const body = await readBody(request, clock, bounds);
 	if (body.length === 0) {
 		return undefined;
--- a/src/utils/http-calls.ts
+++ b/src/utils/keep-alive-client.ts
@@ -6,7 +6,7 @@
 import {Agent, request as sendRequest, type IncomingHttpHeaders} from 'node:http';
 import {createError, ErrorCode} from '../core/errors.ts';
 import {parseAddress} from './address.ts';
-import {afterPendingInput, Turns} from './turns.ts';
+import {afterPendingInput, TurnScheduler} from './turn-scheduler.ts';
 
 /** A call to a peer. */
 export type HttpCall = {
@@ -39,7 +39,7 @@
 };
 
 /** Creates the client, with at most `maxConnections` connections to each peer. */
-export const createHttpClient = (maxConnections: number, turnScheduler = new Turns()): HttpClient => {
+export const createHttpClient = (maxConnections: number, turnScheduler = new TurnScheduler()): HttpClient => {
 	const agents = new Map<string, Agent>();
 	const getAgent = (address: string): Agent => {
 		let agent = agents.get(address);
@@ -143,7 +143,7 @@
 					isSettled = true;
 					cleanUp();
 					// Handling a response may take long; yield first, so that other work on the thread gets a turn.
-					void turnScheduler.next().then(() => {
+					void turnScheduler.waitForTurn().then(() => {
 						resolve({status: response.statusCode ?? 0, headers: response.headers, body: chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)});
 					});
 				}
--- a/src/utils/logger.ts
+++ b/src/utils/logger.ts
@@ -5,7 +5,7 @@
 import createDebug from 'debug';
 
 /** Namespaces of logs, one for each part of the program. */
-export enum Part {
+export enum LogNamespace {
 	Kernel = 'kernel',
 	Entry = 'entry',
 	Config = 'config',
@@ -30,7 +30,7 @@
 const prefix = 'chervilworks';
 
 /** Creates the logger of a namespace; `DEBUG=chervilworks:*` enables all of them. */
-export const createLogger = (part: Part): Logger => createDebug(`${prefix}:${part}`);
+export const createLogger = (part: LogNamespace): Logger => createDebug(`${prefix}:${part}`);
 
 /** Enables the logs of all namespaces unless the environment variable `DEBUG` selects some. */
 export const enableLogs = (): void => {
--- a/src/utils/peer-clock.ts
+++ b/src/utils/peer-clock.ts
@@ -4,7 +4,7 @@
 */
 
 /** When a call was sent and when its response was handled, on the local monotonic clock in ms. */
-export type Exchange = {
+export type CallTimes = {
 	sentAtMs: number;
 	handledAtMs: number;
 };
@@ -18,14 +18,14 @@
 	Adds a reading from a response. The peer read its clock between the sending of the call and the handling of its response, which
 	bounds the offset on both sides. The lower bound holds unless the peer's clock has stood still since.
 	*/
-	note(peerClockMs: number, {sentAtMs, handledAtMs}: Exchange): void {
+	addReading(peerClockMs: number, {sentAtMs, handledAtMs}: CallTimes): void {
 		const lowestMs = peerClockMs - handledAtMs;
 		const highestMs = peerClockMs - sentAtMs;
 		this.#offsetMs = Math.max(lowestMs, Math.min(this.#offsetMs, highestMs));
 	}
 
 	/** Estimates the peer's clock at the local time `nowMs`; negative infinity before the first reading. */
-	read(nowMs: number): number {
+	estimate(nowMs: number): number {
 		return nowMs + this.#offsetMs;
 	}
 }
--- a/src/utils/turns.ts
+++ b/src/utils/turn-scheduler.ts
@@ -12,12 +12,12 @@
 const maxWorkMsPerTurn = 10;
 
 /** Resumes waiting pieces of work in first-in-first-out order, for a short time in each turn of the event loop. */
-export class Turns {
+export class TurnScheduler {
 	readonly #waiting: Array<() => void> = [];
 	#isScheduled = false;
 
 	/** Resolves when the calling work may continue. */
-	async next(): Promise<void> {
+	async waitForTurn(): Promise<void> {
 		return new Promise(resolve => {
 			this.#waiting.push(resolve);
 			if (!this.#isScheduled) {
--- a/src/workflows/advice-cache.ts
+++ b/src/workflows/advice-cache.ts
@@ -78,7 +78,7 @@
 
 	#prune(): void {
 		for (const step of this.#entries.keys()) {
-			if (step.workflow.isOver || step.remaining === 0) {
+			if (step.workflow.isFinished || step.remaining === 0) {
 				this.#entries.delete(step);
 			}
 		}
--- a/src/workflows/agent-links.ts
+++ b/src/workflows/agent-links.ts
@@ -23,14 +23,14 @@
 	store: StoreClient;
 	registrations: PartitionRef;
 	/** Whether the registered agent's service belongs to the partition of this owner. */
-	isMine: (registration: AgentRegistration) => boolean;
+	isOwned: (registration: AgentRegistration) => boolean;
 	client: AgentClient;
 	clock: Clock;
 	epoch: number;
 	/** Start of the last store read that reached the end of the stream and showed this owner as the newest. */
-	getProvenAtMs: () => number;
+	getCaughtUpAtMs: () => number;
 	onReply: (worker: FleetWorker, reply: WatchReply) => void;
-	onDeposed: (newerEpoch: number) => void;
+	onSuperseded: (newerEpoch: number) => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
@@ -41,7 +41,7 @@
 const retryMs = 100;
 const registryWaitMs = 2000;
 /** How long an order is valid, on the agent's clock; later it is refused as expired. */
-export const orderGoodMs = 1500;
+export const orderValidityMs = 1500;
 const orderTimeoutMs = 1600;
 
 /** Restarts the stall detection of a worker's runs: no progress was reported while the agent or worker did not answer, which does not mean that they stalled. */
@@ -80,7 +80,7 @@
 
 					this.#registryOffset = Math.max(this.#registryOffset, records.length > 0 ? records.at(-1)!.offset + 1 : Math.min(endOffset, this.#registryOffset));
 				} else {
-					const {records, endOffset} = await store.newest(registrations, signal);
+					const {records, endOffset} = await store.readNewest(registrations, signal);
 					for (const {key, value, offset} of records) {
 						this.#applyRegistration(key, value, offset, signal);
 					}
@@ -102,7 +102,7 @@
 	}
 
 	/** Sends orders; resolves to undefined if there is no answer, in which case they may have been carried out. */
-	async order(worker: FleetWorker, orders: Order[], notAfterMs = this.getNotAfterMs(worker, orderGoodMs)): Promise<OrdersReply | undefined> {
+	async order(worker: FleetWorker, orders: Order[], notAfterMs = this.getNotAfterMs(worker, orderValidityMs)): Promise<OrdersReply | undefined> {
 		const {client, epoch, note} = this.#options;
 		const {workerId, milliCpu, memoryMb, accelerators} = worker.report!;
 		try {
@@ -117,7 +117,7 @@
 
 	/** Converts a period of validity from now to an expiry time on the agent's clock. */
 	getNotAfterMs(worker: FleetWorker, validityMs: number): number {
-		return worker.agentClock.read(this.#options.clock.monotonicMs()) + validityMs;
+		return worker.agentClock.estimate(this.#options.clock.monotonicMs()) + validityMs;
 	}
 
 	#applyRegistration(host: string, value: Buffer | undefined, offset: number, signal: AbortSignal): void {
@@ -126,7 +126,7 @@
 		}
 
 		const registration = this.#decode(host, value);
-		if (!registration || !this.#options.isMine(registration)) {
+		if (!registration || !this.#options.isOwned(registration)) {
 			return;
 		}
 
@@ -146,23 +146,23 @@
 			report: undefined,
 			isListed: false,
 			isAnswering: false,
-			heardAtMs: Number.NEGATIVE_INFINITY,
+			lastReplyAtMs: Number.NEGATIVE_INFINITY,
 			agentClock: new PeerClock(),
 			workerClockMs: 0,
-			silentSinceMs: this.#options.clock.monotonicMs(),
+			unresponsiveSinceMs: this.#options.clock.monotonicMs(),
 			runs: new Set(),
 			health: {spec: {workerId: host}, isHeld: false, isProbing: false},
-			takenEnd: 0,
+			processedEnd: 0,
 			storedEnd: 0,
-			isProven: false,
-			takenCrash: 0,
+			hasSucceededSinceCrash: false,
+			processedCrash: 0,
 			storedCrash: 0,
 			blockedUntilMs: 0,
-			unknownStopAtMs: Number.NEGATIVE_INFINITY,
-			paces: new Map(),
-			isFillStopped: false,
-			fillUses: [],
-			harmNotedAtMs: Number.NEGATIVE_INFINITY,
+			unknownRunStopAtMs: Number.NEGATIVE_INFINITY,
+			throttles: new Map(),
+			isBestEffortStopped: false,
+			bestEffortUsage: [],
+			interferenceLearnedAtMs: Number.NEGATIVE_INFINITY,
 		};
 		this.workers.set(host, worker);
 		void this.#keepWatching(worker, signal);
@@ -188,8 +188,8 @@
 					return;
 				}
 
-				if (worker.silentSinceMs === undefined) {
-					worker.silentSinceMs = clock.monotonicMs();
+				if (worker.unresponsiveSinceMs === undefined) {
+					worker.unresponsiveSinceMs = clock.monotonicMs();
 					note('agent silent', {host: worker.host, error: getMessage(error)});
 				}
 
@@ -199,9 +199,9 @@
 	}
 
 	async #poll(worker: FleetWorker, signal: AbortSignal): Promise<void> {
-		const {client, clock, epoch, onDeposed, onReply, note} = this.#options;
+		const {client, clock, epoch, onSuperseded, onReply, note} = this.#options;
 		const workerId = worker.report?.workerId;
-		const hasProof = workerId !== undefined && this.#options.getProvenAtMs() >= worker.heardAtMs && worker.lostSession !== worker.session;
+		const hasProof = workerId !== undefined && this.#options.getCaughtUpAtMs() >= worker.lastReplyAtMs && worker.lostSession !== worker.session;
 		const sentAtMs = clock.monotonicMs();
 		const reply = await client.watch(worker.address, {
 			epoch,
@@ -217,31 +217,31 @@
 		}
 
 		if (reply.newerEpoch !== undefined) {
-			onDeposed(reply.newerEpoch);
+			onSuperseded(reply.newerEpoch);
 			return;
 		}
 
-		if (worker.silentSinceMs !== undefined || (reply.isAnswering && !worker.isAnswering)) {
-			worker.silentSinceMs = undefined;
+		if (worker.unresponsiveSinceMs !== undefined || (reply.isAnswering && !worker.isAnswering)) {
+			worker.unresponsiveSinceMs = undefined;
 			restartStallDetection(worker, clock.monotonicMs());
 			note('agent answers', {host: worker.host, session: reply.session, workerId: reply.worker?.workerId});
 		}
 
-		worker.heardAtMs = clock.monotonicMs();
+		worker.lastReplyAtMs = clock.monotonicMs();
 		worker.workerClockMs = reply.workerClockMs;
 		worker.session = Math.max(worker.session, reply.session);
 		if (reply.worker && reply.worker.workerId !== workerId) {
-			worker.takenEnd = 0;
+			worker.processedEnd = 0;
 			worker.storedEnd = 0;
 		}
 
 		if (reply.agentLife !== worker.agentLife) {
-			worker.takenCrash = 0;
+			worker.processedCrash = 0;
 			worker.storedCrash = 0;
 			worker.agentClock = new PeerClock();
 		}
 
-		worker.agentClock.note(reply.agentClockMs, {sentAtMs, handledAtMs: worker.heardAtMs});
+		worker.agentClock.addReading(reply.agentClockMs, {sentAtMs, handledAtMs: worker.lastReplyAtMs});
 
 		worker.report = reply.worker;
 		worker.isListed = reply.isListed;
--- a/src/workflows/loss-watch.ts
+++ b/src/workflows/agent-loss-monitor.ts
@@ -2,9 +2,9 @@
 Declares agents lost that do not answer, waits until their leases have expired, and then releases their tasks to start elsewhere.
 */
 import {
-	agentsTopic, controlTopic, ControlType, encodeControl,
+	agentsTopic, controlTopic, ControlRecordType, encodeControlRecord,
 } from '../agents/control-records.ts';
-import {workerClockSlowShare} from '../agents/lease-clock.ts';
+import {maxClockSlowShare} from '../agents/worker-lease.ts';
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {AppendOutcome, type StoreClient} from '../types/store.ts';
@@ -12,12 +12,12 @@
 import {LossReason, type RunTracker} from './run-tracker.ts';
 
 /** Options of the monitor. */
-export type LossWatchOptions = {
+export type AgentLossMonitorOptions = {
 	store: StoreClient;
 	clock: Clock;
 	partition: number;
 	epoch: number;
-	leaseHorizonMs: number;
+	leaseDurationMs: number;
 	workers: Map<string, FleetWorker>;
 	tracker: RunTracker;
 	signal: AbortSignal;
@@ -34,27 +34,27 @@
 const storeTimeoutMs = 1000;
 
 /** Longest time that leases last after a claim or a declaration was stored. */
-export const getLeaseOverMs = (leaseHorizonMs: number): number => (leaseHorizonMs / (1 - workerClockSlowShare)) + lostSlackMs;
+export const getLeaseExpiryMs = (leaseHorizonMs: number): number => (leaseHorizonMs / (1 - maxClockSlowShare)) + lostSlackMs;
 
 /** Detects the lost agents of one owner. */
-export class LossWatch {
-	readonly #options: LossWatchOptions;
+export class AgentLossMonitor {
+	readonly #options: AgentLossMonitorOptions;
 
-	constructor(options: LossWatchOptions) {
+	constructor(options: AgentLossMonitorOptions) {
 		this.#options = options;
 	}
 
 	/** Checks all agents; to be called periodically. */
 	check(): void {
-		const {clock, workers, leaseHorizonMs} = this.#options;
+		const {clock, workers, leaseDurationMs} = this.#options;
 		const nowMs = clock.monotonicMs();
 		for (const worker of workers.values()) {
-			const {silentSinceMs, lostSession, lostAtMs, runs} = worker;
+			const {unresponsiveSinceMs, lostSession, lostAtMs, runs} = worker;
 			const boundMs = runs.size > 0 ? declareLostAfterMs : removedAfterMs;
-			if (silentSinceMs !== undefined && lostSession === undefined && nowMs - silentSinceMs >= boundMs) {
+			if (unresponsiveSinceMs !== undefined && lostSession === undefined && nowMs - unresponsiveSinceMs >= boundMs) {
 				worker.lostSession = worker.session;
 				void this.#declare(worker);
-			} else if (lostAtMs !== undefined && nowMs - lostAtMs > getLeaseOverMs(leaseHorizonMs)) {
+			} else if (lostAtMs !== undefined && nowMs - lostAtMs > getLeaseExpiryMs(leaseDurationMs)) {
 				this.#handleExpiredLeases(worker, nowMs);
 			}
 		}
@@ -72,11 +72,11 @@
 
 	/** Handles the expiry of a lost agent's leases. The agent may have registered again without having answered yet. */
 	#handleExpiredLeases(worker: FleetWorker, nowMs: number): void {
-		this.#options.tracker.loseAll(worker, LossReason.AgentLost, nowMs);
+		this.#options.tracker.markAllLost(worker, LossReason.AgentLost, nowMs);
 		if (worker.session > worker.lostSession!) {
 			worker.lostSession = undefined;
 			worker.lostAtMs = undefined;
-		} else if (worker.silentSinceMs !== undefined) {
+		} else if (worker.unresponsiveSinceMs !== undefined) {
 			this.#options.workers.delete(worker.host);
 			void this.#removeRegistration(worker);
 		}
@@ -87,8 +87,8 @@
 		const {store, partition, epoch, clock, note, signal} = this.#options;
 		const {host, session} = worker;
 		note('agent lost', {host, session, runs: worker.runs.size});
-		const record = encodeControl({
-			type: ControlType.Lost, host, session, epoch,
+		const record = encodeControlRecord({
+			type: ControlRecordType.Lost, host, session, epoch,
 		});
 		while (!signal.aborted && worker.lostSession === session) {
 			try {
@@ -110,7 +110,7 @@
 		const {store, note} = this.#options;
 		const ref = {topic: agentsTopic, partition: 0};
 		try {
-			const {records, endOffset} = await store.newest(ref);
+			const {records, endOffset} = await store.readNewest(ref);
 			if (records.some(record => record.key === worker.host && record.offset === worker.session)) {
 				const result = await store.appendKeyed(ref, [{key: worker.host}], {atOffset: endOffset, timeoutMs: storeTimeoutMs});
 				note('registration removed', {host: worker.host, outcome: result.outcome});
--- a/src/workflows/fill-harm.ts
+++ b/src/workflows/best-effort-interference.ts
@@ -3,8 +3,8 @@
 */
 import {RunPhase, type LiveRun} from './live-model.ts';
 import {PairEffects} from './pair-effects.ts';
-import {type HarmPair} from './records.ts';
-import {getLoadAt, saturatedLoad, LatencyCriticalLoadTracker} from './serving-load.ts';
+import {type InterferencePair} from './records.ts';
+import {getLoadAt, saturatedLoad, LatencyCriticalLoadTracker} from './latency-critical-load.ts';
 
 /** A latency-critical task beside which best-effort tasks may run. */
 export type LatencyCriticalTask = {
@@ -48,7 +48,7 @@
 const reportVariance = 0.03 ** 2;
 
 /** Learned interference between images. */
-export class FillHarm {
+export class BestEffortInterference {
 	readonly #effects = new PairEffects();
 	readonly #loads = new LatencyCriticalLoadTracker();
 	/** Images that were observed beside each other, with the last time. */
@@ -76,8 +76,8 @@
 	}
 
 	/** Gets the learned effects for the next owner. */
-	getPairs(): HarmPair[] {
-		const pairs: HarmPair[] = [];
+	getPairs(): InterferencePair[] {
+		const pairs: InterferencePair[] = [];
 		for (const latencyCriticalImage of this.#latencyCriticalImages.keys()) {
 			for (const bestEffortImage of this.#bestEffortImages.keys()) {
 				if (this.#effects.isObserved(latencyCriticalImage, bestEffortImage)) {
@@ -93,7 +93,7 @@
 	}
 
 	/** Restores effects that an earlier owner learned; otherwise each pair would interfere once more before it is known. */
-	restore(pairs: HarmPair[], nowMs: number): void {
+	restore(pairs: InterferencePair[], nowMs: number): void {
 		this.#effectCache.clear();
 		for (const {server: latencyCriticalImage, filler: bestEffortImage, mean, deviation} of pairs) {
 			this.#latencyCriticalImages.set(latencyCriticalImage, nowMs);
@@ -203,11 +203,11 @@
 /** Gets the latency-critical tasks among the runs of a worker, with their last report. */
 export const getLatencyCriticalTasks = (runs: Iterable<LiveRun>): LatencyCriticalTask[] => {
 	const tasks: LatencyCriticalTask[] = [];
-	for (const {phase, percent, recent, overSinceMs, mostlyOverSinceMs, task: {step: {spec, servingName}}} of runs) {
+	for (const {phase, percent, recent, overTargetSinceMs, mostlyOverTargetSinceMs, task: {step: {spec, loadKey}}} of runs) {
 		if (spec.targetMs > 0 && phase === RunPhase.Running) {
 			const latencyRatio = percent === 100 ? recent / spec.targetMs : 0;
 			tasks.push({
-				image: spec.image ?? '', job: servingName, latencyRatio, overTargetSinceMs: overSinceMs, mostlyOverTargetSinceMs: mostlyOverSinceMs,
+				image: spec.image ?? '', job: loadKey, latencyRatio, overTargetSinceMs, mostlyOverTargetSinceMs,
 			});
 		}
 	}
@@ -216,10 +216,10 @@
 };
 
 /** Throttle percentage of each best-effort image on a worker. */
-export type Paces = Map<string, {percent: number; changedAtMs: number}>;
+export type Throttles = Map<string, {percent: number; changedAtMs: number}>;
 
 /** Gets the best-effort tasks among the runs of a worker, by image. */
-export const getBestEffortGroups = (runs: Iterable<LiveRun>, throttles: Paces, {milliCpu, nowMs}: {milliCpu: number; nowMs: number}): BestEffortGroup[] => {
+export const getBestEffortGroups = (runs: Iterable<LiveRun>, throttles: Throttles, {milliCpu, nowMs}: {milliCpu: number; nowMs: number}): BestEffortGroup[] => {
 	const groups = new Map<string, BestEffortGroup>();
 	for (const {phase, recent, task: {step: {spec}}} of runs) {
 		if (!spec.isFilling) {
--- a/src/workflows/config-follower.ts
+++ b/src/workflows/config-follower.ts
@@ -51,12 +51,12 @@
 		while (!signal.aborted) {
 			try {
 				if (this.#nextOffset === undefined) {
-					const {records, endOffset} = await store.newest(ref, signal);
+					const {records, endOffset} = await store.readNewest(ref, signal);
 					for (const {key, value, offset} of records) {
 						this.#applyConfig(key, value, offset);
 					}
 
-					this.#evacuations.takeAll(records.flatMap(({key}) => getEvacuatedDomain(key) ?? []), endOffset);
+					this.#evacuations.replaceAll(records.flatMap(({key}) => getEvacuatedDomain(key) ?? []), endOffset);
 					this.#nextOffset = endOffset;
 				} else {
 					const {records} = await store.readKeyed(ref, this.#nextOffset, readWaitMs, signal);
@@ -64,7 +64,7 @@
 						this.#applyConfig(key, value, offset);
 						const failureDomain = getEvacuatedDomain(key);
 						if (failureDomain !== undefined) {
-							this.#evacuations.take(failureDomain, value !== undefined, offset);
+							this.#evacuations.apply(failureDomain, value !== undefined, offset);
 						}
 
 						this.#nextOffset = offset + 1;
--- a/src/workflows/crash-blame.ts
+++ b/src/workflows/crash-attribution.ts
@@ -8,7 +8,7 @@
 import {type TaskCrash} from '../types/workflows.ts';
 
 /** A run that was on a worker when the worker crashed. */
-export type AboardTask = {
+export type ResidentTask = {
 	crash: TaskCrash;
 	/** Crashes attributed to earlier runs of the task. */
 	earlier: TaskCrash[];
@@ -57,7 +57,7 @@
 	isNewest && isSuspect(earlier) && ageMs <= getQuarantineMs(earlier);
 
 /** Whether the task fails because of its crashes. They are judged by run number, so the order in which they are reported does not matter. */
-export const isGivenUp = (crashes: TaskCrash[]): boolean => {
+export const isCrashLimitReached = (crashes: TaskCrash[]): boolean => {
 	const hosts = new Set<string>();
 	const earlier: TaskCrash[] = [];
 	let quarantineCrashes = 0;
@@ -76,7 +76,7 @@
 };
 
 /** Chooses the tasks that a crash is attributed to: only the one in quarantine if there is one, else all with a recent start. */
-export const chooseSuspects = <Resident extends AboardTask>(resident: Resident[]): Resident[] => {
+export const chooseSuspects = <Resident extends ResidentTask>(resident: Resident[]): Resident[] => {
 	const culprit = resident.find(({crash, earlier}) => isInQuarantine(crash, earlier));
 	return culprit ? [culprit] : resident.filter(({crash}) => crash.ageMs <= maxCountedAgeMs);
 };
--- a/src/workflows/crash-watch.ts
+++ b/src/workflows/crash-monitor.ts
@@ -5,56 +5,56 @@
 import {type CrashedRun, type WatchReply} from '../types/fleet.ts';
 import {parseTaskId, type TaskRef} from '../types/workflows.ts';
 import {
-	addCrash, chooseSuspects, isGivenUp, type AboardTask,
-} from './crash-blame.ts';
+	addCrash, chooseSuspects, isCrashLimitReached, type ResidentTask,
+} from './crash-attribution.ts';
 import {type FleetWorker} from './fleet-view.ts';
 import {getUnit, type LiveTask} from './live-model.ts';
-import {type CrashedTask} from './records.ts';
+import {type AttributedCrash} from './records.ts';
 import {LossReason, type RunTracker} from './run-tracker.ts';
 
 /** Options of the monitor. */
-export type CrashWatchOptions = {
+export type CrashMonitorOptions = {
 	clock: Clock;
 	tracker: RunTracker;
 	/** Finds a task, also of a finished job. */
 	getTask: (ref: TaskRef) => LiveTask | undefined;
 	/** Appends crashes to the jobs stream; resolves to whether they are stored. */
-	store: (crashes: CrashedTask[]) => Promise<boolean>;
+	store: (crashes: AttributedCrash[]) => Promise<boolean>;
 	/** The worker crashed, and the task is the most likely cause other than the worker itself. */
-	onCulprit: (worker: FleetWorker, task: LiveTask) => void;
+	onLikelyCause: (worker: FleetWorker, task: LiveTask) => void;
 	/** The task has reached the limit of worker crashes. */
-	onGivenUp: (task: LiveTask) => void;
+	onCrashLimit: (task: LiveTask) => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
-type TaskOnWorker = AboardTask & {task: LiveTask};
+type TaskOnWorker = ResidentTask & {task: LiveTask};
 
 /** Handles the worker crashes of one owner. */
-export class CrashWatch {
-	readonly #options: CrashWatchOptions;
+export class CrashMonitor {
+	readonly #options: CrashMonitorOptions;
 
-	constructor(options: CrashWatchOptions) {
+	constructor(options: CrashMonitorOptions) {
 		this.#options = options;
 	}
 
 	/** Handles the crashed runs in an agent's state. */
-	take(worker: FleetWorker, {agentLife, crashed}: WatchReply, nowMs: number): void {
-		const newRows = crashed.filter(({number}) => number > worker.takenCrash);
+	handleReply(worker: FleetWorker, {agentLife, crashed}: WatchReply, nowMs: number): void {
+		const newRows = crashed.filter(({number}) => number > worker.processedCrash);
 		if (newRows.length === 0) {
 			return;
 		}
 
-		const attributed: CrashedTask[] = [];
+		const attributed: AttributedCrash[] = [];
 		for (const workerId of new Set(newRows.map(row => row.workerId))) {
 			attributed.push(...this.#handleCrash(worker, newRows.filter(row => row.workerId === workerId), nowMs));
 		}
 
-		worker.takenCrash = newRows.at(-1)!.number;
-		void this.#store(worker, agentLife, worker.takenCrash, attributed);
+		worker.processedCrash = newRows.at(-1)!.number;
+		void this.#store(worker, agentLife, worker.processedCrash, attributed);
 	}
 
 	/** The agent may forget a crash only once the stream holds it, because a later owner needs it. */
-	async #store(worker: FleetWorker, agentLife: string, upTo: number, crashes: CrashedTask[]): Promise<void> {
+	async #store(worker: FleetWorker, agentLife: string, upTo: number, crashes: AttributedCrash[]): Promise<void> {
 		const isStored = await this.#options.store(crashes);
 		if (isStored && worker.agentLife === agentLife) {
 			worker.storedCrash = Math.max(worker.storedCrash, upTo);
@@ -62,11 +62,11 @@
 	}
 
 	/** Handles the runs of one crash; returns the crashes to be stored for the tasks that it is attributed to. */
-	#handleCrash(worker: FleetWorker, rows: CrashedRun[], nowMs: number): CrashedTask[] {
+	#handleCrash(worker: FleetWorker, rows: CrashedRun[], nowMs: number): AttributedCrash[] {
 		const resident = this.#findTasks(worker, rows);
-		worker.isProven = false;
+		worker.hasSucceededSinceCrash = false;
 		const {workerId} = rows[0]!;
-		const suspects = chooseSuspects(resident.filter(({task}) => !task.isDone && !task.step.workflow.isOver));
+		const suspects = chooseSuspects(resident.filter(({task}) => !task.isDone && !task.step.workflow.isFinished));
 		this.#options.note('worker crashed', {
 			host: worker.host, workerId, runs: rows.length, suspects: suspects.length,
 		});
@@ -74,14 +74,14 @@
 			task.lastRun = Math.max(task.lastRun, crash.run);
 			const live = task.runs.find(known => known.run === crash.run && known.workerId === workerId);
 			if (live) {
-				this.#options.tracker.lose(live, worker, LossReason.WorkerCrashed, nowMs);
+				this.#options.tracker.markLost(live, worker, LossReason.WorkerCrashed, nowMs);
 			}
 		}
 
 		return suspects.flatMap(suspect => this.#attribute(worker, suspect));
 	}
 
-	#findTasks({host, isProven}: FleetWorker, rows: CrashedRun[]): TaskOnWorker[] {
+	#findTasks({host, hasSucceededSinceCrash}: FleetWorker, rows: CrashedRun[]): TaskOnWorker[] {
 		const resident: TaskOnWorker[] = [];
 		for (const {taskId, run, ageMs} of rows) {
 			const ref = parseTaskId(taskId);
@@ -92,7 +92,7 @@
 				resident.push({
 					task,
 					crash: {
-						run, ageMs: Math.round(ageMs), isNewest, host, isHostProven: isProven, atMs: this.#options.clock.now().getTime(),
+						run, ageMs: Math.round(ageMs), isNewest, host, isHostProven: hasSucceededSinceCrash, atMs: this.#options.clock.now().getTime(),
 					},
 					earlier: task.crashes.filter(crash => crash.run < run),
 				});
@@ -102,13 +102,13 @@
 		return resident;
 	}
 
-	#attribute(worker: FleetWorker, {task, crash}: TaskOnWorker): CrashedTask[] {
+	#attribute(worker: FleetWorker, {task, crash}: TaskOnWorker): AttributedCrash[] {
 		if (task.crashes.some(({run}) => run === crash.run)) {
 			return [];
 		}
 
 		const {taskId} = task;
-		const {onCulprit, onGivenUp, note} = this.#options;
+		const {onLikelyCause, onCrashLimit, note} = this.#options;
 		for (const member of getUnit(task)) {
 			member.crashes = addCrash(member.crashes, crash);
 		}
@@ -117,11 +117,11 @@
 			taskId, ...crash, crashes: task.crashes.length,
 		});
 		if (crash.isNewest) {
-			onCulprit(worker, task);
+			onLikelyCause(worker, task);
 		}
 
-		if (isGivenUp(task.crashes)) {
-			onGivenUp(task);
+		if (isCrashLimitReached(task.crashes)) {
+			onCrashLimit(task);
 		}
 
 		return [{taskId, ...crash}];
--- a/src/workflows/due-occurrences.ts
+++ b/src/workflows/due-occurrences.ts
@@ -17,14 +17,14 @@
 
 	/** Opens the job's due occurrences, and schedules the next one. */
 	schedule(workflow: LiveWorkflow): void {
-		const dueAtMs = this.#model.openDue(workflow, this.#clock.now().getTime(), this.#clock.monotonicMs());
+		const dueAtMs = this.#model.openDueOccurrences(workflow, this.#clock.now().getTime(), this.#clock.monotonicMs());
 		if (dueAtMs !== undefined) {
 			this.#scheduled.push({dueAtMs, workflow});
 		}
 	}
 
 	/** Opens occurrences that have become due; to be called periodically. */
-	open(): void {
+	openDueOccurrences(): void {
 		const wallMs = this.#clock.now().getTime();
 		const due = this.#scheduled.filter(({dueAtMs}) => dueAtMs <= wallMs);
 		if (due.length > 0) {
--- a/src/workflows/entry-directory.ts
+++ b/src/workflows/entry-directory.ts
@@ -27,7 +27,7 @@
 /** Decodes a registration. Throws `bad-input`. */
 export const decodeEntry = (value: Buffer): EntryRegistration => {
 	const fields = parseFields(value, 'read entry registration');
-	return {host: fields.text('host'), address: fields.text('address')};
+	return {host: fields.string('host'), address: fields.string('address')};
 };
 
 /** The directory of one entry. */
@@ -91,7 +91,7 @@
 	async #read(signal: AbortSignal): Promise<boolean> {
 		const {store, registration, note} = this.#options;
 		try {
-			const {records} = await store.newest(ref, signal);
+			const {records} = await store.readNewest(ref, signal);
 			this.#others = records.flatMap(({key, value}) => key === registration.host ? [] : this.#decode(key, value));
 			// A late call of an earlier incarnation may have removed the registration.
 			return records.some(({key}) => key === registration.host) || await this.#register();
--- a/src/workflows/evacuation-publisher.ts
+++ b/src/workflows/evacuation-publisher.ts
@@ -2,7 +2,7 @@
 Publishes to agents which failure domains are evacuated, on the control stream that they already follow. Agents refuse starts
 in these domains, also from an owner that has not read the operators' request.
 */
-import {controlTopic, ControlType, encodeControl} from '../agents/control-records.ts';
+import {controlTopic, ControlRecordType, encodeControlRecord} from '../agents/control-records.ts';
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {type Evacuations} from '../types/site.ts';
@@ -16,7 +16,7 @@
 	partition: number;
 	epoch: number;
 	/** How long the store keeps records. */
-	keptMs: number;
+	retentionMs: number;
 	getEvacuations: () => Evacuations;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
@@ -42,12 +42,12 @@
 
 	/** Publishes changes, and repeats evacuations before the store drops their record; to be called periodically. */
 	update(workers: Iterable<FleetWorker>): void {
-		const {clock, keptMs, getEvacuations} = this.#options;
+		const {clock, retentionMs, getEvacuations} = this.#options;
 		const evacuations = getEvacuations();
 		const nowMs = clock.monotonicMs();
 		// An empty list is published once as well: an earlier owner may have published evacuations that have ended since.
 		const isDue = evacuations.asOf > this.#publishedAsOf
-			|| (evacuations.failureDomains.length > 0 && nowMs - this.#publishedAtMs > keptMs * repeatShare);
+			|| (evacuations.failureDomains.length > 0 && nowMs - this.#publishedAtMs > retentionMs * repeatShare);
 		if (isDue && !this.#isSending && nowMs - this.#triedAtMs >= retryMs) {
 			this.#triedAtMs = nowMs;
 			void this.#publish(evacuations);
@@ -64,7 +64,7 @@
 		const {store, clock, partition, epoch, note} = this.#options;
 		this.#isSending = true;
 		try {
-			const {outcome} = await store.append({topic: controlTopic, partition}, [encodeControl({type: ControlType.Evacuations, epoch, ...evacuations})], {timeoutMs: storeTimeoutMs});
+			const {outcome} = await store.append({topic: controlTopic, partition}, [encodeControlRecord({type: ControlRecordType.Evacuations, epoch, ...evacuations})], {timeoutMs: storeTimeoutMs});
 			if (outcome === AppendOutcome.Appended) {
 				this.#publishedAsOf = evacuations.asOf;
 				this.#publishedAtMs = clock.monotonicMs();
--- a/src/workflows/evacuations.ts
+++ b/src/workflows/evacuations.ts
@@ -12,7 +12,7 @@
 	}
 
 	/** Applies the record of a request or of its removal. */
-	take(failureDomain: string, isRequested: boolean, offset: number): void {
+	apply(failureDomain: string, isRequested: boolean, offset: number): void {
 		if (offset <= this.#current.asOf) {
 			return;
 		}
@@ -25,7 +25,7 @@
 	Replaces all requests by those in effect at an offset. Once the record of a removal has been deleted, only the missing
 	request shows it.
 	*/
-	takeAll(failureDomains: string[], endOffset: number): void {
+	replaceAll(failureDomains: string[], endOffset: number): void {
 		if (endOffset > this.#current.asOf) {
 			this.#current = {asOf: endOffset - 1, failureDomains};
 		}
--- a/src/workflows/fleet-view.ts
+++ b/src/workflows/fleet-view.ts
@@ -5,7 +5,7 @@
 import {type Capacity, type WorkerReport} from '../types/fleet.ts';
 import {type WorkflowStep} from '../types/workflows.ts';
 import {type PeerClock} from '../utils/peer-clock.ts';
-import {type Paces} from './fill-harm.ts';
+import {type Throttles} from './best-effort-interference.ts';
 import {type LiveRun} from './live-model.ts';
 
 /** One worker with its agent, as last reported. */
@@ -24,12 +24,12 @@
 	/** Whether the worker answers its agent. */
 	isAnswering: boolean;
 	/** When the agent's last reply was handled, and the reading of the worker's clock in it. */
-	heardAtMs: number;
+	lastReplyAtMs: number;
 	workerClockMs: number;
 	/** Estimate of the monotonic clock of the agent's incarnation. */
 	agentClock: PeerClock;
 	/** Since when the agent does not answer; undefined while it does. */
-	silentSinceMs?: number;
+	unresponsiveSinceMs?: number;
 	/** When the declaration that the agent is lost was stored. */
 	lostAtMs?: number;
 	/** Session of the registration that was declared lost. */
@@ -38,34 +38,34 @@
 	/** Health by the outcomes of its runs: whether the worker gets no tasks, or a single one as a probe. */
 	health: HealthSubject;
 	/** Ends up to this number have been processed. */
-	takenEnd: number;
+	processedEnd: number;
 	/** Ends up to this number are stored in the stream. */
 	storedEnd: number;
 	/** Whether a task has succeeded there since the last crash that was reported to this owner. */
-	isProven: boolean;
+	hasSucceededSinceCrash: boolean;
 	/** Crashed runs up to this number have been processed; numbers restart with each incarnation of the agent. */
-	takenCrash: number;
+	processedCrash: number;
 	/** Crashed runs up to this number are stored in the stream. */
 	storedCrash: number;
 	/** Nothing is placed there before this; set after refusals. */
 	blockedUntilMs: number;
 	/** When a stop of a run of an unknown task was last ordered. */
-	unknownStopAtMs: number;
+	unknownRunStopAtMs: number;
 	/** Throttles of best-effort tasks, by image. */
-	paces: Paces;
+	throttles: Throttles;
 	/** Whether best-effort tasks are stopped because a latency-critical one has exceeded its target for too long. */
-	isFillStopped: boolean;
+	isBestEffortStopped: boolean;
 	/** Processor use of each best-effort image, over the last second or so. */
-	fillUses: Array<{atMs: number; used: Map<string, number>}>;
+	bestEffortUsage: Array<{atMs: number; used: Map<string, number>}>;
 	/** When the interference model was last updated from this worker. */
-	harmNotedAtMs: number;
+	interferenceLearnedAtMs: number;
 };
 
 /** Processors that a task of the step takes from a worker's capacity: best-effort tasks take none. */
-export const getMilliCpu = (step: WorkflowStep): number => step.isFilling ? 0 : step.milliCpu;
+export const getReservedMilliCpu = (step: WorkflowStep): number => step.isFilling ? 0 : step.milliCpu;
 
 /** Capacity that active runs leave free. */
-export const getFreeRoom = (worker: FleetWorker): Capacity => {
+export const getFreeCapacity = (worker: FleetWorker): Capacity => {
 	const free = {milliCpu: 0, memoryMb: 0, accelerators: 0};
 	if (worker.report) {
 		free.milliCpu = worker.report.milliCpu;
@@ -74,7 +74,7 @@
 	}
 
 	for (const {task: {step: {spec}}} of worker.runs) {
-		free.milliCpu -= getMilliCpu(spec);
+		free.milliCpu -= getReservedMilliCpu(spec);
 		free.memoryMb -= spec.memoryMb;
 		free.accelerators -= spec.accelerators;
 	}
@@ -88,8 +88,8 @@
 /** Whether the worker has the label and the total capacity that a task of the step needs. */
 export const isSuited = (step: WorkflowStep, report: WorkerReport): boolean =>
 	(step.requiredLabel === undefined || report.labels.includes(step.requiredLabel))
-	&& getMilliCpu(step) <= report.milliCpu && step.memoryMb <= report.memoryMb && step.accelerators <= report.accelerators;
+	&& getReservedMilliCpu(step) <= report.milliCpu && step.memoryMb <= report.memoryMb && step.accelerators <= report.accelerators;
 
 /** Whether a task of the step fits into the free capacity. */
 export const isFitting = (step: WorkflowStep, free: Capacity): boolean =>
-	getMilliCpu(step) <= free.milliCpu && step.memoryMb <= free.memoryMb && step.accelerators <= free.accelerators;
+	getReservedMilliCpu(step) <= free.milliCpu && step.memoryMb <= free.memoryMb && step.accelerators <= free.accelerators;
--- a/src/workflows/fold.ts
+++ b/src/workflows/fold.ts
@@ -5,9 +5,9 @@
 import {
 	parseTaskId, RunEnd, WorkflowState, type EndedRun, type TaskRef, type Workflow, type WorkflowStep,
 } from '../types/workflows.ts';
-import {addCrash, isGivenUp} from './crash-blame.ts';
+import {addCrash, isCrashLimitReached} from './crash-attribution.ts';
 import {
-	RecordType, type CrashedTask, type HarmPair, type SavedRun, type TaskLedger, type WholeWorkflow, type WorkflowRecord,
+	RecordType, type AttributedCrash, type InterferencePair, type RunCheckpoint, type TaskLedger, type WorkflowSnapshot, type WorkflowRecord,
 } from './records.ts';
 
 /** State of one job. */
@@ -24,14 +24,14 @@
 	/** Wall clock time of the job's newest snapshot, or of its submission. */
 	writtenAtMs: number;
 	/** Whether that snapshot holds the job's final state. */
-	isLastWritten: boolean;
+	hasFinalSnapshot: boolean;
 };
 
 /** Callbacks of a fold to the owner of its partition. */
 export type FoldListener = {
 	onSubmit: (folded: FoldedWorkflow) => void;
 	/** The job has completed, failed or been cancelled. */
-	onFinal: (folded: FoldedWorkflow) => void;
+	onFinished: (folded: FoldedWorkflow) => void;
 	onClaim: (epoch: number) => void;
 };
 
@@ -72,7 +72,7 @@
 	readonly workflows = new Map<string, FoldedWorkflow>();
 	listener: FoldListener | undefined;
 	/** Interference between images as the owner last stored it. */
-	harm: HarmPair[] = [];
+	harm: InterferencePair[] = [];
 	/** Epoch of the newest claim. */
 	epoch = 0;
 	/** Offset of the next record. */
@@ -98,7 +98,7 @@
 				break;
 			}
 
-			case RecordType.Whole: {
+			case RecordType.Snapshot: {
 				this.#applySnapshot(record.job, offset);
 				break;
 			}
@@ -130,7 +130,7 @@
 				break;
 			}
 
-			case RecordType.Saved: {
+			case RecordType.Checkpoints: {
 				for (const saved of record.runs) {
 					this.#applyCheckpoint(saved);
 				}
@@ -138,12 +138,12 @@
 				break;
 			}
 
-			case RecordType.Harm: {
+			case RecordType.Interference: {
 				this.harm = record.pairs;
 				break;
 			}
 
-			case RecordType.Begun: {
+			case RecordType.Started: {
 				for (const id of record.ids) {
 					this.#markStarted(this.workflows.get(id));
 				}
@@ -172,7 +172,7 @@
 		}
 
 		const folded: FoldedWorkflow = {
-			workflow, offset, hasBegun: false, state: WorkflowState.Queued, ledgers: new Map(), remaining: countUnits(workflow), writtenAtMs: workflow.receivedAtMs, isLastWritten: false,
+			workflow, offset, hasBegun: false, state: WorkflowState.Queued, ledgers: new Map(), remaining: countUnits(workflow), writtenAtMs: workflow.receivedAtMs, hasFinalSnapshot: false,
 		};
 		this.workflows.set(workflow.id, folded);
 		this.listener?.onSubmit(folded);
@@ -182,16 +182,16 @@
 	}
 
 	/** Adds a job from its snapshot if its earlier records are gone; for a known job, only records that a snapshot was written. */
-	#applySnapshot({workflow, state, hasBegun, remaining, ledgers, writtenAtMs}: WholeWorkflow, offset: number): void {
+	#applySnapshot({workflow, state, hasBegun, remaining, ledgers, writtenAtMs}: WorkflowSnapshot, offset: number): void {
 		const known = this.workflows.get(workflow.id);
 		if (known) {
 			known.writtenAtMs = writtenAtMs;
-			known.isLastWritten = isFinal(state);
+			known.hasFinalSnapshot = isFinal(state);
 			return;
 		}
 
 		const folded: FoldedWorkflow = {
-			workflow, offset, state, hasBegun, remaining, ledgers: new Map(ledgers), writtenAtMs, isLastWritten: isFinal(state),
+			workflow, offset, state, hasBegun, remaining, ledgers: new Map(ledgers), writtenAtMs, hasFinalSnapshot: isFinal(state),
 		};
 		this.workflows.set(workflow.id, folded);
 		const nextOffset = this.offset;
@@ -262,7 +262,7 @@
 		}
 	}
 
-	#applyCrash({taskId, ...crash}: CrashedTask): void {
+	#applyCrash({taskId, ...crash}: AttributedCrash): void {
 		const ref = parseTaskId(taskId);
 		const folded = ref && this.workflows.get(ref.workflowId);
 		const step = folded?.workflow.steps[ref!.step];
@@ -282,13 +282,13 @@
 		}
 
 		ledger.crashes = addCrash(ledger.crashes, crash);
-		if (isGivenUp(ledger.crashes)) {
+		if (isCrashLimitReached(ledger.crashes)) {
 			this.#finish(folded, WorkflowState.Failed);
 		}
 	}
 
 	/** Records the checkpoint of an active run, from which an owner resumes the task if the worker is lost. */
-	#applyCheckpoint({taskId, run, checkpoint}: SavedRun): void {
+	#applyCheckpoint({taskId, run, checkpoint}: RunCheckpoint): void {
 		const ref = parseTaskId(taskId);
 		const folded = ref && this.workflows.get(ref.workflowId);
 		const step = folded?.workflow.steps[ref!.step];
@@ -307,6 +307,6 @@
 		}
 
 		folded.state = state;
-		this.listener?.onFinal(folded);
+		this.listener?.onFinished(folded);
 	}
 }
--- a/src/workflows/follower.ts
+++ b/src/workflows/follower.ts
@@ -39,7 +39,7 @@
 export class WorkflowFollower {
 	readonly fold = new WorkflowFold();
 	/** Start of the last read that reached the end of the partition, on the monotonic clock. */
-	provenAtMs = Number.NEGATIVE_INFINITY;
+	caughtUpAtMs = Number.NEGATIVE_INFINITY;
 	readonly #options: FollowerOptions;
 	#catchUp: Promise<void> | undefined;
 	#readBytes = firstReadBytes;
@@ -51,7 +51,7 @@
 
 	/** Whether the end has been reached at least once. */
 	get isCaughtUp(): boolean {
-		return this.provenAtMs > Number.NEGATIVE_INFINITY;
+		return this.caughtUpAtMs > Number.NEGATIVE_INFINITY;
 	}
 
 	/** Follows until the signal aborts. */
@@ -80,11 +80,11 @@
 		const {clock} = this.#options;
 		const calledAtMs = clock.monotonicMs();
 		const endAtMs = calledAtMs + timeoutMs;
-		while (this.provenAtMs < calledAtMs) {
+		while (this.caughtUpAtMs < calledAtMs) {
 			// Concurrent calls share one read; a call is done once a read that began after it has reached the end.
 			this.#catchUp ??= this.#readOnce(endAtMs - clock.monotonicMs());
 			await this.#catchUp;
-			if (this.provenAtMs < calledAtMs && clock.monotonicMs() >= endAtMs) {
+			if (this.caughtUpAtMs < calledAtMs && clock.monotonicMs() >= endAtMs) {
 				return false;
 			}
 		}
@@ -134,7 +134,7 @@
 		const fromOffset = this.fold.offset;
 		this.#apply(page);
 		if (this.fold.offset >= page.endOffset) {
-			this.provenAtMs = Math.max(this.provenAtMs, sentAtMs);
+			this.caughtUpAtMs = Math.max(this.caughtUpAtMs, sentAtMs);
 			this.#mayGrowReads = true;
 			return false;
 		}
--- a/src/workflows/harm-pacing.ts
+++ b/src/workflows/interference-throttling.ts
@@ -3,7 +3,7 @@
 its target, by its estimated load and the load that each image adds. The image with the largest effect slows down first,
 and no more than needed.
 */
-import {getLoadAt} from './serving-load.ts';
+import {getLoadAt} from './latency-critical-load.ts';
 
 /** Load of a latency-critical task without interference. */
 export type LatencyCriticalLoad = {
--- a/src/workflows/trials.ts
+++ b/src/workflows/interference-trials.ts
@@ -6,7 +6,7 @@
 worker shows the effect half a second later. Its other tasks wait for the first reports, or go where the image is known
 not to interfere.
 */
-import {type FillHarm} from './fill-harm.ts';
+import {type BestEffortInterference} from './best-effort-interference.ts';
 import {type Candidate} from './placement-candidates.ts';
 
 /** A single report may be wrong; two workers that agree are reliable. */
@@ -16,11 +16,11 @@
 
 /** Counts trials in a scheduling cycle. */
 export class InterferenceTrials {
-	readonly #interference: FillHarm;
+	readonly #interference: BestEffortInterference;
 	/** By best-effort image and latency-critical image. */
 	readonly #counts = new Map<string, Map<string, TrialCount>>();
 
-	constructor(interference: FillHarm, candidates: Candidate[]) {
+	constructor(interference: BestEffortInterference, candidates: Candidate[]) {
 		this.#interference = interference;
 		for (const candidate of candidates) {
 			for (const {image} of candidate.demands) {
--- a/src/workflows/live-model.ts
+++ b/src/workflows/live-model.ts
@@ -7,7 +7,7 @@
 import {
 	countOccurrences, getUnitId, isFinal, type FoldedWorkflow, type WorkflowFold,
 } from './fold.ts';
-import {type SavedRun} from './records.ts';
+import {type RunCheckpoint} from './records.ts';
 
 /** Phases of a run. */
 export enum RunPhase {
@@ -28,9 +28,9 @@
 	agentLife: string;
 	phase: RunPhase;
 	/** When the start was ordered. */
-	sentAtMs: number;
+	orderedAtMs: number;
 	/** The agent has not answered the order yet. */
-	isOrderOut: boolean;
+	isOrderPending: boolean;
 	/** Time on the agent's clock after which the agent refuses the start. */
 	notAfterMs: number;
 	/** Version of the agent's state that is known to include the run. */
@@ -45,18 +45,18 @@
 	/** Tail latency in ms of a latency-critical task, processors in use otherwise; over the last half second. */
 	recent: number;
 	/** Since when every reading of a latency-critical task exceeds its latency target; undefined: the last one did not. */
-	overSinceMs?: number;
+	overTargetSinceMs?: number;
 	/** The same, but tolerating single readings within the target. */
-	mostlyOverSinceMs?: number;
+	mostlyOverTargetSinceMs?: number;
 	/** When a reading last exceeded the target. */
-	overAtMs?: number;
+	lastOverTargetAtMs?: number;
 	/** When `percent` last rose. */
 	progressAtMs: number;
-	stopSentAtMs: number;
+	stopOrderedAtMs: number;
 	/** The run is not needed, because its task or job has ended or another run of the task is active; it is to be stopped. */
 	isUnwanted: boolean;
 	/** Last throttle ordered for a best-effort task, in percent of full speed; undefined: an earlier owner may have ordered one. */
-	pacePercent?: number;
+	throttlePercent?: number;
 };
 
 /** One task. */
@@ -82,7 +82,7 @@
 	/** Earliest time of the next start, after a failure. */
 	notBeforeMs: number;
 	/** Since when the task is ready and has no run. */
-	waitsSinceMs: number;
+	waitingSinceMs: number;
 };
 
 /** One step of one occurrence. */
@@ -92,7 +92,7 @@
 	index: number;
 	spec: WorkflowStep;
 	/** Key of the learned load of a latency-critical step: all of its tasks share one load, across occurrences. */
-	servingName: string;
+	loadKey: string;
 	tasks: LiveTask[];
 	remaining: number;
 	isReady: boolean;
@@ -106,7 +106,7 @@
 	occurrences: Map<number, LiveStep[]>;
 	nextOccurrence: number;
 	/** Completed, failed or cancelled: no task of it is started any more. */
-	isOver: boolean;
+	isFinished: boolean;
 	/** When it was submitted, on the owner's monotonic clock, because the wall clock may jump. */
 	receivedAtMs: number;
 };
@@ -131,25 +131,25 @@
 			spec: folded.workflow,
 			occurrences: new Map(),
 			nextOccurrence: 0,
-			isOver: false,
+			isFinished: false,
 			receivedAtMs: nowMs - Math.min(maxAgeMs, Math.max(0, wallMs - folded.workflow.receivedAtMs)),
 		};
 		this.workflows.set(folded.workflow.id, workflow);
-		this.openDue(workflow, wallMs, nowMs);
+		this.openDueOccurrences(workflow, wallMs, nowMs);
 		return workflow;
 	}
 
 	/** Adds a finished job that still has active runs. */
-	recall(folded: FoldedWorkflow, wallMs: number, nowMs: number): LiveWorkflow {
+	addFinished(folded: FoldedWorkflow, wallMs: number, nowMs: number): LiveWorkflow {
 		const workflow = this.add(folded, wallMs, nowMs);
-		workflow.isOver = true;
+		workflow.isFinished = true;
 		return workflow;
 	}
 
 	/** Opens the job's due occurrences; returns when the next one is due, undefined if there is none. */
-	openDue(workflow: LiveWorkflow, wallMs: number, nowMs: number): number | undefined {
+	openDueOccurrences(workflow: LiveWorkflow, wallMs: number, nowMs: number): number | undefined {
 		const total = countOccurrences(workflow.spec);
-		while (!workflow.isOver && workflow.nextOccurrence < total) {
+		while (!workflow.isFinished && workflow.nextOccurrence < total) {
 			const dueAtMs = getDueAtMs(workflow.spec, workflow.nextOccurrence);
 			if (dueAtMs > wallMs) {
 				return dueAtMs;
@@ -163,9 +163,9 @@
 	}
 
 	/** Removes finished jobs without active runs. */
-	dropOver(): void {
+	dropFinished(): void {
 		for (const [id, workflow] of this.workflows) {
-			if (workflow.isOver && isIdle(workflow)) {
+			if (workflow.isFinished && isIdle(workflow)) {
 				this.workflows.delete(id);
 			}
 		}
@@ -177,7 +177,7 @@
 	}
 
 	/** Marks the unit of the task as succeeded and makes the steps ready that waited for it. */
-	finish(task: LiveTask, nowMs: number): void {
+	completeUnit(task: LiveTask, nowMs: number): void {
 		const {step} = task;
 		for (const member of getUnit(task)) {
 			if (!member.isDone) {
@@ -192,10 +192,10 @@
 	}
 
 	/** Returns checkpoints of active runs that the stream does not hold, and marks them as stored. */
-	takeUnstored(): SavedRun[] {
-		const saved: SavedRun[] = [];
+	takeUnstoredCheckpoints(): RunCheckpoint[] {
+		const saved: RunCheckpoint[] = [];
 		for (const workflow of this.workflows.values()) {
-			for (const {task, run} of workflow.isOver ? [] : getActiveRuns(workflow)) {
+			for (const {task, run} of workflow.isFinished ? [] : getActiveRuns(workflow)) {
 				if (task.checkpoint !== task.storedCheckpoint && !task.isDone) {
 					task.storedCheckpoint = task.checkpoint;
 					saved.push({taskId: task.taskId, run, checkpoint: task.checkpoint});
@@ -207,25 +207,25 @@
 	}
 
 	/** Incomplete occurrences of unfinished jobs without long-running steps. */
-	openOccurrences(): LiveStep[][] {
+	getOpenOccurrences(): LiveStep[][] {
 		return [...this.workflows.values()]
-			.filter(({isOver, spec}) => !isOver && spec.steps.every(step => !step.isLasting))
+			.filter(({isFinished, spec}) => !isFinished && spec.steps.every(step => !step.isLasting))
 			.flatMap(workflow => [...workflow.occurrences.values()])
 			.filter(steps => steps.some(step => step.remaining > 0));
 	}
 
 	/** Incomplete steps of unfinished jobs. */
-	openSteps(): LiveStep[] {
+	getOpenSteps(): LiveStep[] {
 		return [...this.workflows.values()]
-			.filter(workflow => !workflow.isOver)
+			.filter(workflow => !workflow.isFinished)
 			.flatMap(workflow => [...workflow.occurrences.values()].flat())
 			.filter(step => step.remaining > 0);
 	}
 
 	/** Tasks that may be started: ready, not done, and either without an active run or in need of a copy. */
-	* waiting(nowMs: number, wantsCopy: (task: LiveTask) => boolean): Generator<LiveTask> {
+	* getWaitingTasks(nowMs: number, wantsCopy: (task: LiveTask) => boolean): Generator<LiveTask> {
 		for (const workflow of this.workflows.values()) {
-			if (workflow.isOver) {
+			if (workflow.isFinished) {
 				continue;
 			}
 
@@ -240,7 +240,7 @@
 	#open(workflow: LiveWorkflow, occurrence: number, nowMs: number): void {
 		const steps = workflow.spec.steps.map((spec, index): LiveStep => {
 			const step: LiveStep = {
-				workflow, occurrence, index, spec, servingName: `${workflow.spec.id}.${index}`, tasks: [], remaining: 0, isReady: false,
+				workflow, occurrence, index, spec, loadKey: `${workflow.spec.id}.${index}`, tasks: [], remaining: 0, isReady: false,
 			};
 			for (let taskIndex = 0; taskIndex < spec.count; taskIndex++) {
 				step.tasks.push(createTask(step, taskIndex, nowMs));
@@ -306,7 +306,7 @@
 		runs: [],
 		avoidedHosts: new Set(),
 		notBeforeMs: 0,
-		waitsSinceMs: nowMs,
+		waitingSinceMs: nowMs,
 	};
 };
 
@@ -317,7 +317,7 @@
 		if (!step.isReady && step.spec.after.every(earlier => steps[earlier]!.remaining === 0 && !steps[earlier]!.spec.isLasting)) {
 			step.isReady = true;
 			for (const task of step.tasks) {
-				task.waitsSinceMs = nowMs;
+				task.waitingSinceMs = nowMs;
 			}
 		}
 	}
--- a/src/workflows/order-sender.ts
+++ b/src/workflows/order-sender.ts
@@ -21,7 +21,7 @@
 	model: LiveModel;
 	getTicket: (step: LiveStep, workerId: string) => string | undefined;
 	/** How long a start that is ordered now may stay valid. */
-	getStartGoodMs: () => number;
+	getStartValidityMs: () => number;
 	/** An agent knows a newer owner. */
 	onStaleEpoch: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
@@ -53,15 +53,15 @@
 	}
 
 	/** Moving average of the time from the decision of a start to the agent's answer. */
-	get leadMs(): number {
+	get startDelayMs(): number {
 		return this.#startDelayMs;
 	}
 
 	/** Orders starts that were decided. */
 	start(starts: Start[]): void {
-		const {tracker, links, clock, getStartGoodMs} = this.#options;
+		const {tracker, links, clock, getStartValidityMs} = this.#options;
 		const nowMs = clock.monotonicMs();
-		const validityMs = getStartGoodMs();
+		const validityMs = getStartValidityMs();
 		const byWorker = new Map<FleetWorker, {runs: LiveRun[]; notAfterMs: number}>();
 		for (const {task, worker} of starts) {
 			const {step} = task;
@@ -70,7 +70,7 @@
 			// The run and its order have the same expiry: with a later one in the order the run could begin after it was considered lost.
 			const orders = byWorker.get(worker) ?? {runs: [], notAfterMs: links.getNotAfterMs(worker, validityMs)};
 			byWorker.set(worker, orders);
-			orders.runs.push(tracker.open(task, worker, lastRun + 1, {nowMs, notAfterMs: orders.notAfterMs}));
+			orders.runs.push(tracker.addRun(task, worker, lastRun + 1, {nowMs, notAfterMs: orders.notAfterMs}));
 		}
 
 		for (const [worker, {runs, notAfterMs}] of byWorker) {
@@ -79,19 +79,19 @@
 	}
 
 	/** Stops runs of finished jobs, copies of tasks that are done, and other unneeded runs; drops finished jobs. */
-	stopUnneeded(): void {
+	stopUnneededRuns(): void {
 		const {links, model, clock} = this.#options;
 		const nowMs = clock.monotonicMs();
 		for (const worker of links.workers.values()) {
-			const unneeded = [...worker.runs].filter(({phase, task, isUnwanted, stopSentAtMs}) =>
-				phase !== RunPhase.Starting && nowMs - stopSentAtMs >= stopRetryMs
-				&& (phase === RunPhase.Stopping || task.step.workflow.isOver || task.isDone || isUnwanted));
+			const unneeded = [...worker.runs].filter(({phase, task, isUnwanted, stopOrderedAtMs}) =>
+				phase !== RunPhase.Starting && nowMs - stopOrderedAtMs >= stopRetryMs
+				&& (phase === RunPhase.Stopping || task.step.workflow.isFinished || task.isDone || isUnwanted));
 			if (unneeded.length > 0) {
 				this.stop(worker, unneeded);
 			}
 		}
 
-		model.dropOver();
+		model.dropFinished();
 	}
 
 	/** Orders runs to stop; `stopUnneededRuns` repeats the order until their ends are listed. */
@@ -99,21 +99,21 @@
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const run of runs) {
 			run.phase = RunPhase.Stopping;
-			run.stopSentAtMs = nowMs;
+			run.stopOrderedAtMs = nowMs;
 		}
 
-		if (worker.report && worker.silentSinceMs === undefined) {
+		if (worker.report && worker.unresponsiveSinceMs === undefined) {
 			void this.#options.links.order(worker, runs.map(({task, run}): Order => ({type: OrderType.Stop, taskId: task.taskId, run})));
 		}
 	}
 
 	/** Stops a run of an unknown task. Nothing is placed on its worker meanwhile, because the capacity that it uses is unknown. */
-	stopUnknown(worker: FleetWorker, taskId: string, run: number): void {
+	stopUnknownRun(worker: FleetWorker, taskId: string, run: number): void {
 		const {clock, links, note} = this.#options;
 		const nowMs = clock.monotonicMs();
 		worker.blockedUntilMs = Math.max(worker.blockedUntilMs, nowMs + unknownPauseMs);
-		if (nowMs - worker.unknownStopAtMs >= stopRetryMs) {
-			worker.unknownStopAtMs = nowMs;
+		if (nowMs - worker.unknownRunStopAtMs >= stopRetryMs) {
+			worker.unknownRunStopAtMs = nowMs;
 			note('run not known', {taskId, run, host: worker.host});
 			void links.order(worker, [{type: OrderType.Stop, taskId, run}]);
 		}
@@ -121,9 +121,9 @@
 
 	async #sendStarts(worker: FleetWorker, runs: LiveRun[], notAfterMs: number): Promise<void> {
 		const {links, clock, note} = this.#options;
-		for (const {task, run, workerId, sentAtMs} of runs) {
+		for (const {task, run, workerId, orderedAtMs} of runs) {
 			note('start', {
-				taskId: task.taskId, run, host: worker.host, workerId, waitedMs: Math.round(sentAtMs - task.waitsSinceMs), checkpoint: task.checkpoint === '' ? undefined : task.checkpoint,
+				taskId: task.taskId, run, host: worker.host, workerId, waitedMs: Math.round(orderedAtMs - task.waitingSinceMs), checkpoint: task.checkpoint === '' ? undefined : task.checkpoint,
 			});
 		}
 
@@ -135,7 +135,7 @@
 		})), notAfterMs);
 		const nowMs = clock.monotonicMs();
 		for (const [index, run] of runs.entries()) {
-			run.isOrderOut = false;
+			run.isOrderPending = false;
 			const answer = reply?.answers[index];
 			if (answer) {
 				this.#handleAnswer(worker, run, answer, {version: reply.version, nowMs});
@@ -150,13 +150,13 @@
 		}
 
 		if (isDone) {
-			this.#startDelayMs += delayWeight * (nowMs - run.sentAtMs - this.#startDelayMs);
+			this.#startDelayMs += delayWeight * (nowMs - run.orderedAtMs - this.#startDelayMs);
 			tracker.confirm(run, version, nowMs);
 			return;
 		}
 
 		note('start refused', {
-			taskId: run.task.taskId, run: run.run, host: worker.host, refusal, afterMs: Math.round(nowMs - run.sentAtMs),
+			taskId: run.task.taskId, run: run.run, host: worker.host, refusal, afterMs: Math.round(nowMs - run.orderedAtMs),
 		});
 		if (refusal === OrderRefusal.StaleEpoch) {
 			onStaleEpoch();
--- a/src/workflows/owner-log.ts
+++ b/src/workflows/owner-log.ts
@@ -2,7 +2,7 @@
 Writes an owner's records to the jobs stream: its claim, ends of runs, started jobs, checkpoints, interference and snapshots.
 */
 import {
-	controlTopic, ControlType, encodeControl,
+	controlTopic, ControlRecordType, encodeControlRecord,
 } from '../agents/control-records.ts';
 import {getMessage} from '../core/errors.ts';
 import {ProducerWriter, WriteOutcome} from '../core/producer-writer.ts';
@@ -10,9 +10,9 @@
 import {AppendOutcome, type StoreClient} from '../types/store.ts';
 import {type EndedRun} from '../types/workflows.ts';
 import {type WorkflowFollower} from './follower.ts';
-import {forgetOld, getRewrites} from './rewriter.ts';
+import {dropExpired, getDueSnapshots} from './snapshot-writer.ts';
 import {
-	encodeRecord, RecordType, workflowsTopic, type CrashedTask, type HarmPair, type SavedRun, type WorkflowRecord,
+	encodeRecord, RecordType, workflowsTopic, type AttributedCrash, type InterferencePair, type RunCheckpoint, type WorkflowRecord,
 } from './records.ts';
 
 /** Options of the log. */
@@ -25,7 +25,7 @@
 	epoch: number;
 	maxCallBytes: number;
 	/** How long the store retains records. */
-	keptMs: number;
+	retentionMs: number;
 	/** The stream refuses the records of this owner, because a newer one has written to it. */
 	onFenced: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
@@ -62,9 +62,9 @@
 			ref: {topic: workflowsTopic, partition},
 			producer: ownerProducer,
 			epoch,
-			gatherMs,
+			lingerMs: gatherMs,
 			maxBatchBytes: maxCallBytes / 2,
-			onNote(event, detail) {
+			onEvent(event, detail) {
 				note(`store ${event}`, {detail, writer: ownerProducer});
 			},
 		});
@@ -108,28 +108,28 @@
 	}
 
 	/** Stores crashes that are attributed to tasks; resolves to whether they are stored. */
-	async storeCrashes(crashes: CrashedTask[]): Promise<boolean> {
+	async storeCrashes(crashes: AttributedCrash[]): Promise<boolean> {
 		return crashes.length === 0 || this.#write({type: RecordType.Crashes, crashes});
 	}
 
 	/** Records that the first run of a job has started; `sendStarted` stores it. */
-	noteBegun(id: string): void {
+	recordStarted(id: string): void {
 		this.#started.add(id);
 	}
 
 	/** Stores which jobs have started, at most once per interval. */
-	sendBegun(): void {
+	sendStarted(): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		if (this.#started.size > 0 && nowMs - this.#startedSentAtMs >= startedIntervalMs) {
 			this.#startedSentAtMs = nowMs;
 			const ids = [...this.#started];
 			this.#started.clear();
-			void this.#write({type: RecordType.Begun, ids});
+			void this.#write({type: RecordType.Started, ids});
 		}
 	}
 
 	/** Stores checkpoints of active runs once per interval, in case all hosts that know them lose power together. */
-	keepSaved(getSaved: () => SavedRun[]): void {
+	storeCheckpoints(getSaved: () => RunCheckpoint[]): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		if (nowMs - this.#checkpointsSentAtMs < checkpointIntervalMs) {
 			return;
@@ -138,12 +138,12 @@
 		this.#checkpointsSentAtMs = nowMs;
 		const runs = getSaved();
 		if (runs.length > 0) {
-			void this.#write({type: RecordType.Saved, runs});
+			void this.#write({type: RecordType.Checkpoints, runs});
 		}
 	}
 
 	/** Stores the learned interference once per interval, for the next owner. */
-	keepHarm(getPairs: () => HarmPair[]): void {
+	storeInterference(getPairs: () => InterferencePair[]): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		if (nowMs - this.#interferenceSentAtMs < interferenceIntervalMs) {
 			return;
@@ -152,25 +152,25 @@
 		this.#interferenceSentAtMs = nowMs;
 		const pairs = getPairs();
 		if (pairs.length > 0) {
-			void this.#write({type: RecordType.Harm, pairs});
+			void this.#write({type: RecordType.Interference, pairs});
 		}
 	}
 
 	/** Writes snapshots of jobs whose records the store will drop, and forgets expired jobs. */
-	rewrite(): void {
-		const {follower: {fold}, clock, keptMs} = this.#options;
-		for (const record of getRewrites(fold, clock, keptMs)) {
+	writeSnapshots(): void {
+		const {follower: {fold}, clock, retentionMs} = this.#options;
+		for (const record of getDueSnapshots(fold, clock, retentionMs)) {
 			void this.#write(record);
 		}
 
-		forgetOld(fold, clock, keptMs);
+		dropExpired(fold, clock, retentionMs);
 	}
 
 	/** Stores the claim in the control stream; undefined: not known to be stored; false: there is a newer owner. */
 	async #notifyAgents(): Promise<boolean | undefined> {
 		const {store, partition, epoch, host, note} = this.#options;
 		try {
-			const {outcome} = await store.append({topic: controlTopic, partition}, [encodeControl({type: ControlType.Claim, epoch, owner: host})], {
+			const {outcome} = await store.append({topic: controlTopic, partition}, [encodeControlRecord({type: ControlRecordType.Claim, epoch, owner: host})], {
 				stamp: {producer: ownerProducer, epoch, sequence: 0}, timeoutMs: storeTimeoutMs,
 			});
 			if (outcome === AppendOutcome.Fenced) {
--- a/src/workflows/owner-options.ts
+++ b/src/workflows/owner-options.ts
@@ -23,19 +23,19 @@
 	host: string;
 	/** Higher than that of all earlier owners. */
 	epoch: number;
-	leaseHorizonMs: number;
+	leaseDurationMs: number;
 	/** Time within which a cancelled job must have stopped. */
 	cancelMs: number;
 	getEvacuations: () => Evacuations;
 	/** When the last answered heartbeat to the store was sent. */
-	getReachedAtMs: () => number;
+	getHeartbeatAtMs: () => number;
 	maxCallBytes: number;
 	/** How long the store retains records. */
-	keptMs: number;
+	retentionMs: number;
 	/** Whether the agent's service belongs to the owned partition. */
-	isMine: (registration: AgentRegistration) => boolean;
+	isOwned: (registration: AgentRegistration) => boolean;
 	policy: Policy;
 	/** A newer owner is known. */
-	onDeposed: () => void;
+	onSuperseded: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
--- a/src/workflows/owner.ts
+++ b/src/workflows/owner.ts
@@ -11,31 +11,31 @@
 import {WorkMeter} from '../utils/work-meter.ts';
 import {AdviceCache} from './advice-cache.ts';
 import {AgentLinks} from './agent-links.ts';
-import {CrashWatch} from './crash-watch.ts';
+import {CrashMonitor} from './crash-monitor.ts';
 import {DueOccurrences} from './due-occurrences.ts';
 import {EvacuationPublisher} from './evacuation-publisher.ts';
-import {FillHarm} from './fill-harm.ts';
+import {BestEffortInterference} from './best-effort-interference.ts';
 import {type FleetWorker} from './fleet-view.ts';
 import {isFinal, type FoldedWorkflow} from './fold.ts';
 import {type WorkflowFollower} from './follower.ts';
 import {LiveModel, type LiveTask} from './live-model.ts';
-import {LossWatch} from './loss-watch.ts';
-import {getOpenWorkers} from './open-workers.ts';
+import {AgentLossMonitor} from './agent-loss-monitor.ts';
+import {getSchedulableWorkers} from './schedulable-workers.ts';
 import {OrderSender} from './order-sender.ts';
 import {OwnerLog} from './owner-log.ts';
 import {type OwnerOptions} from './owner-options.ts';
-import {PaceKeeper} from './pace-keeper.ts';
-import {createPlaceFinder} from './placement.ts';
+import {ThrottleController} from './throttle-controller.ts';
+import {createPlacementCheck} from './placement.ts';
 import {Mechanism} from './policy.ts';
-import {isKeptApart, Quarantine} from './quarantine.ts';
+import {isQuarantined, Quarantine} from './quarantine.ts';
 import {chooseMoves, wantsCopy} from './relocation.ts';
 import {SchedulingCycles} from './scheduling-cycles.ts';
 import {RunTimes} from './run-times.ts';
 import {RunTracker} from './run-tracker.ts';
-import {Settling} from './settling.ts';
-import {type IsAllowed} from './step-places.ts';
-import {describeEnd} from './task-order.ts';
-import {ViewAge} from './view-age.ts';
+import {Reconciliation} from './reconciliation.ts';
+import {type IsAllowed} from './step-placement.ts';
+import {describeFinishedJob} from './task-order.ts';
+import {ViewStaleness} from './view-staleness.ts';
 
 /** Interval of the periodic checks, which react to the passing of time alone. */
 const checkIntervalMs = 50;
@@ -52,20 +52,20 @@
 	readonly #runs: RunTracker;
 	readonly #log: OwnerLog;
 	readonly #sender: OrderSender;
-	readonly #losses: LossWatch;
-	readonly #crashes: CrashWatch;
+	readonly #losses: AgentLossMonitor;
+	readonly #crashes: CrashMonitor;
 	readonly #quarantine: Quarantine;
-	readonly #throttleController: PaceKeeper;
+	readonly #throttleController: ThrottleController;
 	readonly #advice: AdviceCache;
 	readonly #isAllowed: IsAllowed;
 	readonly #cycles: SchedulingCycles;
-	readonly #interference = new FillHarm();
+	readonly #interference = new BestEffortInterference();
 	readonly #runTimes: RunTimes;
 	readonly #aborter = createAborter();
 	readonly #meter: WorkMeter;
-	readonly #viewStaleness: ViewAge;
+	readonly #viewStaleness: ViewStaleness;
 	readonly #dueOccurrences: DueOccurrences;
-	readonly #reconciliation: Settling;
+	readonly #reconciliation: Reconciliation;
 	readonly #evacuationPublisher: EvacuationPublisher;
 	readonly #relocations: DutyCycle;
 	readonly #health = new WorkerHealth<HealthSubject>({maxTries: 1, holdMs: firstHoldMs});
@@ -78,7 +78,7 @@
 		this.#meter = new WorkMeter(clock, times => {
 			note('owner work', {jobs: model.workflows.size, ...times});
 		});
-		this.#viewStaleness = new ViewAge(options);
+		this.#viewStaleness = new ViewStaleness(options);
 		this.#dueOccurrences = new DueOccurrences(model, clock);
 		this.#relocations = new DutyCycle(clock, relocationRestFactor);
 		this.#evacuationPublisher = new EvacuationPublisher(options);
@@ -91,13 +91,13 @@
 		this.links = new AgentLinks({
 			...options,
 			registrations: {topic: agentsTopic, partition: 0},
-			getProvenAtMs: () => follower.fold.epoch === epoch ? follower.provenAtMs : Number.NEGATIVE_INFINITY,
+			getCaughtUpAtMs: () => follower.fold.epoch === epoch ? follower.caughtUpAtMs : Number.NEGATIVE_INFINITY,
 			onReply: (worker, reply) => {
 				this.#meter.measure('reply', () => {
 					this.#handleReply(worker, reply);
 				});
 			},
-			onDeposed: newerEpoch => {
+			onSuperseded: newerEpoch => {
 				this.#stepDown(`an agent knows epoch ${newerEpoch}`);
 			},
 		});
@@ -105,7 +105,7 @@
 			this.#cycles.requestCycle();
 		};
 
-		this.#reconciliation = new Settling({...options, links: this.links, onSettled: requestCycle});
+		this.#reconciliation = new Reconciliation({...options, links: this.links, onReconciled: requestCycle});
 		this.#runs = this.#createRunTracker(requestCycle);
 		const shared = {
 			clock, note, model, links: this.links, tracker: this.#runs,
@@ -113,16 +113,16 @@
 		this.#advice = new AdviceCache({...options, client: options.adviceClient, onAdvice: requestCycle});
 		this.#isAllowed = (step, workerId) => !step.workflow.spec.needsAdvice || this.#advice.getTicket(step, workerId) !== undefined;
 		this.#quarantine = new Quarantine({workers: this.links.workers, note});
-		this.#crashes = new CrashWatch({
+		this.#crashes = new CrashMonitor({
 			clock,
 			note,
 			tracker: this.#runs,
 			getTask: ref => this.#findTask(ref),
 			store: async crashes => this.#log.storeCrashes(crashes),
-			onCulprit: (worker, task) => {
+			onLikelyCause: (worker, task) => {
 				this.#noteHealth(worker, task, false);
 			},
-			onGivenUp: task => {
+			onCrashLimit: task => {
 				this.#failJob(task);
 			},
 		});
@@ -133,27 +133,27 @@
 			meter: this.#meter,
 			signal: this.#aborter.signal,
 			model: this.model,
-			harm: this.#interference,
+			interference: this.#interference,
 			times: this.#runTimes,
 			isAllowed: this.#isAllowed,
 			quarantine: this.#quarantine,
 			getWaiting: nowMs => this.#getStartableTasks(nowMs),
 			getWorkers: nowMs => this.#getOpenWorkers(nowMs),
 			getRuns: () => [...this.links.workers.values()].flatMap(worker => [...worker.runs]),
-			getLeadMs: () => this.#sender.leadMs,
+			getStartDelayMs: () => this.#sender.startDelayMs,
 			onStarts: starts => {
 				this.#sender.start(starts);
 			},
 		});
 		this.#sender = new OrderSender({
-			...shared, getTicket: (step, workerId) => this.#advice.getTicket(step, workerId), getStartGoodMs: () => this.#viewStaleness.getStartGoodMs(), onStaleEpoch: () => {
+			...shared, getTicket: (step, workerId) => this.#advice.getTicket(step, workerId), getStartValidityMs: () => this.#viewStaleness.getStartValidityMs(), onStaleEpoch: () => {
 				this.#stepDown('an agent refused the epoch');
 			},
 		});
-		this.#losses = new LossWatch({
+		this.#losses = new AgentLossMonitor({
 			...options, tracker: this.#runs, workers: this.links.workers, signal: this.#aborter.signal,
 		});
-		this.#throttleController = new PaceKeeper({...shared, harm: this.#interference});
+		this.#throttleController = new ThrottleController({...shared, interference: this.#interference});
 	}
 
 	/** Claims the partition and runs its jobs until stopped or superseded by a newer owner. */
@@ -167,8 +167,8 @@
 		}
 
 		this.#claimOffset = claimOffset;
-		this.#reconciliation.begin();
-		if (policy[Mechanism.HarmHandover]) {
+		this.#reconciliation.start();
+		if (policy[Mechanism.InterferenceHandover]) {
 			this.#interference.restore(follower.fold.harm, clock.monotonicMs());
 		}
 
@@ -192,38 +192,38 @@
 		if (!this.#aborter.signal.aborted) {
 			this.#options.note('deposed', {partition: this.#options.partition, epoch: this.#options.epoch, reason});
 			this.stop();
-			this.#options.onDeposed();
+			this.#options.onSuperseded();
 		}
 	}
 
 	#createRunTracker(onChange: () => void): RunTracker {
 		const {note} = this.#options;
 		return new RunTracker(this.model, {
-			store: async ends => this.#log.storeEnds(ends),
-			onBegun: ({step: {workflow: {folded}}}) => {
+			storeEnds: async ends => this.#log.storeEnds(ends),
+			onStarted: ({step: {workflow: {folded}}}) => {
 				if (!folded.hasBegun) {
-					this.#log.noteBegun(folded.workflow.id);
+					this.#log.recordStarted(folded.workflow.id);
 				}
 			},
-			recall: ref => this.#findTask(ref),
-			onUnknown: (worker, taskId, run) => {
-				this.#sender.stopUnknown(worker, taskId, run);
+			findFinishedTask: ref => this.#findTask(ref),
+			onUnknownRun: (worker, taskId, run) => {
+				this.#sender.stopUnknownRun(worker, taskId, run);
 			},
 			onProgress: run => {
-				this.#runTimes.note(run, {isDone: false});
+				this.#runTimes.observe(run, {isDone: false});
 			},
 			onOutcome: (worker, run, isSuccess) => {
 				const {task} = run;
 				if (isSuccess) {
-					worker.isProven = true;
-					this.#runTimes.note(run, {isDone: true});
+					worker.hasSucceededSinceCrash = true;
+					this.#runTimes.observe(run, {isDone: true});
 				} else {
 					task.avoidedHosts.add(worker.host);
 				}
 
 				this.#noteHealth(worker, task, isSuccess);
 			},
-			onExhausted: task => {
+			onAttemptsExhausted: task => {
 				this.#failJob(task);
 			},
 			onChange,
@@ -245,7 +245,7 @@
 		this.#options.note('job failed', {
 			id: ref.workflowId, taskId, failures: failedRuns.size, crashes: crashes.length,
 		});
-		workflow.isOver = true;
+		workflow.isFinished = true;
 	}
 
 	#subscribe(follower: WorkflowFollower): void {
@@ -258,10 +258,10 @@
 				});
 				const nowMs = clock.monotonicMs();
 				// The record was written after the last read that reached the end of the stream, which bounds the job's age.
-				this.#dueOccurrences.schedule(this.model.add(folded, clock.now().getTime(), nowMs, nowMs - follower.provenAtMs));
+				this.#dueOccurrences.schedule(this.model.add(folded, clock.now().getTime(), nowMs, nowMs - follower.caughtUpAtMs));
 				this.#cycles.requestCycle();
 			},
-			onFinal: folded => {
+			onFinished: folded => {
 				this.#finishWorkflow(folded);
 			},
 			onClaim: claimed => {
@@ -284,19 +284,19 @@
 
 	#runPeriodicChecks(): void {
 		const {clock, policy} = this.#options;
-		this.#dueOccurrences.open();
+		this.#dueOccurrences.openDueOccurrences();
 		this.#reconciliation.check();
 		this.#losses.check();
 		this.#evacuationPublisher.update(this.links.workers.values());
-		this.#sender.stopUnneeded();
-		this.#log.sendBegun();
-		this.#log.rewrite();
-		if (policy[Mechanism.SavedRuns]) {
-			this.#log.keepSaved(() => this.model.takeUnstored());
+		this.#sender.stopUnneededRuns();
+		this.#log.sendStarted();
+		this.#log.writeSnapshots();
+		if (policy[Mechanism.RunCheckpoints]) {
+			this.#log.storeCheckpoints(() => this.model.takeUnstoredCheckpoints());
 		}
 
-		this.#log.keepHarm(() => this.#interference.getPairs());
-		this.#advice.update(this.model.openSteps(), this.links.workers.values());
+		this.#log.storeInterference(() => this.#interference.getPairs());
+		this.#advice.update(this.model.getOpenSteps(), this.links.workers.values());
 		this.#relocations.tryRun(() => {
 			this.#relocate();
 		});
@@ -306,12 +306,12 @@
 
 	/** Tasks of jobs accepted after the claim need not wait for the reconciliation: no earlier owner can have started them. */
 	* #getStartableTasks(nowMs: number): Generator<LiveTask> {
-		if (this.#viewStaleness.isTooOld()) {
+		if (this.#viewStaleness.isTooStale()) {
 			return;
 		}
 
-		for (const task of this.model.waiting(nowMs, task => this.#options.policy[Mechanism.StallMoves] && !isKeptApart(task) && wantsCopy(task, nowMs))) {
-			if (this.#reconciliation.isSettled || task.step.workflow.folded.offset >= this.#claimOffset) {
+		for (const task of this.model.getWaitingTasks(nowMs, task => this.#options.policy[Mechanism.StallMoves] && !isQuarantined(task) && wantsCopy(task, nowMs))) {
+			if (this.#reconciliation.isReconciled || task.step.workflow.folded.offset >= this.#claimOffset) {
 				yield task;
 			}
 		}
@@ -319,7 +319,7 @@
 
 	#getOpenWorkers(nowMs: number): FleetWorker[] {
 		const {policy, getEvacuations} = this.#options;
-		return getOpenWorkers(this.links.workers.values(), {nowMs, policy, evacuated: getEvacuations().failureDomains});
+		return getSchedulableWorkers(this.links.workers.values(), {nowMs, policy, evacuated: getEvacuations().failureDomains});
 	}
 
 	/** Stops runs that are stalled, heavily throttled or about to be lost with a draining worker, so that their tasks start elsewhere. */
@@ -327,11 +327,11 @@
 		const {clock, policy} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const moves = chooseMoves({
-			workers: this.links.workers.values(), nowMs, policy, hasPlace: createPlaceFinder(this.#getOpenWorkers(nowMs).filter(worker => !this.#quarantine.isClosed(worker)), {harm: this.#interference, isAllowed: this.#isAllowed, policy}),
+			workers: this.links.workers.values(), nowMs, policy, canPlace: createPlacementCheck(this.#getOpenWorkers(nowMs).filter(worker => !this.#quarantine.isClosed(worker)), {interference: this.#interference, isAllowed: this.#isAllowed, policy}),
 		});
 		for (const {worker, run} of moves) {
 			this.#options.note('run moved', {
-				taskId: run.task.taskId, run: run.run, host: worker.host, percent: run.percent, pacePercent: run.pacePercent,
+				taskId: run.task.taskId, run: run.run, host: worker.host, percent: run.percent, pacePercent: run.throttlePercent,
 			});
 			this.#sender.stop(worker, [run]);
 		}
@@ -340,10 +340,10 @@
 	#handleReply(worker: FleetWorker, reply: WatchReply): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		this.#losses.readmit(worker);
-		this.#crashes.take(worker, reply, nowMs);
+		this.#crashes.handleReply(worker, reply, nowMs);
 		const runsBefore = worker.runs.size;
-		this.#runs.take(worker, reply, nowMs);
-		this.#throttleController.take(worker);
+		this.#runs.applyReply(worker, reply, nowMs);
+		this.#throttleController.handleState(worker);
 		if (worker.runs.size !== runsBefore || !worker.isListed) {
 			this.#cycles.requestCycle();
 		}
@@ -354,7 +354,7 @@
 		const {follower, clock} = this.#options;
 		const folded = follower.fold.workflows.get(ref.workflowId);
 		if (folded && isFinal(folded.state)) {
-			this.model.recall(folded, clock.now().getTime(), clock.monotonicMs());
+			this.model.addFinished(folded, clock.now().getTime(), clock.monotonicMs());
 		}
 
 		return this.model.getTask(ref);
@@ -363,9 +363,9 @@
 	#finishWorkflow(folded: FoldedWorkflow): void {
 		const workflow = this.model.workflows.get(folded.workflow.id);
 		if (workflow) {
-			this.#options.note('job over', describeEnd(workflow, this.#runTimes, this.#options.clock.monotonicMs()));
-			workflow.isOver = true;
-			this.#sender.stopUnneeded();
+			this.#options.note('job over', describeFinishedJob(workflow, this.#runTimes, this.#options.clock.monotonicMs()));
+			workflow.isFinished = true;
+			this.#sender.stopUnneededRuns();
 			this.#cycles.requestCycle();
 		}
 	}
--- a/src/workflows/ownership.ts
+++ b/src/workflows/ownership.ts
@@ -29,11 +29,11 @@
 	/** Whether the entry at the address answers. */
 	isAlive: (address: string) => Promise<boolean>;
 	/** Start of the last read that reached the end of the jobs stream; negative infinity: none did yet. */
-	getProvenAtMs: () => number;
+	getCaughtUpAtMs: () => number;
 	/** Whether the partition has a service. */
-	isUsed: (partition: number) => boolean;
+	hasService: (partition: number) => boolean;
 	/** The owner calls `onSuperseded` when it learns of a newer one; `getHeartbeatAtMs` returns when the last answered heartbeat was sent. */
-	createOwner: (partition: number, epoch: number, terms: {onDeposed: () => void; getReachedAtMs: () => number}) => RunningOwner;
+	createOwner: (partition: number, epoch: number, terms: {onSuperseded: () => void; getHeartbeatAtMs: () => number}) => RunningOwner;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
@@ -172,15 +172,15 @@
 
 	/** Waits until the stream has been read to its end: an owner that is behind would keep the jobs from an entry that is not. */
 	async #waitForCatchUp(signal: AbortSignal): Promise<void> {
-		const {clock, getProvenAtMs} = this.#options;
-		while (!signal.aborted && !this.#isLeaving && clock.monotonicMs() - getProvenAtMs() > maxJoinStalenessMs) {
+		const {clock, getCaughtUpAtMs} = this.#options;
+		while (!signal.aborted && !this.#isLeaving && clock.monotonicMs() - getCaughtUpAtMs() > maxJoinStalenessMs) {
 			await clock.sleep(catchUpCheckIntervalMs, signal);
 		}
 	}
 
 	/** Time from the last read that reached the end of the stream to the last answered heartbeat. */
 	#getStalenessMs(): number {
-		return this.#lastHeartbeatAtMs - this.#options.getProvenAtMs();
+		return this.#lastHeartbeatAtMs - this.#options.getCaughtUpAtMs();
 	}
 
 	async #withdraw(): Promise<void> {
@@ -241,7 +241,7 @@
 		const needed = processorsPerWorker * await this.#countWorkers();
 		const isSmall = processors < needed;
 		this.#isSlow = processors * yieldFactor < needed;
-		const hasBetterOwner = isSmall && await this.#isOwnedByLargerEntry(await store.getOwners(group), needed);
+		const hasBetterOwner = isSmall && await this.#isOwnedByLargerEntry(await store.getPartitionHolders(group), needed);
 		const nowMs = clock.monotonicMs();
 		if (hasBetterOwner) {
 			this.#betterOwnerSeenAtMs = nowMs;
@@ -281,7 +281,7 @@
 	}
 
 	#applyAssignment(generation: number, partitions: Set<number>): void {
-		const {isUsed, createOwner, note} = this.#options;
+		const {hasService, createOwner, note} = this.#options;
 		for (const [partition, owner] of this.owners) {
 			if (!partitions.has(partition)) {
 				note('partition given up', {partition, generation});
@@ -292,13 +292,13 @@
 
 		this.#generation = generation;
 		for (const partition of partitions) {
-			if (!this.owners.has(partition) && isUsed(partition)) {
+			if (!this.owners.has(partition) && hasService(partition)) {
 				note('partition dealt', {partition, generation});
 				const owner = createOwner(partition, generation, {
-					onDeposed: () => {
+					onSuperseded: () => {
 						this.owners.delete(partition);
 					},
-					getReachedAtMs: () => this.#lastHeartbeatAtMs,
+					getHeartbeatAtMs: () => this.#lastHeartbeatAtMs,
 				});
 				this.owners.set(partition, owner);
 				void owner.run();
--- a/src/workflows/placement-candidates.ts
+++ b/src/workflows/placement-candidates.ts
@@ -3,11 +3,11 @@
 */
 import {type Capacity} from '../types/fleet.ts';
 import {type WorkflowStep} from '../types/workflows.ts';
-import {getBestEffortGroups, getLatencyCriticalTasks, type FillHarm} from './fill-harm.ts';
+import {getBestEffortGroups, getLatencyCriticalTasks, type BestEffortInterference} from './best-effort-interference.ts';
 import {
-	getFreeRoom, getMilliCpu, getRack, type FleetWorker,
+	getFreeCapacity, getReservedMilliCpu, getRack, type FleetWorker,
 } from './fleet-view.ts';
-import {type BestEffortDemand, type LatencyCriticalLoad} from './harm-pacing.ts';
+import {type BestEffortDemand, type LatencyCriticalLoad} from './interference-throttling.ts';
 import {type LiveStep, type LiveTask} from './live-model.ts';
 
 /** One worker in a cycle. */
@@ -31,7 +31,7 @@
 const loadRiseMargin = 0.08;
 
 /** Creates the candidate for the current state of a worker. */
-export const createCandidate = (worker: FleetWorker, interference: FillHarm): Candidate => {
+export const createCandidate = (worker: FleetWorker, interference: BestEffortInterference): Candidate => {
 	const taskCounts = new Map<LiveStep, number>();
 	for (const {task: {step}} of worker.runs) {
 		if (step.spec.maxPerWorker > 0) {
@@ -42,27 +42,27 @@
 	const {milliCpu} = worker.report!;
 	return {
 		worker,
-		freeCapacity: getFreeRoom(worker),
+		freeCapacity: getFreeCapacity(worker),
 		rack: getRack(worker.report!),
 		taskCounts,
 		unusedShare: getUnusedShare(worker, interference),
-		demands: getBestEffortGroups(worker.runs, worker.paces, {milliCpu, nowMs: 0}),
+		demands: getBestEffortGroups(worker.runs, worker.throttles, {milliCpu, nowMs: 0}),
 		latencyCriticalLoads: getLatencyCriticalJobs(worker, interference),
 		bestEffortShare: undefined,
 		bestEffortGains: new Map(),
 	};
 };
 
-const getLatencyCriticalJobs = ({runs}: FleetWorker, interference: FillHarm): LatencyCriticalLoad[] => {
+const getLatencyCriticalJobs = ({runs}: FleetWorker, interference: BestEffortInterference): LatencyCriticalLoad[] => {
 	const jobs = new Map(getLatencyCriticalTasks(runs).map(({image, job}) => [job, image]));
 	return [...jobs].map(([job, image]) => ({image, load: interference.getBaseLoadWithRise(job, loadRiseMargin)}));
 };
 
 /** Latency-critical tasks use their CPU in proportion to their load, other tasks all of it. */
-const getUnusedShare = ({report, runs}: FleetWorker, interference: FillHarm): number => {
+const getUnusedShare = ({report, runs}: FleetWorker, interference: BestEffortInterference): number => {
 	let usedMilliCpu = 0;
-	for (const {task: {step: {spec, servingName}}} of runs) {
-		usedMilliCpu += getMilliCpu(spec) * (spec.targetMs > 0 ? interference.getBaseLoad(servingName) : 1);
+	for (const {task: {step: {spec, loadKey}}} of runs) {
+		usedMilliCpu += getReservedMilliCpu(spec) * (spec.targetMs > 0 ? interference.getBaseLoad(loadKey) : 1);
 	}
 
 	return 1 - (usedMilliCpu / report!.milliCpu);
@@ -79,10 +79,10 @@
 };
 
 /** Reserves the capacity of a task that starts on the worker. */
-export const reserve = (candidate: Candidate, {step}: LiveTask, interference: FillHarm): void => {
+export const reserve = (candidate: Candidate, {step}: LiveTask, interference: BestEffortInterference): void => {
 	const {spec} = step;
 	const {milliCpu} = candidate.worker.report!;
-	candidate.freeCapacity.milliCpu -= getMilliCpu(spec);
+	candidate.freeCapacity.milliCpu -= getReservedMilliCpu(spec);
 	candidate.freeCapacity.memoryMb -= spec.memoryMb;
 	candidate.freeCapacity.accelerators -= spec.accelerators;
 	candidate.taskCounts.set(step, (candidate.taskCounts.get(step) ?? 0) + 1);
@@ -96,9 +96,9 @@
 	if (spec.isFilling) {
 		candidate.demands = addDemand(candidate.demands, spec, milliCpu);
 	} else if (spec.targetMs > 0) {
-		const load = interference.getBaseLoad(step.servingName);
+		const load = interference.getBaseLoad(step.loadKey);
 		candidate.unusedShare -= load * spec.milliCpu / milliCpu;
-		candidate.latencyCriticalLoads = [...candidate.latencyCriticalLoads, {image: spec.image ?? '', load: interference.getBaseLoadWithRise(step.servingName, loadRiseMargin)}];
+		candidate.latencyCriticalLoads = [...candidate.latencyCriticalLoads, {image: spec.image ?? '', load: interference.getBaseLoadWithRise(step.loadKey, loadRiseMargin)}];
 	} else {
 		candidate.unusedShare -= spec.milliCpu / milliCpu;
 	}
--- a/src/workflows/placement.ts
+++ b/src/workflows/placement.ts
@@ -2,8 +2,8 @@
 Decides which waiting tasks start now, and on which workers. Pure: tasks, workers and the time are arguments.
 */
 import {type FleetWorker} from './fleet-view.ts';
-import {type FillHarm} from './fill-harm.ts';
-import {getRequestedShare} from './harm-pacing.ts';
+import {type BestEffortInterference} from './best-effort-interference.ts';
+import {getRequestedShare} from './interference-throttling.ts';
 import {
 	isIdleWithin, type LiveStep, type LiveTask, type LiveWorkflow,
 } from './live-model.ts';
@@ -11,9 +11,9 @@
 import {Mechanism, type Policy} from './policy.ts';
 import {
 	StepPlacement, type IsAllowed, type StepPlacementOptions, type WaitReason,
-} from './step-places.ts';
+} from './step-placement.ts';
 import {type GetRank} from './task-order.ts';
-import {InterferenceTrials} from './trials.ts';
+import {InterferenceTrials} from './interference-trials.ts';
 
 /** A decision to start a task on a worker. */
 export type Start = {
@@ -28,7 +28,7 @@
 	nowMs: number;
 	/** Delay until starts of the next cycle may begin: a job whose last run ends sooner is idle until then. */
 	nextStartDelayMs: number;
-	harm: FillHarm;
+	interference: BestEffortInterference;
 	/** Creates the order in which tasks are placed, given the spare CPU in thousandths of a core. */
 	createRank: (spareMilliCpu: number) => GetRank;
 	/** Whether a queue's policy lets the step run on the worker. */
@@ -46,21 +46,21 @@
 };
 
 /** Decides which tasks start, in order of rank. */
-export const place = ({waiting, workers, nowMs, nextStartDelayMs, harm, createRank, isAllowed, policy}: PlacementInput): PlacementResult => {
+export const place = ({waiting, workers, nowMs, nextStartDelayMs, interference, createRank, isAllowed, policy}: PlacementInput): PlacementResult => {
 	const tasks = [...waiting];
 	const waits = new Map<WaitReason, number>();
 	if (tasks.length === 0) {
 		return {starts: [], waits, spareMilliCpu: 0};
 	}
 
-	const candidates = [...workers].map(worker => createCandidate(worker, harm));
+	const candidates = [...workers].map(worker => createCandidate(worker, interference));
 	const spareMilliCpu = getSpareMilliCpu(candidates);
 	const rank = createRank(spareMilliCpu);
 	const options: StepPlacementOptions = {
-		interference: harm,
+		interference,
 		isAllowed,
 		policy,
-		trials: new InterferenceTrials(harm, candidates),
+		trials: new InterferenceTrials(interference, candidates),
 		isInterferenceAllowed: false,
 		isInterferenceFreeCpuShort: isInterferenceFreeCpuShort(tasks, candidates),
 	};
@@ -146,25 +146,25 @@
 };
 
 const isStarving = ({spec, workflow}: LiveStep, waitingTasks: LiveTask[], {nowMs, nextStartDelayMs}: Pick<PlacementInput, 'nowMs' | 'nextStartDelayMs'>): boolean =>
-	spec.isFilling && waitingTasks.some(({waitsSinceMs}) => nowMs - waitsSinceMs > maxStarvationMs) && isIdleWithin(workflow, nextStartDelayMs, nowMs);
+	spec.isFilling && waitingTasks.some(({waitingSinceMs}) => nowMs - waitingSinceMs > maxStarvationMs) && isIdleWithin(workflow, nextStartDelayMs, nowMs);
 
 /**
 Creates a check whether a task would find a worker among those that it does not avoid. The workers are scanned once
 for all tasks that are checked, because a scan takes about as long as a scheduling cycle.
 */
-export const createPlaceFinder = (
+export const createPlacementCheck = (
 	workers: Iterable<FleetWorker>,
-	{harm, isAllowed, policy}: Pick<PlacementInput, 'harm' | 'isAllowed' | 'policy'>,
+	{interference, isAllowed, policy}: Pick<PlacementInput, 'interference' | 'isAllowed' | 'policy'>,
 ): ((task: LiveTask) => boolean) => {
 	// The result does not depend on the cost of the workers, so rank and shortage of free CPU are left out.
 	const placements = new Map<LiveStep, StepPlacement>();
 	let candidates: Candidate[] | undefined;
 	let trials: InterferenceTrials | undefined;
 	return task => {
-		candidates ??= [...workers].map(worker => createCandidate(worker, harm));
-		trials ??= new InterferenceTrials(harm, candidates);
+		candidates ??= [...workers].map(worker => createCandidate(worker, interference));
+		trials ??= new InterferenceTrials(interference, candidates);
 		const placement = placements.get(task.step) ?? new StepPlacement(task.step, candidates, {
-			interference: harm, isAllowed, policy, trials, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
+			interference, isAllowed, policy, trials, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
 		});
 		placements.set(task.step, placement);
 		return placement.canPlace(task);
--- a/src/workflows/policy.ts
+++ b/src/workflows/policy.ts
@@ -10,27 +10,27 @@
 	/** Order by expected value per remaining core-second; without it, by least slack. */
 	ValueOrder = 'value-order',
 	/** Workers without latency-critical tasks are reserved, while short, for images that would interfere elsewhere. */
-	UnservedRoom = 'unserved-room',
+	InterferenceFreeReserve = 'unserved-room',
 	/** Latency-critical tasks of one image are colocated. */
-	ServerGroups = 'server-groups',
+	SameImageColocation = 'server-groups',
 	/** A job without an active run starts one task even where it interferes with latency-critical tasks. */
 	IdleStart = 'idle-start',
 	/** A best-effort task waits for a worker where it gets most of its speed; without it, any worker with capacity. */
-	FillWait = 'fill-wait',
+	BestEffortWait = 'fill-wait',
 	/** An image whose interference is unknown runs on few workers at the same time. */
 	FewTrials = 'few-trials',
 	/** Latency-critical tasks are packed onto few workers, which leaves other workers to best-effort tasks. */
-	ServerCompany = 'server-company',
+	LatencyCriticalPacking = 'server-company',
 	/** Stalled runs are moved, or get a copy. */
 	StallMoves = 'stall-moves',
 	/** Best-effort runs that are throttled to almost nothing are moved. */
-	HeldMoves = 'held-moves',
+	ThrottledMoves = 'held-moves',
 	/** Runs that would not end before their draining worker stops are moved. */
 	DrainMoves = 'drain-moves',
 	/** Interference that earlier owners learned is restored. */
-	HarmHandover = 'harm-handover',
+	InterferenceHandover = 'harm-handover',
 	/** Checkpoints of active runs are kept in the stream. */
-	SavedRuns = 'saved-runs',
+	RunCheckpoints = 'saved-runs',
 	/** Workers that fail tasks which succeed elsewhere are held down and probed. */
 	WorkerHealth = 'worker-health',
 }
--- a/src/workflows/quarantine.ts
+++ b/src/workflows/quarantine.ts
@@ -3,9 +3,9 @@
 time. A further crash then identifies its culprit and ends few other runs, and suspects never hold more than a share of the
 workers.
 */
-import {getQuarantineMs, isSuspect} from './crash-blame.ts';
+import {getQuarantineMs, isSuspect} from './crash-attribution.ts';
 import {
-	getFreeRoom, isFitting, isSuited, type FleetWorker,
+	getFreeCapacity, isFitting, isSuited, type FleetWorker,
 } from './fleet-view.ts';
 import {
 	getUnit, RunPhase, type LiveRun, type LiveTask,
@@ -23,7 +23,7 @@
 export type QuarantineCycle = {
 	waiting: LiveTask[];
 	/** Workers that may get new tasks. */
-	open: FleetWorker[];
+	schedulable: FleetWorker[];
 	nowMs: number;
 	/** Places the tasks of one unit on the workers, all or none. */
 	place: (tasks: LiveTask[], workers: FleetWorker[]) => Start[];
@@ -33,7 +33,7 @@
 export type QuarantineResult = {
 	starts: Start[];
 	waiting: LiveTask[];
-	open: FleetWorker[];
+	schedulable: FleetWorker[];
 };
 
 /** Share of the workers that may be held by suspects or unresponsive at the same time. */
@@ -48,7 +48,7 @@
 const maxSingleTries = 4;
 
 /** Whether the next run of the task must be quarantined. */
-export const isKeptApart = ({crashes, clearedRun}: LiveTask): boolean => crashes.some(({run}) => run > clearedRun) && isSuspect(crashes);
+export const isQuarantined = ({crashes, clearedRun}: LiveTask): boolean => crashes.some(({run}) => run > clearedRun) && isSuspect(crashes);
 
 /** The quarantine of one owner. */
 export class Quarantine {
@@ -72,13 +72,13 @@
 	/** Starts suspects, and returns what remains for ordinary placement. */
 	arrange(cycle: QuarantineCycle): QuarantineResult {
 		for (const task of cycle.waiting) {
-			if (isKeptApart(task)) {
+			if (isQuarantined(task)) {
 				this.#suspects.add(getUnit(task)[0]!);
 			}
 		}
 
 		if (this.#suspects.size === 0) {
-			return {starts: [], waiting: cycle.waiting, open: cycle.open};
+			return {starts: [], waiting: cycle.waiting, schedulable: cycle.schedulable};
 		}
 
 		this.#removeCleared(cycle);
@@ -86,13 +86,13 @@
 		const starts = this.#startSuspects(cycle);
 		return {
 			starts,
-			waiting: cycle.waiting.filter(task => !isKeptApart(task)),
-			open: cycle.open.filter(worker => !this.isClosed(worker)),
+			waiting: cycle.waiting.filter(task => !isQuarantined(task)),
+			schedulable: cycle.schedulable.filter(worker => !this.isClosed(worker)),
 		};
 	}
 
 	/** Removes suspects that have finished, or whose run has survived its quarantine. */
-	#removeCleared({waiting, open, nowMs}: QuarantineCycle): void {
+	#removeCleared({waiting, schedulable, nowMs}: QuarantineCycle): void {
 		const waitingTasks = new Set(waiting);
 		for (const suspect of this.#suspects) {
 			if (suspect.runs.length > 0 && suspect.runs.every(run => this.#hasSurvived(run, nowMs))) {
@@ -102,22 +102,22 @@
 				}
 			}
 
-			if (suspect.isDone || suspect.step.workflow.isOver || !isKeptApart(suspect)) {
+			if (suspect.isDone || suspect.step.workflow.isFinished || !isQuarantined(suspect)) {
 				this.#suspects.delete(suspect);
 			}
 		}
 
 		for (const [suspect, workers] of this.#reserved) {
-			if (!this.#suspects.has(suspect) || !waitingTasks.has(suspect) || workers.some(worker => !open.includes(worker))) {
+			if (!this.#suspects.has(suspect) || !waitingTasks.has(suspect) || workers.some(worker => !schedulable.includes(worker))) {
 				this.#reserved.delete(suspect);
 			}
 		}
 	}
 
-	#hasSurvived({phase, host, sentAtMs, task}: LiveRun, nowMs: number): boolean {
+	#hasSurvived({phase, host, orderedAtMs, task}: LiveRun, nowMs: number): boolean {
 		const worker = this.#options.workers.get(host);
-		return phase !== RunPhase.Starting && worker !== undefined && worker.isAnswering && worker.silentSinceMs === undefined
-			&& nowMs - sentAtMs >= getQuarantineMs(task.crashes) + unresponsiveReportMs;
+		return phase !== RunPhase.Starting && worker !== undefined && worker.isAnswering && worker.unresponsiveSinceMs === undefined
+			&& nowMs - orderedAtMs >= getQuarantineMs(task.crashes) + unresponsiveReportMs;
 	}
 
 	#updateClosed(): void {
@@ -146,7 +146,7 @@
 	}
 
 	#startSuspects(cycle: QuarantineCycle): Start[] {
-		const {open, nowMs, place} = cycle;
+		const {schedulable, nowMs, place} = cycle;
 		const starts: Start[] = [];
 		for (const suspect of this.#getWaitingSuspects(cycle)) {
 			const free = this.#countFree();
@@ -154,7 +154,7 @@
 				break;
 			}
 
-			const workers = this.#chooseWorkers(suspect, this.#getCandidates(suspect, open, nowMs), {maxWorkers: free, place});
+			const workers = this.#chooseWorkers(suspect, this.#getCandidates(suspect, schedulable, nowMs), {maxWorkers: free, place});
 			if (workers.length > 0) {
 				this.#reserve(suspect, workers);
 			}
@@ -189,12 +189,12 @@
 	Workers with free capacity for the suspect: first those that have not crashed while running it, then by least load, which
 	a crash would end.
 	*/
-	#getCandidates({step: {spec}, crashes, waitsSinceMs}: LiveTask, open: FleetWorker[], nowMs: number): FleetWorker[] {
+	#getCandidates({step: {spec}, crashes, waitingSinceMs}: LiveTask, schedulable: FleetWorker[], nowMs: number): FleetWorker[] {
 		const hasCrashed = ({host}: FleetWorker): boolean => crashes.some(crash => crash.host === host);
-		const mustUseOtherHost = crashes.length > 1 && nowMs - waitsSinceMs < otherHostWaitMs
+		const mustUseOtherHost = crashes.length > 1 && nowMs - waitingSinceMs < otherHostWaitMs
 			&& [...this.#options.workers.values()].some(worker => worker.report && isSuited(spec, worker.report) && !hasCrashed(worker));
-		return open
-			.filter(worker => !this.isClosed(worker) && isSuited(spec, worker.report!) && isFitting(spec, getFreeRoom(worker)) && !(mustUseOtherHost && hasCrashed(worker)))
+		return schedulable
+			.filter(worker => !this.isClosed(worker) && isSuited(spec, worker.report!) && isFitting(spec, getFreeCapacity(worker)) && !(mustUseOtherHost && hasCrashed(worker)))
 			.map(worker => ({worker, hasCrashedThere: hasCrashed(worker), load: getLoad(worker)}))
 			.toSorted((a, b) => Number(a.hasCrashedThere) - Number(b.hasCrashedThere) || a.load - b.load)
 			.map(({worker}) => worker);
@@ -233,4 +233,4 @@
 };
 
 const hasOnlyOldRuns = ({runs}: FleetWorker, nowMs: number): boolean =>
-	[...runs].every(({phase, sentAtMs}) => phase !== RunPhase.Starting && nowMs - sentAtMs >= minNeighbourAgeMs);
+	[...runs].every(({phase, orderedAtMs}) => phase !== RunPhase.Starting && nowMs - orderedAtMs >= minNeighbourAgeMs);
--- a/src/workflows/settling.ts
+++ b/src/workflows/reconciliation.ts
@@ -4,50 +4,50 @@
 */
 import {type Clock} from '../types/clock.ts';
 import {type AgentLinks} from './agent-links.ts';
-import {getLeaseOverMs} from './loss-watch.ts';
+import {getLeaseExpiryMs} from './agent-loss-monitor.ts';
 
 /** Options of the reconciliation. */
-export type SettlingOptions = {
+export type ReconciliationOptions = {
 	clock: Clock;
 	links: AgentLinks;
-	leaseHorizonMs: number;
-	onSettled: () => void;
+	leaseDurationMs: number;
+	onReconciled: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
 /** Reconciliation of one owner. */
-export class Settling {
-	readonly #options: SettlingOptions;
+export class Reconciliation {
+	readonly #options: ReconciliationOptions;
 	#claimedAtMs = Number.POSITIVE_INFINITY;
 	#isReconciled = false;
 
-	constructor(options: SettlingOptions) {
+	constructor(options: ReconciliationOptions) {
 		this.#options = options;
 	}
 
 	/** Whether tasks of jobs from before the claim may be started. */
-	get isSettled(): boolean {
+	get isReconciled(): boolean {
 		return this.#isReconciled;
 	}
 
 	/** Starts the reconciliation, once the claim is stored. */
-	begin(): void {
+	start(): void {
 		this.#claimedAtMs = this.#options.clock.monotonicMs();
 	}
 
 	/** Checks the agents; to be called periodically. */
 	check(): void {
-		const {clock, links, leaseHorizonMs, note, onSettled} = this.#options;
+		const {clock, links, leaseDurationMs, note, onReconciled} = this.#options;
 		if (this.#isReconciled || !links.isRegistryRead) {
 			return;
 		}
 
 		const tookMs = clock.monotonicMs() - this.#claimedAtMs;
 		const missing = [...links.workers.values()].filter(worker => !worker.isListed);
-		if (missing.length === 0 || tookMs > getLeaseOverMs(leaseHorizonMs)) {
+		if (missing.length === 0 || tookMs > getLeaseExpiryMs(leaseDurationMs)) {
 			this.#isReconciled = true;
 			note('settled', {tookMs: Math.round(tookMs), agents: links.workers.size, missing: missing.map(worker => worker.host)});
-			onSettled();
+			onReconciled();
 		}
 	}
 }
--- a/src/workflows/records.ts
+++ b/src/workflows/records.ts
@@ -24,27 +24,27 @@
 	/** Worker crashes that are attributed to tasks; written by the owner. */
 	Crashes = 'crashes',
 	/** Jobs whose first run has started; written by the owner with a delay. */
-	Begun = 'begun',
+	Started = 'begun',
 	/** Snapshot of a job: its complete state, written by the owner before the store drops the job's first record. */
-	Whole = 'whole',
+	Snapshot = 'whole',
 	/** Checkpoints of active runs; written by the owner with a delay. */
-	Saved = 'saved',
+	Checkpoints = 'saved',
 	/** Interference between images as learned by the owner, for the next owner. */
-	Harm = 'harm',
+	Interference = 'harm',
 }
 
 /** A worker crash that is attributed to a task. */
-export type CrashedTask = TaskCrash & {taskId: string};
+export type AttributedCrash = TaskCrash & {taskId: string};
 
 /** Newest checkpoint of an active run. */
-export type SavedRun = {
+export type RunCheckpoint = {
 	taskId: string;
 	run: number;
 	checkpoint: string;
 };
 
 /** Learned interference of a best-effort image with a latency-critical one. */
-export type HarmPair = {
+export type InterferencePair = {
 	/** Latency-critical image. */
 	server: string;
 	/** Best-effort image. */
@@ -55,7 +55,7 @@
 };
 
 /** Snapshot of a job. */
-export type WholeWorkflow = {
+export type WorkflowSnapshot = {
 	workflow: Workflow;
 	state: WorkflowState;
 	hasBegun: boolean;
@@ -83,11 +83,11 @@
 		| {type: RecordType.Submit; workflow: Workflow}
 		| {type: RecordType.Cancel; id: string}
 		| {type: RecordType.Ends; ends: EndedRun[]}
-		| {type: RecordType.Crashes; crashes: CrashedTask[]}
-		| {type: RecordType.Begun; ids: string[]}
-		| {type: RecordType.Whole; job: WholeWorkflow}
-		| {type: RecordType.Saved; runs: SavedRun[]}
-		| {type: RecordType.Harm; pairs: HarmPair[]};
+		| {type: RecordType.Crashes; crashes: AttributedCrash[]}
+		| {type: RecordType.Started; ids: string[]}
+		| {type: RecordType.Snapshot; job: WorkflowSnapshot}
+		| {type: RecordType.Checkpoints; runs: RunCheckpoint[]}
+		| {type: RecordType.Interference; pairs: InterferencePair[]};
 
 /** Encodes a record. */
 export const encodeRecord = (record: WorkflowRecord): Buffer => Buffer.from(JSON.stringify(record));
@@ -98,7 +98,7 @@
 	const type = fields.oneOf('type', Object.values(RecordType));
 	switch (type) {
 		case RecordType.Claim: {
-			return {type, epoch: fields.count('epoch'), owner: fields.text('owner')};
+			return {type, epoch: fields.nonNegativeInteger('epoch'), owner: fields.string('owner')};
 		}
 
 		case RecordType.Submit: {
@@ -106,114 +106,114 @@
 		}
 
 		case RecordType.Cancel: {
-			return {type, id: fields.text('id')};
+			return {type, id: fields.string('id')};
 		}
 
 		case RecordType.Ends: {
-			return {type, ends: fields.list('ends', decodeEnd)};
+			return {type, ends: fields.array('ends', decodeEnd)};
 		}
 
 		case RecordType.Crashes: {
-			return {type, crashes: fields.list('crashes', value => ({taskId: new Fields(value, step).text('taskId'), ...decodeCrash(value)}))};
+			return {type, crashes: fields.array('crashes', value => ({taskId: new Fields(value, step).string('taskId'), ...decodeCrash(value)}))};
 		}
 
-		case RecordType.Begun: {
-			return {type, ids: fields.texts('ids')};
+		case RecordType.Started: {
+			return {type, ids: fields.strings('ids')};
 		}
 
-		case RecordType.Whole: {
+		case RecordType.Snapshot: {
 			return {type, job: decodeWhole(fields.fields('job'))};
 		}
 
-		case RecordType.Saved: {
-			return {type, runs: fields.list('runs', decodeSaved)};
+		case RecordType.Checkpoints: {
+			return {type, runs: fields.array('runs', decodeSaved)};
 		}
 
-		case RecordType.Harm: {
-			return {type, pairs: fields.list('pairs', decodePair)};
+		case RecordType.Interference: {
+			return {type, pairs: fields.array('pairs', decodePair)};
 		}
 	}
 };
 
 const decodeWorkflow = (fields: Fields): Workflow => ({
-	id: fields.text('id'),
-	queue: fields.text('queue'),
-	service: fields.text('service'),
+	id: fields.string('id'),
+	queue: fields.string('queue'),
+	service: fields.string('service'),
 	priority: fields.number('priority'),
-	maxAttempts: fields.count('maxAttempts'),
-	stretch: fields.amount('stretch'),
-	targetLatencyMs: fields.amount('targetLatencyMs'),
-	needsAdvice: fields.flag('needsAdvice'),
+	maxAttempts: fields.nonNegativeInteger('maxAttempts'),
+	stretch: fields.nonNegativeNumber('stretch'),
+	targetLatencyMs: fields.nonNegativeNumber('targetLatencyMs'),
+	needsAdvice: fields.boolean('needsAdvice'),
 	receivedAtMs: fields.number('receivedAtMs'),
-	input: fields.text('input'),
-	steps: fields.list('steps', value => decodeStep(new Fields(value, step))),
-	firstDueMs: fields.amount('firstDueMs'),
-	intervalMs: fields.amount('intervalMs'),
-	repeatCount: fields.count('repeatCount'),
+	input: fields.string('input'),
+	steps: fields.array('steps', value => decodeStep(new Fields(value, step))),
+	firstDueMs: fields.nonNegativeNumber('firstDueMs'),
+	intervalMs: fields.nonNegativeNumber('intervalMs'),
+	repeatCount: fields.nonNegativeInteger('repeatCount'),
 });
 
 const decodeStep = (fields: Fields): WorkflowStep => ({
-	count: fields.count('count'),
-	milliCpu: fields.amount('milliCpu'),
-	memoryMb: fields.amount('memoryMb'),
-	accelerators: fields.amount('accelerators'),
-	estimateMs: fields.amount('estimateMs'),
-	after: fields.counts('after'),
-	isCheckpointing: fields.flag('isCheckpointing'),
-	isGang: fields.flag('isGang'),
-	isSameRack: fields.flag('isSameRack'),
+	count: fields.nonNegativeInteger('count'),
+	milliCpu: fields.nonNegativeNumber('milliCpu'),
+	memoryMb: fields.nonNegativeNumber('memoryMb'),
+	accelerators: fields.nonNegativeNumber('accelerators'),
+	estimateMs: fields.nonNegativeNumber('estimateMs'),
+	after: fields.nonNegativeIntegers('after'),
+	isCheckpointing: fields.boolean('isCheckpointing'),
+	isGang: fields.boolean('isGang'),
+	isSameRack: fields.boolean('isSameRack'),
 	requiredLabel: getOptionalText(fields, 'requiredLabel'),
 	dataRack: getOptionalText(fields, 'dataRack'),
-	maxPerWorker: fields.count('maxPerWorker'),
-	isSpeculative: fields.flag('isSpeculative'),
-	isLasting: fields.flag('isLasting'),
+	maxPerWorker: fields.nonNegativeInteger('maxPerWorker'),
+	isSpeculative: fields.boolean('isSpeculative'),
+	isLasting: fields.boolean('isLasting'),
 	image: getOptionalText(fields, 'image'),
-	targetMs: fields.amount('targetMs'),
-	isFilling: fields.flag('isFilling'),
-	maxAway: fields.has('maxAway') ? fields.count('maxAway') : undefined,
+	targetMs: fields.nonNegativeNumber('targetMs'),
+	isFilling: fields.boolean('isFilling'),
+	maxAway: fields.has('maxAway') ? fields.nonNegativeInteger('maxAway') : undefined,
 });
 
-const getOptionalText = (fields: Fields, key: string): string | undefined => fields.has(key) ? fields.text(key) : undefined;
+const getOptionalText = (fields: Fields, key: string): string | undefined => fields.has(key) ? fields.string(key) : undefined;
 
 const decodeEnd = (value: unknown): EndedRun => {
 	const fields = new Fields(value, step);
 	return {
-		taskId: fields.text('taskId'), run: fields.count('run'), end: fields.oneOf('end', Object.values(RunEnd)), checkpoint: fields.text('checkpoint'),
+		taskId: fields.string('taskId'), run: fields.nonNegativeInteger('run'), end: fields.oneOf('end', Object.values(RunEnd)), checkpoint: fields.string('checkpoint'),
 	};
 };
 
 const decodeCrash = (value: unknown): TaskCrash => {
 	const fields = new Fields(value, step);
 	return {
-		run: fields.count('run'), ageMs: fields.amount('ageMs'), isNewest: fields.flag('isNewest'), host: fields.text('host'), isHostProven: fields.flag('isHostProven'), atMs: fields.number('atMs'),
+		run: fields.nonNegativeInteger('run'), ageMs: fields.nonNegativeNumber('ageMs'), isNewest: fields.boolean('isNewest'), host: fields.string('host'), isHostProven: fields.boolean('isHostProven'), atMs: fields.number('atMs'),
 	};
 };
 
-const decodeSaved = (value: unknown): SavedRun => {
+const decodeSaved = (value: unknown): RunCheckpoint => {
 	const fields = new Fields(value, step);
-	return {taskId: fields.text('taskId'), run: fields.count('run'), checkpoint: fields.text('checkpoint')};
+	return {taskId: fields.string('taskId'), run: fields.nonNegativeInteger('run'), checkpoint: fields.string('checkpoint')};
 };
 
-const decodeWhole = (fields: Fields): WholeWorkflow => ({
+const decodeWhole = (fields: Fields): WorkflowSnapshot => ({
 	workflow: decodeWorkflow(fields.fields('workflow')),
 	state: fields.oneOf('state', Object.values(WorkflowState)),
-	hasBegun: fields.flag('hasBegun'),
-	remaining: fields.has('remaining') ? fields.count('remaining') : undefined,
-	ledgers: fields.list('ledgers', decodeLedger),
+	hasBegun: fields.boolean('hasBegun'),
+	remaining: fields.has('remaining') ? fields.nonNegativeInteger('remaining') : undefined,
+	ledgers: fields.array('ledgers', decodeLedger),
 	writtenAtMs: fields.number('writtenAtMs'),
 });
 
 const decodeLedger = (value: unknown): [string, TaskLedger] => {
 	const row = new Fields(value, step);
 	const ledger = row.fields(1);
-	return [row.text(0), {
-		isDone: ledger.flag('isDone'), failedRuns: ledger.counts('failedRuns'), crashes: ledger.has('crashes') ? ledger.list('crashes', decodeCrash) : [], lastRun: ledger.count('lastRun'), checkpoint: ledger.text('checkpoint'),
+	return [row.string(0), {
+		isDone: ledger.boolean('isDone'), failedRuns: ledger.nonNegativeIntegers('failedRuns'), crashes: ledger.has('crashes') ? ledger.array('crashes', decodeCrash) : [], lastRun: ledger.nonNegativeInteger('lastRun'), checkpoint: ledger.string('checkpoint'),
 	}];
 };
 
-const decodePair = (value: unknown): HarmPair => {
+const decodePair = (value: unknown): InterferencePair => {
 	const fields = new Fields(value, step);
 	return {
-		server: fields.text('server'), filler: fields.text('filler'), mean: fields.number('mean'), deviation: fields.amount('deviation'),
+		server: fields.string('server'), filler: fields.string('filler'), mean: fields.number('mean'), deviation: fields.nonNegativeNumber('deviation'),
 	};
 };
--- a/src/workflows/relocation.ts
+++ b/src/workflows/relocation.ts
@@ -13,7 +13,7 @@
 	workers: Iterable<FleetWorker>;
 	nowMs: number;
 	/** Whether a schedulable worker that the task does not avoid has free capacity for it. */
-	hasPlace: (task: LiveTask) => boolean;
+	canPlace: (task: LiveTask) => boolean;
 	policy: Policy;
 };
 
@@ -29,11 +29,11 @@
 const maxMoves = 4;
 
 /** Chooses runs to stop, and marks the workers that they leave as avoided by their tasks. */
-export const chooseMoves = ({workers, nowMs, hasPlace, policy}: RelocationInput): Array<{worker: FleetWorker; run: LiveRun}> => {
+export const chooseMoves = ({workers, nowMs, canPlace, policy}: RelocationInput): Array<{worker: FleetWorker; run: LiveRun}> => {
 	const moves: Array<{worker: FleetWorker; run: LiveRun}> = [];
 	for (const worker of workers) {
 		// Without a recent state, missing progress does not mean that a run has stalled.
-		if (worker.silentSinceMs !== undefined || !worker.isAnswering || nowMs - worker.heardAtMs > maxStateAgeMs) {
+		if (worker.unresponsiveSinceMs !== undefined || !worker.isAnswering || nowMs - worker.lastReplyAtMs > maxStateAgeMs) {
 			continue;
 		}
 
@@ -45,14 +45,14 @@
 			const {task} = run;
 			const {spec} = task.step;
 			const mustMove = (policy[Mechanism.StallMoves] && isStalled(run, nowMs))
-				|| (policy[Mechanism.HeldMoves] && isThrottledToStandstill(worker, run, nowMs))
+				|| (policy[Mechanism.ThrottledMoves] && isThrottledToStandstill(worker, run, nowMs))
 				|| (policy[Mechanism.DrainMoves] && isLostByDrain(worker, run, nowMs));
 			if (task.isDone || spec.isGang || !mustMove) {
 				continue;
 			}
 
 			task.avoidedHosts.add(worker.host);
-			if (!spec.isSpeculative && hasPlace(task)) {
+			if (!spec.isSpeculative && canPlace(task)) {
 				moves.push({worker, run});
 			}
 		}
@@ -62,7 +62,7 @@
 };
 
 const isThrottledToStandstill = (worker: FleetWorker, {phase, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
-	const throttle = worker.paces.get(spec.image ?? '');
+	const throttle = worker.throttles.get(spec.image ?? '');
 	return phase === RunPhase.Running && spec.isFilling && throttle !== undefined && throttle.percent <= blockingThrottlePercent && nowMs - throttle.changedAtMs >= throttledMs;
 };
 
@@ -70,12 +70,12 @@
 Whether the run would be lost when its draining worker stops. A long-running task moves at once rather than be cut off; any
 other task stays if it can end in the remaining time.
 */
-const isLostByDrain = (worker: FleetWorker, {phase, percent, sentAtMs, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
+const isLostByDrain = (worker: FleetWorker, {phase, percent, orderedAtMs, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
 	if (phase !== RunPhase.Running || !worker.report?.isDraining) {
 		return false;
 	}
 
-	const elapsedMs = nowMs - sentAtMs;
+	const elapsedMs = nowMs - orderedAtMs;
 	const remainingMs = percent >= minProgressPercent ? elapsedMs * (100 - percent) / percent : Math.max(0, spec.estimateMs - elapsedMs);
 	return spec.isLasting || remainingMs > (worker.report.remainingMs ?? 0);
 };
--- a/src/workflows/run-times.ts
+++ b/src/workflows/run-times.ts
@@ -65,7 +65,7 @@
 	}
 
 	/** Learns from a run that ended, or that progressed far enough. */
-	note(run: LiveRun, {isDone}: {isDone: boolean}): void {
+	observe(run: LiveRun, {isDone}: {isDone: boolean}): void {
 		const {task: {step}, percent, basePercent, workedMs} = run;
 		const donePercent = (isDone ? fullPercent : percent) - basePercent;
 		if (!this.#isLearning || step.spec.isLasting || step.spec.isGang || donePercent < minProgressPercent || (!isDone && this.#steps.has(step))) {
--- a/src/workflows/run-tracker.ts
+++ b/src/workflows/run-tracker.ts
@@ -16,19 +16,19 @@
 /** Callbacks of the tracker to its owner. */
 export type RunTrackerHandlers = {
 	/** Appends ends of runs to the jobs stream; resolves to whether they are stored. */
-	store: (ends: EndedRun[]) => Promise<boolean>;
+	storeEnds: (ends: EndedRun[]) => Promise<boolean>;
 	/** A run of the task's job has started or succeeded; called for every such run. */
-	onBegun: (task: LiveTask) => void;
+	onStarted: (task: LiveTask) => void;
 	/** Finds a task of a finished job; undefined for an unknown job. */
-	recall: (ref: TaskRef) => LiveTask | undefined;
+	findFinishedTask: (ref: TaskRef) => LiveTask | undefined;
 	/** An agent lists a run of a task that no job has. */
-	onUnknown: (worker: FleetWorker, taskId: string, run: number) => void;
+	onUnknownRun: (worker: FleetWorker, taskId: string, run: number) => void;
 	/** A run of a task that is not long-running succeeded or failed. */
 	onOutcome: (worker: FleetWorker, run: LiveRun, isSuccess: boolean) => void;
 	/** A run was listed again. */
 	onProgress: (run: LiveRun) => void;
 	/** A task has failed as often as its job allows. */
-	onExhausted: (task: LiveTask) => void;
+	onAttemptsExhausted: (task: LiveTask) => void;
 	/** Capacity became free or a task waits: a scheduling cycle is due. */
 	onChange: () => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
@@ -38,7 +38,7 @@
 export enum LossReason {
 	WorkerReplaced = 'worker-replaced',
 	WorkerCrashed = 'worker-crashed',
-	LeasesOver = 'leases-over',
+	LeasesExpired = 'leases-over',
 	AgentLost = 'agent-lost',
 	NotListed = 'not-listed',
 	NeverStarted = 'never-started',
@@ -78,7 +78,7 @@
 	}
 
 	/** Adds a run whose start was decided. */
-	open(task: LiveTask, worker: FleetWorker, run: number, terms: {nowMs: number; notAfterMs: number}): LiveRun {
+	addRun(task: LiveTask, worker: FleetWorker, run: number, terms: {nowMs: number; notAfterMs: number}): LiveRun {
 		const liveRun: LiveRun = {
 			task,
 			run,
@@ -86,8 +86,8 @@
 			workerId: worker.report!.workerId,
 			agentLife: worker.agentLife,
 			phase: RunPhase.Starting,
-			sentAtMs: terms.nowMs,
-			isOrderOut: true,
+			orderedAtMs: terms.nowMs,
+			isOrderPending: true,
 			notAfterMs: terms.notAfterMs,
 			confirmedVersion: 0,
 			percent: 0,
@@ -97,9 +97,9 @@
 			workedUntilMs: task.checkpoint === '' ? terms.nowMs : undefined,
 			recent: 0,
 			progressAtMs: terms.nowMs,
-			stopSentAtMs: Number.NEGATIVE_INFINITY,
+			stopOrderedAtMs: Number.NEGATIVE_INFINITY,
 			isUnwanted: false,
-			pacePercent: 100,
+			throttlePercent: 100,
 		};
 		task.lastRun = Math.max(task.lastRun, run);
 		task.runs.push(liveRun);
@@ -109,13 +109,13 @@
 
 	/** Marks the start as confirmed by the agent. */
 	confirm(run: LiveRun, version: number, nowMs: number): void {
-		run.isOrderOut = false;
+		run.isOrderPending = false;
 		run.confirmedVersion = Math.max(run.confirmedVersion, version);
 		if (run.phase === RunPhase.Starting) {
 			run.phase = RunPhase.Running;
 			run.progressAtMs = nowMs;
 			run.workedUntilMs &&= nowMs;
-			this.#handlers.onBegun(run.task);
+			this.#handlers.onStarted(run.task);
 		}
 	}
 
@@ -126,11 +126,11 @@
 	}
 
 	/** Applies an agent's state to the runs on its worker, and stores the ends that it lists. */
-	take(worker: FleetWorker, reply: WatchReply, nowMs: number): void {
+	applyReply(worker: FleetWorker, reply: WatchReply, nowMs: number): void {
 		const workerId = reply.worker?.workerId;
 		for (const run of worker.runs) {
 			if (reply.goneWorkerIds.includes(run.workerId) || (workerId !== undefined && run.workerId !== workerId)) {
-				this.lose(run, worker, LossReason.WorkerReplaced, nowMs);
+				this.markLost(run, worker, LossReason.WorkerReplaced, nowMs);
 			}
 		}
 
@@ -140,7 +140,7 @@
 
 		this.#applyEnds(worker, reply.ended, nowMs);
 		if (reply.isOver) {
-			this.loseAll(worker, LossReason.LeasesOver, nowMs);
+			this.markAllLost(worker, LossReason.LeasesExpired, nowMs);
 			return;
 		}
 
@@ -163,14 +163,14 @@
 	}
 
 	/** Marks all runs on the worker as lost. */
-	loseAll(worker: FleetWorker, reason: LossReason, nowMs: number): void {
+	markAllLost(worker: FleetWorker, reason: LossReason, nowMs: number): void {
 		for (const run of worker.runs) {
-			this.lose(run, worker, reason, nowMs);
+			this.markLost(run, worker, reason, nowMs);
 		}
 	}
 
 	/** Marks a run as lost: it cannot be running any more, and how it ended is unknown. */
-	lose(run: LiveRun, worker: FleetWorker, reason: LossReason, nowMs: number): void {
+	markLost(run: LiveRun, worker: FleetWorker, reason: LossReason, nowMs: number): void {
 		this.#handlers.note('run lost', {
 			taskId: run.task.taskId, run: run.run, host: run.host, workerId: run.workerId, reason,
 		});
@@ -180,7 +180,7 @@
 
 	#removeAndRequeue(run: LiveRun, worker: FleetWorker, nowMs: number): void {
 		this.#remove(run, worker);
-		run.task.waitsSinceMs = nowMs;
+		run.task.waitingSinceMs = nowMs;
 	}
 
 	#remove(run: LiveRun, worker: FleetWorker): void {
@@ -219,9 +219,9 @@
 	*/
 	#adopt(worker: FleetWorker, {taskId, run}: {taskId: string; run: number}, reply: WatchReply, nowMs: number): LiveRun | undefined {
 		const ref = parseTaskId(taskId);
-		const task = ref && (this.#model.getTask(ref) ?? this.#handlers.recall(ref));
+		const task = ref && (this.#model.getTask(ref) ?? this.#handlers.findFinishedTask(ref));
 		if (!task) {
-			this.#handlers.onUnknown(worker, taskId, run);
+			this.#handlers.onUnknownRun(worker, taskId, run);
 			return undefined;
 		}
 
@@ -230,12 +230,12 @@
 			return active;
 		}
 
-		const isUnwanted = task.step.workflow.isOver || task.isDone || (task.runs.length > 0 && !task.step.spec.isSpeculative);
-		const liveRun = this.open(task, worker, run, {nowMs, notAfterMs: 0});
-		liveRun.isOrderOut = false;
+		const isUnwanted = task.step.workflow.isFinished || task.isDone || (task.runs.length > 0 && !task.step.spec.isSpeculative);
+		const liveRun = this.addRun(task, worker, run, {nowMs, notAfterMs: 0});
+		liveRun.isOrderPending = false;
 		liveRun.isUnwanted = isUnwanted;
 		liveRun.workedUntilMs = undefined;
-		liveRun.pacePercent = undefined;
+		liveRun.throttlePercent = undefined;
 		liveRun.agentLife = reply.agentLife;
 		liveRun.confirmedVersion = reply.version;
 		this.#handlers.note('run adopted', {
@@ -245,7 +245,7 @@
 	}
 
 	#applyEnds(worker: FleetWorker, rows: EndedRow[], nowMs: number): void {
-		const newRows = rows.filter(row => row.number > worker.takenEnd);
+		const newRows = rows.filter(row => row.number > worker.processedEnd);
 		if (newRows.length === 0) {
 			return;
 		}
@@ -258,15 +258,15 @@
 			}
 		}
 
-		worker.takenEnd = newRows.at(-1)!.number;
-		void this.#storeEnds(worker, worker.report!.workerId, worker.takenEnd, stored);
+		worker.processedEnd = newRows.at(-1)!.number;
+		void this.#storeEnds(worker, worker.report!.workerId, worker.processedEnd, stored);
 		this.#handlers.onChange();
 	}
 
 	/** The worker may forget an end only once the stream holds it, because a later owner needs it. */
 	async #storeEnds(worker: FleetWorker, workerId: string, upTo: number, ends: EndedRun[]): Promise<void> {
 		// Called also with nothing to store: it resolves after the writes before it, which may hold earlier ends of this worker.
-		const isStored = await this.#handlers.store(ends);
+		const isStored = await this.#handlers.storeEnds(ends);
 		if (isStored && worker.report?.workerId === workerId) {
 			worker.storedEnd = Math.max(worker.storedEnd, upTo);
 		}
@@ -274,7 +274,7 @@
 
 	#applyEnd(worker: FleetWorker, end: EndedRun, nowMs: number): boolean {
 		const ref = parseTaskId(end.taskId);
-		const task = ref && (this.#model.getTask(ref) ?? this.#handlers.recall(ref));
+		const task = ref && (this.#model.getTask(ref) ?? this.#handlers.findFinishedTask(ref));
 		if (!task) {
 			return false;
 		}
@@ -306,9 +306,9 @@
 
 	#applyOutcome(task: LiveTask, end: EndedRun, nowMs: number): boolean {
 		if (end.end === RunEnd.Done) {
-			this.#handlers.onBegun(task);
+			this.#handlers.onStarted(task);
 			if (!task.isDone) {
-				this.#model.finish(task, nowMs);
+				this.#model.completeUnit(task, nowMs);
 			}
 
 			return true;
@@ -322,7 +322,7 @@
 			}
 
 			if (task.failedRuns.size >= task.step.workflow.spec.maxAttempts) {
-				this.#handlers.onExhausted(task);
+				this.#handlers.onAttemptsExhausted(task);
 			}
 		}
 
@@ -332,7 +332,7 @@
 	/** Handles runs that the agent does not list as running, starting or ended: they have ended or never began. */
 	#loseUnlisted(worker: FleetWorker, reply: WatchReply, listed: Set<LiveRun>, nowMs: number): void {
 		for (const run of worker.runs) {
-			if (listed.has(run) || run.isOrderOut) {
+			if (listed.has(run) || run.isOrderPending) {
 				continue;
 			}
 
@@ -340,10 +340,10 @@
 				// The order got no answer and may still be carried out until it expires on the agent's clock.
 				// A new incarnation of the agent has raised the worker's fence, so starts sent by the one before are refused.
 				if (reply.agentClockMs > run.notAfterMs || reply.agentLife !== run.agentLife) {
-					this.lose(run, worker, LossReason.NeverStarted, nowMs);
+					this.markLost(run, worker, LossReason.NeverStarted, nowMs);
 				}
 			} else if (reply.version >= run.confirmedVersion || reply.agentLife !== run.agentLife) {
-				this.lose(run, worker, LossReason.NotListed, nowMs);
+				this.markLost(run, worker, LossReason.NotListed, nowMs);
 			}
 		}
 	}
--- a/src/workflows/open-workers.ts
+++ b/src/workflows/schedulable-workers.ts
@@ -8,8 +8,8 @@
 /** An agent without a reply for this long gets no orders. */
 const maxReplyAgeMs = 1500;
 
-const isReachable = ({isListed, isAnswering, silentSinceMs, heardAtMs, lostSession, blockedUntilMs}: FleetWorker, nowMs: number): boolean =>
-	isListed && isAnswering && silentSinceMs === undefined && nowMs - heardAtMs < maxReplyAgeMs && lostSession === undefined && blockedUntilMs <= nowMs;
+const isReachable = ({isListed, isAnswering, unresponsiveSinceMs, lastReplyAtMs, lostSession, blockedUntilMs}: FleetWorker, nowMs: number): boolean =>
+	isListed && isAnswering && unresponsiveSinceMs === undefined && nowMs - lastReplyAtMs < maxReplyAgeMs && lostSession === undefined && blockedUntilMs <= nowMs;
 
 /**
 Whether the worker is held down because it failed tasks that succeed elsewhere, or already runs the one task that probes
@@ -19,7 +19,7 @@
 	isHeld || (isProbing && [...runs].some(run => !run.task.step.spec.isLasting));
 
 /** Criteria for schedulable workers. */
-export type OpenTerms = {
+export type SchedulableWorkersOptions = {
 	nowMs: number;
 	policy: Policy;
 	/** Failure domains in which nothing may start. */
@@ -27,7 +27,7 @@
 };
 
 /** Gets the workers that may get new tasks. */
-export const getOpenWorkers = (workers: Iterable<FleetWorker>, {nowMs, policy, evacuated}: OpenTerms): FleetWorker[] =>
+export const getSchedulableWorkers = (workers: Iterable<FleetWorker>, {nowMs, policy, evacuated}: SchedulableWorkersOptions): FleetWorker[] =>
 	[...workers].filter(worker => worker.report !== undefined && worker.report.milliCpu > 0 && !worker.report.isDraining
 		&& !evacuated.includes(worker.report.failureDomain) && isReachable(worker, nowMs)
 		&& !(policy[Mechanism.WorkerHealth] && isHeldDown(worker)));
--- a/src/workflows/scheduling-cycles.ts
+++ b/src/workflows/scheduling-cycles.ts
@@ -4,7 +4,7 @@
 import {type Clock} from '../types/clock.ts';
 import {DutyCycle} from '../utils/duty-cycle.ts';
 import {type WorkMeter} from '../utils/work-meter.ts';
-import {type FillHarm} from './fill-harm.ts';
+import {type BestEffortInterference} from './best-effort-interference.ts';
 import {type FleetWorker} from './fleet-view.ts';
 import {
 	type LiveModel, type LiveRun, type LiveStep, type LiveTask,
@@ -13,7 +13,7 @@
 import {type Policy} from './policy.ts';
 import {type Quarantine} from './quarantine.ts';
 import {type RunTimes} from './run-times.ts';
-import {type IsAllowed, type WaitReason} from './step-places.ts';
+import {type IsAllowed, type WaitReason} from './step-placement.ts';
 import {createRank, getRemainingWork, type RemainingWork} from './task-order.ts';
 
 /** Options of the cycles. */
@@ -21,7 +21,7 @@
 	clock: Clock;
 	signal: AbortSignal;
 	model: LiveModel;
-	harm: FillHarm;
+	interference: BestEffortInterference;
 	times: RunTimes;
 	policy: Policy;
 	meter: WorkMeter;
@@ -34,7 +34,7 @@
 	/** Active runs on all workers. */
 	getRuns: () => LiveRun[];
 	/** Delay between a decision and the delivery of a start. */
-	getLeadMs: () => number;
+	getStartDelayMs: () => number;
 	onStarts: (starts: Start[]) => void;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
@@ -89,16 +89,16 @@
 
 	#run(): void {
 		const {
-			clock, quarantine, getWaiting, getWorkers, getLeadMs, onStarts,
+			clock, quarantine, getWaiting, getWorkers, getStartDelayMs, onStarts,
 		} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const gapMs = Math.max(0, Math.min(maxGapMs, nowMs - this.#lastAtMs));
-		const times = {nowMs, nextStartDelayMs: gapMs + getLeadMs()};
+		const times = {nowMs, nextStartDelayMs: gapMs + getStartDelayMs()};
 		this.#lastAtMs = nowMs;
 		const quarantined = quarantine.arrange({
-			nowMs, waiting: [...getWaiting(nowMs)], open: getWorkers(nowMs), place: (tasks, workers) => this.#place(tasks, workers, times).starts,
+			nowMs, waiting: [...getWaiting(nowMs)], schedulable: getWorkers(nowMs), place: (tasks, workers) => this.#place(tasks, workers, times).starts,
 		});
-		const {starts, waits, spareMilliCpu} = this.#place(quarantined.waiting, quarantined.open, times);
+		const {starts, waits, spareMilliCpu} = this.#place(quarantined.waiting, quarantined.schedulable, times);
 		onStarts([...quarantined.starts, ...starts]);
 		if (waits.size > 0 && nowMs - this.#loggedAtMs >= logIntervalMs) {
 			this.#loggedAtMs = nowMs;
@@ -107,13 +107,13 @@
 	}
 
 	#place(waiting: LiveTask[], workers: FleetWorker[], {nowMs, nextStartDelayMs}: {nowMs: number; nextStartDelayMs: number}): PlacementResult {
-		const {clock, harm, times, policy, isAllowed} = this.#options;
+		const {clock, interference, times, policy, isAllowed} = this.#options;
 		return place({
 			waiting,
 			workers,
 			nowMs,
 			nextStartDelayMs,
-			harm,
+			interference,
 			isAllowed,
 			policy,
 			createRank: spareMilliCpu => createRank({
@@ -141,7 +141,7 @@
 		if (nowMs - this.#remainingWorkAtMs >= remainingWorkIntervalMs) {
 			const {model, times} = this.#options;
 			this.#remainingWorkAtMs = nowMs;
-			this.#remainingWork = new Map(model.openOccurrences().map(steps => [steps, getRemainingWork(steps, times)]));
+			this.#remainingWork = new Map(model.getOpenOccurrences().map(steps => [steps, getRemainingWork(steps, times)]));
 		}
 
 		return this.#remainingWork;
--- a/src/workflows/stalls.ts
+++ b/src/workflows/stalls.ts
@@ -13,8 +13,8 @@
 const minThrottlePercent = 50;
 
 /** Tells whether a run has stalled. */
-export const isStalled = ({phase, progressAtMs, percent, pacePercent, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
-	if (phase !== RunPhase.Running || (pacePercent ?? 0) < (spec.isFilling ? minThrottlePercent : 0)) {
+export const isStalled = ({phase, progressAtMs, percent, throttlePercent, task: {step: {spec}}}: LiveRun, nowMs: number): boolean => {
+	if (phase !== RunPhase.Running || (throttlePercent ?? 0) < (spec.isFilling ? minThrottlePercent : 0)) {
 		return false;
 	}
 
--- a/src/workflows/step-places.ts
+++ b/src/workflows/step-placement.ts
@@ -5,21 +5,21 @@
 */
 import {type WorkflowStep} from '../types/workflows.ts';
 import {isFitting, isSuited} from './fleet-view.ts';
-import {type FillHarm} from './fill-harm.ts';
+import {type BestEffortInterference} from './best-effort-interference.ts';
 import {
 	getRequestedShare, getShareAtSpeeds, planSpeeds, type BestEffortDemand,
-} from './harm-pacing.ts';
+} from './interference-throttling.ts';
 import {type LiveStep, type LiveTask} from './live-model.ts';
 import {addDemand, reserve, type Candidate} from './placement-candidates.ts';
 import {Mechanism, type Policy} from './policy.ts';
-import {type InterferenceTrials} from './trials.ts';
+import {type InterferenceTrials} from './interference-trials.ts';
 
 /** Tells whether tasks of the step may run on the worker. */
 export type IsAllowed = (step: LiveStep, workerId: string) => boolean;
 
 /** Constraints and models that worker costs are computed from. */
 export type StepPlacementOptions = {
-	interference: FillHarm;
+	interference: BestEffortInterference;
 	/** Whether a queue's policy lets the step run on the worker. */
 	isAllowed: IsAllowed;
 	policy: Policy;
@@ -34,19 +34,19 @@
 export enum WaitReason {
 	/** No schedulable worker has the required label, size or advice ticket. */
 	NoWorker = 'no-worker',
-	Room = 'room',
+	NoCapacity = 'room',
 	/** Every worker with capacity already has the maximum number of tasks of the step. */
 	Spread = 'spread',
 	/** A latency-critical task on the worker exceeded its target for too long: no best-effort task may run there. */
-	FillStopped = 'fill-stopped',
+	BestEffortStopped = 'fill-stopped',
 	/** The image is throttled too much on the worker. */
-	Paced = 'paced',
+	Throttled = 'paced',
 	/** It would interfere with a latency-critical task, or run too slowly. */
-	Harm = 'harm',
+	Interference = 'harm',
 	/** Enough workers already run the image to measure its unknown interference with the latency-critical images there. */
 	Trial = 'trial',
 	/** The worker would accept the step, but another run of the task is already on its host. */
-	Other = 'other',
+	OtherRun = 'other',
 }
 
 const waitReasons = Object.values(WaitReason);
@@ -120,7 +120,7 @@
 		const candidate = this.#candidates[index]!;
 		const obstacle = getObstacle(this.#step, candidate, this.#options);
 		this.#costs[index] = obstacle === undefined ? getCost(this.#step, candidate, this.#options) : Number.POSITIVE_INFINITY;
-		this.#nearness[index] = waitReasons.indexOf(obstacle ?? WaitReason.Other);
+		this.#nearness[index] = waitReasons.indexOf(obstacle ?? WaitReason.OtherRun);
 	}
 
 	#findBest({avoidedHosts, runs}: LiveTask): number {
@@ -163,7 +163,7 @@
 	}
 
 	if (!isFitting(spec, freeCapacity)) {
-		return WaitReason.Room;
+		return WaitReason.NoCapacity;
 	}
 
 	if (spec.maxPerWorker > 0 && (taskCounts.get(step) ?? 0) >= spec.maxPerWorker) {
@@ -175,34 +175,34 @@
 
 const getBestEffortObstacle = (spec: WorkflowStep, candidate: Candidate, {interference, isInterferenceAllowed, policy, trials}: StepPlacementOptions): WaitReason | undefined => {
 	const {worker} = candidate;
-	if (worker.isFillStopped) {
-		return WaitReason.FillStopped;
+	if (worker.isBestEffortStopped) {
+		return WaitReason.BestEffortStopped;
 	}
 
-	if (isInterferenceAllowed || !policy[Mechanism.FillWait]) {
+	if (isInterferenceAllowed || !policy[Mechanism.BestEffortWait]) {
 		return undefined;
 	}
 
-	if ((worker.paces.get(spec.image ?? '')?.percent ?? 100) < minThrottlePercent) {
-		return WaitReason.Paced;
+	if ((worker.throttles.get(spec.image ?? '')?.percent ?? 100) < minThrottlePercent) {
+		return WaitReason.Throttled;
 	}
 
 	if (getMaxBestEffortGain(spec, candidate, interference) < minBestEffortGain || getBestEffortGain(spec, candidate, interference) < minBestEffortGain) {
-		return WaitReason.Harm;
+		return WaitReason.Interference;
 	}
 
 	return policy[Mechanism.FewTrials] && !trials.mayStart(candidate, spec.image ?? '') ? WaitReason.Trial : undefined;
 };
 
 /** Upper bound of the speed from unused CPU alone: avoids computing throttles for a worker that is full. */
-const getMaxBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: FillHarm): number => {
+const getMaxBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: BestEffortInterference): number => {
 	const {demands, unusedShare, worker: {report}} = candidate;
 	candidate.bestEffortShare ??= getBestEffortShare(candidate, demands, interference);
 	return (unusedShare - candidate.bestEffortShare) * report!.milliCpu / spec.milliCpu;
 };
 
 /** Gain from one more task on the worker, as a share of its full speed, less what it takes from other best-effort tasks. */
-const getBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: FillHarm): number => {
+const getBestEffortGain = (spec: WorkflowStep, candidate: Candidate, interference: BestEffortInterference): number => {
 	const {demands, bestEffortGains, worker: {report}} = candidate;
 	const key = `${spec.image} ${spec.milliCpu}`;
 	let gain = bestEffortGains.get(key);
@@ -216,7 +216,7 @@
 	return gain;
 };
 
-const getBestEffortShare = ({latencyCriticalLoads, unusedShare}: Candidate, demands: BestEffortDemand[], interference: FillHarm): number =>
+const getBestEffortShare = ({latencyCriticalLoads, unusedShare}: Candidate, demands: BestEffortDemand[], interference: BestEffortInterference): number =>
 	Math.min(unusedShare, getShareAtSpeeds(
 		demands,
 		planSpeeds(latencyCriticalLoads, demands, (latencyCriticalImage, bestEffortImage) => interference.getEffect(latencyCriticalImage, bestEffortImage)),
@@ -244,13 +244,13 @@
 	const usedShare = 1 - (freeCapacity.milliCpu / Math.max(1, report!.milliCpu));
 	if (spec.isFilling) {
 		const addedLoad = Math.max(0, ...latencyCriticalLoads.map(({image}) => interference.getEffect(image, spec.image ?? ''))) * spec.milliCpu / report!.milliCpu;
-		const reservation = policy[Mechanism.UnservedRoom] && isInterferenceFreeCpuShort && latencyCriticalLoads.length === 0 ? interferenceFreeCost : 0;
+		const reservation = policy[Mechanism.InterferenceFreeReserve] && isInterferenceFreeCpuShort && latencyCriticalLoads.length === 0 ? interferenceFreeCost : 0;
 		return dataCost + (interferenceWeight * addedLoad) - getBestEffortGain(spec, candidate, interference) + (crowdingCost * getRequestedShare(demands)) + reservation;
 	}
 
-	const colocation = latencyCriticalLoads.length > 0 && policy[Mechanism.ServerCompany] ? colocationGain : 0;
+	const colocation = latencyCriticalLoads.length > 0 && policy[Mechanism.LatencyCriticalPacking] ? colocationGain : 0;
 	if (spec.targetMs > 0) {
-		const mixedImages = policy[Mechanism.ServerGroups] && latencyCriticalLoads.some(({image}) => image !== (spec.image ?? '')) ? mixedImagesCost : 0;
+		const mixedImages = policy[Mechanism.SameImageColocation] && latencyCriticalLoads.some(({image}) => image !== (spec.image ?? '')) ? mixedImagesCost : 0;
 		return dataCost - colocation - usedShare + (interferenceWeight * getAddedLoad(spec, demands, interference)) + mixedImages;
 	}
 
@@ -259,7 +259,7 @@
 };
 
 /** Load that the best-effort tasks on the worker already add to a latency-critical task of the step. */
-const getAddedLoad = (spec: WorkflowStep, demands: BestEffortDemand[], interference: FillHarm): number => {
+const getAddedLoad = (spec: WorkflowStep, demands: BestEffortDemand[], interference: BestEffortInterference): number => {
 	let addedLoad = 0;
 	for (const {image, share} of demands) {
 		addedLoad += interference.getEffect(spec.image ?? '', image) * share;
--- a/src/workflows/task-order.ts
+++ b/src/workflows/task-order.ts
@@ -99,7 +99,7 @@
 };
 
 /** Fields of the log line for a finished job: the time it took, and the time its objective allows by the learned run times. */
-export const describeEnd = ({spec, folded, receivedAtMs, occurrences}: LiveWorkflow, times: RunTimes, nowMs: number): Record<string, unknown> => {
+export const describeFinishedJob = ({spec, folded, receivedAtMs, occurrences}: LiveWorkflow, times: RunTimes, nowMs: number): Record<string, unknown> => {
 	const {criticalPathMs, totalCoreMs} = getRemainingWork(occurrences.get(0) ?? [], times);
 	return {
 		id: spec.id, queue: spec.queue, end: folded.state, tookMs: Math.round(nowMs - receivedAtMs), allowedMs: Math.round((spec.stretch * criticalPathMs) + spec.targetLatencyMs), coreMs: Math.round(totalCoreMs),
--- a/src/workflows/pace-keeper.ts
+++ b/src/workflows/throttle-controller.ts
@@ -6,12 +6,12 @@
 import {OrderType, type Order} from '../types/fleet.ts';
 import {type AgentLinks} from './agent-links.ts';
 import {
-	getBestEffortGroups, getLatencyCriticalTasks, type FillHarm, type BestEffortGroup, type LatencyCriticalTask,
-} from './fill-harm.ts';
+	getBestEffortGroups, getLatencyCriticalTasks, type BestEffortInterference, type BestEffortGroup, type LatencyCriticalTask,
+} from './best-effort-interference.ts';
 import {type FleetWorker} from './fleet-view.ts';
-import {planSpeeds, type LatencyCriticalLoad} from './harm-pacing.ts';
+import {planSpeeds, type LatencyCriticalLoad} from './interference-throttling.ts';
 import {RunPhase, type LiveRun} from './live-model.ts';
-import {getLoadAt} from './serving-load.ts';
+import {getLoadAt} from './latency-critical-load.ts';
 
 /** Usage and tail latency cover the last half second: reports at shorter intervals add little information. */
 const learnIntervalMs = 400;
@@ -38,13 +38,13 @@
 /** A tail that stayed below its target for this long has recovered: readings cover the last half second. */
 const recoveredAfterMs = 600;
 
-const getThrottlePercent = (worker: FleetWorker, run: LiveRun): number => worker.paces.get(run.task.step.spec.image ?? '')?.percent ?? fullPercent;
+const getThrottlePercent = (worker: FleetWorker, run: LiveRun): number => worker.throttles.get(run.task.step.spec.image ?? '')?.percent ?? fullPercent;
 
 /**
 Estimates the load of each latency-critical task without interference: the estimate for its job, or the load that its own
 tail implies if that is higher.
 */
-const getBaseLoads = (tasks: LatencyCriticalTask[], groups: BestEffortGroup[], interference: FillHarm): LatencyCriticalLoad[] => tasks.map(({image, job, latencyRatio}) => {
+const getBaseLoads = (tasks: LatencyCriticalTask[], groups: BestEffortGroup[], interference: BestEffortInterference): LatencyCriticalLoad[] => tasks.map(({image, job, latencyRatio}) => {
 	const load = interference.getBaseLoadWithRise(job, loadRiseMargin);
 	let measured = getLoadAt(latencyRatio);
 	for (const group of groups) {
@@ -60,7 +60,7 @@
 		&& (nowMs - overTargetSinceMs >= stopAfterMs || nowMs - (mostlyOverTargetSinceMs ?? nowMs) >= stopMostlyOverAfterMs));
 
 /** Decides the throttle percentage of each image on one worker; images that keep theirs are left out. */
-export const decideThrottles = (latencyCriticalTasks: LatencyCriticalTask[], groups: BestEffortGroup[], interference: FillHarm, isStopped = false): Map<string, number> => {
+export const decideThrottles = (latencyCriticalTasks: LatencyCriticalTask[], groups: BestEffortGroup[], interference: BestEffortInterference, isStopped = false): Map<string, number> => {
 	if (isStopped) {
 		return new Map(groups.filter(({throttlePercent}) => throttlePercent > 0).map(({image}) => [image, 0]));
 	}
@@ -83,66 +83,66 @@
 };
 
 /** Throttles the best-effort tasks of one owner. */
-export class PaceKeeper {
-	readonly #interference: FillHarm;
+export class ThrottleController {
+	readonly #interference: BestEffortInterference;
 	readonly #links: AgentLinks;
 	readonly #clock: Clock;
 	readonly #note: (event: string, fields: Record<string, unknown>) => void;
 
-	constructor({harm, links, clock, note}: {harm: FillHarm; links: AgentLinks; clock: Clock; note: (event: string, fields: Record<string, unknown>) => void}) {
-		this.#interference = harm;
+	constructor({interference, links, clock, note}: {interference: BestEffortInterference; links: AgentLinks; clock: Clock; note: (event: string, fields: Record<string, unknown>) => void}) {
+		this.#interference = interference;
 		this.#links = links;
 		this.#clock = clock;
 		this.#note = note;
 	}
 
 	/** Processes the newest state of a worker. */
-	take(worker: FleetWorker): void {
+	handleState(worker: FleetWorker): void {
 		// Without CPU capacity, shares are undefined.
 		if (!worker.report || worker.report.milliCpu === 0) {
 			return;
 		}
 
 		this.#updateThrottles(worker, worker.report.milliCpu, this.#clock.monotonicMs());
-		const changed = [...worker.runs].filter(run => run.phase === RunPhase.Running && run.task.step.spec.isFilling && run.pacePercent !== getThrottlePercent(worker, run));
+		const changed = [...worker.runs].filter(run => run.phase === RunPhase.Running && run.task.step.spec.isFilling && run.throttlePercent !== getThrottlePercent(worker, run));
 		if (changed.length > 0) {
 			void this.#send(worker, changed);
 		}
 	}
 
 	#updateThrottles(worker: FleetWorker, milliCpu: number, nowMs: number): void {
-		const groups = getBestEffortGroups(worker.runs, worker.paces, {milliCpu, nowMs});
+		const groups = getBestEffortGroups(worker.runs, worker.throttles, {milliCpu, nowMs});
 		const recentGroups = recordUsage(worker, groups, nowMs);
 		updateOverTarget(worker.runs, nowMs);
 		const latencyCriticalTasks = getLatencyCriticalTasks(worker.runs);
-		worker.isFillStopped = mustStopBestEffort(latencyCriticalTasks, nowMs);
-		if (nowMs - worker.harmNotedAtMs >= learnIntervalMs) {
-			worker.harmNotedAtMs = nowMs;
+		worker.isBestEffortStopped = mustStopBestEffort(latencyCriticalTasks, nowMs);
+		if (nowMs - worker.interferenceLearnedAtMs >= learnIntervalMs) {
+			worker.interferenceLearnedAtMs = nowMs;
 			this.#interference.observe(latencyCriticalTasks, recentGroups, nowMs);
 		}
 
 		resetThrottles(worker, groups);
-		for (const [image, percent] of decideThrottles(latencyCriticalTasks, recentGroups, this.#interference, worker.isFillStopped)) {
-			const before = worker.paces.get(image)?.percent ?? fullPercent;
+		for (const [image, percent] of decideThrottles(latencyCriticalTasks, recentGroups, this.#interference, worker.isBestEffortStopped)) {
+			const before = worker.throttles.get(image)?.percent ?? fullPercent;
 			this.#note('pace', {
 				host: worker.host, image, percent, before, worstRatio: Math.max(0, ...latencyCriticalTasks.map(({latencyRatio}) => latencyRatio)),
 			});
-			worker.paces.set(image, {percent, changedAtMs: nowMs});
+			worker.throttles.set(image, {percent, changedAtMs: nowMs});
 		}
 	}
 
 	async #send(worker: FleetWorker, runs: LiveRun[]): Promise<void> {
 		const orders = runs.map((run): Order => {
-			run.pacePercent = getThrottlePercent(worker, run);
+			run.throttlePercent = getThrottlePercent(worker, run);
 			return {
-				type: OrderType.Pace, taskId: run.task.taskId, run: run.run, percent: run.pacePercent,
+				type: OrderType.Throttle, taskId: run.task.taskId, run: run.run, percent: run.throttlePercent,
 			};
 		});
 		const reply = await this.#links.order(worker, orders);
 		for (const [index, run] of runs.entries()) {
 			if (!reply?.answers[index]?.isDone) {
 				// Sent again with the agent's next state.
-				run.pacePercent = undefined;
+				run.throttlePercent = undefined;
 			}
 		}
 	}
@@ -156,25 +156,25 @@
 	for (const run of runs) {
 		const {targetMs} = run.task.step.spec;
 		if (targetMs > 0 && run.recent > targetMs) {
-			run.overSinceMs ??= nowMs;
-			run.mostlyOverSinceMs ??= nowMs;
-			run.overAtMs = nowMs;
+			run.overTargetSinceMs ??= nowMs;
+			run.mostlyOverTargetSinceMs ??= nowMs;
+			run.lastOverTargetAtMs = nowMs;
 			continue;
 		}
 
-		run.overSinceMs = undefined;
-		if (run.overAtMs !== undefined && nowMs - run.overAtMs >= recoveredAfterMs) {
-			run.mostlyOverSinceMs = undefined;
-			run.overAtMs = undefined;
+		run.overTargetSinceMs = undefined;
+		if (run.lastOverTargetAtMs !== undefined && nowMs - run.lastOverTargetAtMs >= recoveredAfterMs) {
+			run.mostlyOverTargetSinceMs = undefined;
+			run.lastOverTargetAtMs = undefined;
 		}
 	}
 };
 
 /** Resets the throttle of images without tasks on the worker: placement would otherwise avoid the worker for good. */
 const resetThrottles = (worker: FleetWorker, groups: BestEffortGroup[]): void => {
-	for (const image of worker.paces.keys()) {
+	for (const image of worker.throttles.keys()) {
 		if (!groups.some(group => group.image === image)) {
-			worker.paces.delete(image);
+			worker.throttles.delete(image);
 		}
 	}
 };
@@ -182,9 +182,9 @@
 /** Records the CPU use of each image, and returns the images with their peak over `tailFallMs`, including those without tasks left. */
 const recordUsage = (worker: FleetWorker, groups: BestEffortGroup[], nowMs: number): BestEffortGroup[] => {
 	const used = new Map(groups.map(({image, usedShare}) => [image, usedShare]));
-	worker.fillUses = [...worker.fillUses.filter(({atMs}) => nowMs - atMs <= tailFallMs), {atMs: nowMs, used}];
+	worker.bestEffortUsage = [...worker.bestEffortUsage.filter(({atMs}) => nowMs - atMs <= tailFallMs), {atMs: nowMs, used}];
 	const peaks = new Map<string, number>();
-	for (const sample of worker.fillUses) {
+	for (const sample of worker.bestEffortUsage) {
 		for (const [image, share] of sample.used) {
 			peaks.set(image, Math.max(share, peaks.get(image) ?? 0));
 		}
--- a/src/workflows/view-age.ts
+++ b/src/workflows/view-staleness.ts
@@ -1,16 +1,16 @@
 /**
 Limits how stale an owner's view of the jobs may be when it starts a task.
 */
-import {orderGoodMs} from './agent-links.ts';
+import {orderValidityMs} from './agent-links.ts';
 import {type WorkflowFollower} from './follower.ts';
 
 /** Options of the staleness check. */
-export type ViewAgeOptions = {
+export type ViewStalenessOptions = {
 	follower: WorkflowFollower;
 	/** Time within which a cancelled job must have stopped. */
 	cancelMs: number;
 	/** When the last answered heartbeat to the store was sent. */
-	getReachedAtMs: () => number;
+	getHeartbeatAtMs: () => number;
 	note: (event: string, fields: Record<string, unknown>) => void;
 };
 
@@ -22,22 +22,22 @@
 start is valid only within the time that a cancellation may take, counted from that read. The staleness is measured to the
 last answered heartbeat, not to the current time: while the store does not answer, nothing can be written to it.
 */
-export class ViewAge {
-	readonly #options: ViewAgeOptions;
+export class ViewStaleness {
+	readonly #options: ViewStalenessOptions;
 	#isStale = false;
 
-	constructor(options: ViewAgeOptions) {
+	constructor(options: ViewStalenessOptions) {
 		this.#options = options;
 	}
 
 	/** How long a start that is ordered now may stay valid. */
-	getStartGoodMs(): number {
-		return Math.min(orderGoodMs, this.#options.cancelMs - this.#getStalenessMs());
+	getStartValidityMs(): number {
+		return Math.min(orderValidityMs, this.#options.cancelMs - this.#getStalenessMs());
 	}
 
 	/** Whether the view is too stale to start anything. */
-	isTooOld(): boolean {
-		const isTooOld = this.getStartGoodMs() < minValidityMs;
+	isTooStale(): boolean {
+		const isTooOld = this.getStartValidityMs() < minValidityMs;
 		if (isTooOld !== this.#isStale) {
 			const {follower, note} = this.#options;
 			this.#isStale = isTooOld;
@@ -48,7 +48,7 @@
 	}
 
 	#getStalenessMs(): number {
-		const {follower, getReachedAtMs} = this.#options;
-		return getReachedAtMs() - follower.provenAtMs;
+		const {follower, getHeartbeatAtMs} = this.#options;
+		return getHeartbeatAtMs() - follower.caughtUpAtMs;
 	}
 }
--- a/src/workflows/workflow-api.ts
+++ b/src/workflows/workflow-api.ts
@@ -4,7 +4,7 @@
 A job is accepted once its record is in the stream. The outcome is "not accepted" only if the job never will be: no record was
 sent, or the store refused it. Otherwise the outcome is unknown, and the caller submits again under the same id.
 */
-import {ProducerWriter, WriteOutcome, type WriterNote} from '../core/producer-writer.ts';
+import {ProducerWriter, WriteOutcome, type WriterEventHandler} from '../core/producer-writer.ts';
 import {getPartition} from '../core/partitions.ts';
 import {type Clock} from '../types/clock.ts';
 import {
@@ -29,7 +29,7 @@
 	getFollower: (partition: number) => WorkflowFollower;
 	/** Whether the store has not answered this entry for a while. */
 	isStoreLost: () => boolean;
-	onWriterNote: WriterNote;
+	onWriterNote: WriterEventHandler;
 };
 
 /** Records are batched for this long: at the peak some ten a second come to an entry. */
@@ -148,7 +148,7 @@
 		if (!writer) {
 			const {store, clock, producer, maxCallBytes, onWriterNote} = this.#options;
 			writer = new ProducerWriter({
-				store, clock, ref: {topic: workflowsTopic, partition}, producer, epoch: 1, gatherMs, giveUpAfterMs, maxBatchBytes: maxCallBytes / 2, onNote: onWriterNote,
+				store, clock, ref: {topic: workflowsTopic, partition}, producer, epoch: 1, lingerMs: gatherMs, expireAfterMs: giveUpAfterMs, maxBatchBytes: maxCallBytes / 2, onEvent: onWriterNote,
 			});
 			this.#writers.set(partition, writer);
 		}
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -9,13 +9,13 @@
 import {AttemptFailure} from '../src/requests/retry.ts';
 import {Header, Outcome, RefusalReason} from '../src/types/requests.ts';
 import {
-	createRequestsWorld, describe, send, sendRaw,
-} from './requests-world.ts';
+	createSimulatedRequests, getRefusal, send, sendRaw,
+} from './simulated-requests.ts';
 
-let world: ReturnType<typeof createRequestsWorld>;
+let world: ReturnType<typeof createSimulatedRequests>;
 
 beforeEach(() => {
-	world = createRequestsWorld();
+	world = createSimulatedRequests();
 });
 
 afterEach(async () => {
@@ -61,7 +61,7 @@
 	});
 	const entry = await world.startEntry();
 	const answer = await send(entry.address);
-	expect(describe(answer)).toEqual({status: 502, reason: RefusalReason.AnswerTruncated, outcome: Outcome.Unknown});
+	expect(getRefusal(answer)).toEqual({status: 502, reason: RefusalReason.AnswerTruncated, outcome: Outcome.Unknown});
 	expect(answer.body).not.toContain('half');
 });
 
@@ -170,7 +170,7 @@
 	});
 	const entry = await world.startEntry({}, 1);
 	const late = await send(entry.address, {path: '/desk/first', headers: {[Header.DeadlineMs]: '100'}});
-	expect(describe(late)).toEqual({status: 504, reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown});
+	expect(getRefusal(late)).toEqual({status: 504, reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown});
 	for (const path of ['/desk/second', '/desk/third']) {
 		expect(await send(entry.address, {path})).toMatchObject({status: 200, body: path});
 	}
--- a/test/busy-thread.test.ts
+++ b/test/busy-thread.test.ts
@@ -6,7 +6,7 @@
 	afterEach, describe, expect, it,
 } from 'vitest';
 import {type StreamClient} from '../src/utils/call-stream-client.ts';
-import {type HttpClient} from '../src/utils/http-calls.ts';
+import {type HttpClient} from '../src/utils/keep-alive-client.ts';
 import {createCallClients} from './call-clients.ts';
 
 let client: StreamClient;
--- a/test/caller-server.test.ts
+++ b/test/caller-server.test.ts
@@ -7,15 +7,15 @@
 import {
 	afterEach, describe, expect, it,
 } from 'vitest';
-import {createCallerServer, decodeSpec} from '../src/platform/caller-server.ts';
+import {createCallerServer, decodeWorkflowSpec} from '../src/platform/caller-server.ts';
 import {LookupOutcome, SubmitOutcome, type JobApi} from '../src/types/job-api.ts';
 import {type SiteConfig} from '../src/types/site.ts';
 import {WorkflowState} from '../src/types/workflows.ts';
-import {createHttpClient, type HttpAnswer} from '../src/utils/http-calls.ts';
+import {createHttpClient, type HttpAnswer} from '../src/utils/keep-alive-client.ts';
 import {close, listen} from '../src/utils/http-server.ts';
 import {createSystemClock} from '../src/utils/system-clock.ts';
 import {findQueue} from '../src/workflows/queues.ts';
-import {queue} from './site-world.ts';
+import {queue} from './simulated-site.ts';
 
 const config: SiteConfig = {
 	version: 1, queues: [queue, {...queue, name: 'longer', pathPrefix: '/issue/more/'}], services: [], limits: {
@@ -134,7 +134,7 @@
 
 describe('decoded jobs', () => {
 	it('have defaults for omitted fields', () => {
-		expect(decodeSpec(Buffer.from(body)).steps[0]).toMatchObject({
+		expect(decodeWorkflowSpec(Buffer.from(body)).steps[0]).toMatchObject({
 			count: 2, milliCpu: 500, memoryMb: 0, after: [], isGang: false, maxPerWorker: 0, targetMs: 0,
 		});
 	});
--- a/test/choice.test.ts
+++ b/test/choice.test.ts
@@ -45,9 +45,9 @@
 
 	const {upstreamId} = chosen;
 	const latencyMs = getLatencyMs(upstreamId);
-	chooser.noteStart(upstreamId, RequestClass.Check);
+	chooser.recordStart(upstreamId, RequestClass.Check);
 	clock.advanceSync(latencyMs ?? 1);
-	chooser.noteEnd(upstreamId, {requestClass: RequestClass.Check, latencyMs: latencyMs ?? 1, isSuccess: latencyMs !== undefined});
+	chooser.recordEnd(upstreamId, {requestClass: RequestClass.Check, latencyMs: latencyMs ?? 1, isSuccess: latencyMs !== undefined});
 	return upstreamId;
 };
 
@@ -55,8 +55,8 @@
 const eject = (chooser: Chooser, upstreams: UpstreamAnnouncement[], upstreamId: string) => {
 	chooser.choose(service, upstreams, context);
 	for (let index = 0; index < 5; index++) {
-		chooser.noteStart(upstreamId, RequestClass.Check);
-		chooser.noteEnd(upstreamId, {requestClass: RequestClass.Check, latencyMs: 1, isSuccess: false});
+		chooser.recordStart(upstreamId, RequestClass.Check);
+		chooser.recordEnd(upstreamId, {requestClass: RequestClass.Check, latencyMs: 1, isSuccess: false});
 	}
 };
 
@@ -93,7 +93,7 @@
 
 	for (const {upstreamId} of upstreams.filter(({failureDomain}) => failureDomain === 'leith-hall')) {
 		for (let held = 0; held < 6; held++) {
-			chooser.noteStart(upstreamId, RequestClass.Check);
+			chooser.recordStart(upstreamId, RequestClass.Check);
 		}
 	}
 
@@ -118,17 +118,17 @@
 	const slowIds = new Set(['desk-0', 'desk-1', 'desk-2', 'desk-3', 'desk-4', 'desk-5']);
 	for (const upstreamId of slowIds) {
 		for (let index = 0; index < 20; index++) {
-			chooser.noteStart(upstreamId, RequestClass.Check);
-			chooser.noteEnd(upstreamId, {requestClass: RequestClass.Check, latencyMs: 400, isSuccess: true});
+			chooser.recordStart(upstreamId, RequestClass.Check);
+			chooser.recordEnd(upstreamId, {requestClass: RequestClass.Check, latencyMs: 400, isSuccess: true});
 		}
 	}
 
 	for (let index = 0; index < 1000; index++) {
-		chooser.noteStart('desk-9', RequestClass.Check);
-		chooser.noteEnd('desk-9', {requestClass: RequestClass.Check, latencyMs: 10, isSuccess: true});
+		chooser.recordStart('desk-9', RequestClass.Check);
+		chooser.recordEnd('desk-9', {requestClass: RequestClass.Check, latencyMs: 10, isSuccess: true});
 	}
 
-	chooser.noteStart('desk-9', RequestClass.Check);
+	chooser.recordStart('desk-9', RequestClass.Check);
 	const isSlow = (upstreamId: string) => slowIds.has(upstreamId);
 	expect(chooser.choose(service, upstreams, {...context, hasSlot: isSlow})).toBeDefined();
 	const fewer = upstreams.map(upstream => isSlow(upstream.upstreamId) && upstream.upstreamId !== 'desk-0' ? {...upstream, incarnation: 2} : upstream);
@@ -194,13 +194,13 @@
 	const upstreams = createUpstreams(2).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	chooser.choose(service, upstreams, context);
 	for (let held = 0; held < 8; held++) {
-		chooser.noteStart('desk-0', RequestClass.Check);
+		chooser.recordStart('desk-0', RequestClass.Check);
 	}
 
 	upstreams[0] = {...upstreams[0]!, incarnation: 2};
 	chooser.choose(service, upstreams, context);
 	for (let held = 0; held < 8; held++) {
-		chooser.noteEnd('desk-0', {requestClass: RequestClass.Check, latencyMs: 1, isSuccess: false});
+		chooser.recordEnd('desk-0', {requestClass: RequestClass.Check, latencyMs: 1, isSuccess: false});
 	}
 
 	clock.advanceSync(20_000);
@@ -268,7 +268,7 @@
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(4).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	count(100, () => send(chooser, clock, upstreams, () => 10));
-	chooser.noteStart('desk-1', RequestClass.Check);
+	chooser.recordStart('desk-1', RequestClass.Check);
 	clock.advanceSync(60);
 	for (let index = 0; index < 100; index++) {
 		expect(chooser.choose(service, upstreams, {...context, requestClass: RequestClass.Long})?.upstreamId).not.toBe('desk-1');
--- a/test/claims-age.test.ts
+++ b/test/claims-age.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {createSettings} from '../src/core/settings.ts';
-import {ClaimBook} from '../src/requests/claim-book.ts';
+import {ClaimRegistry} from '../src/requests/claim-registry.ts';
 import {ClaimFold} from '../src/requests/claim-fold.ts';
 import {findStartOffset} from '../src/requests/claim-start.ts';
 import {ClaimItemType, type ClaimItem, type ClaimRecord} from '../src/requests/claim-records.ts';
@@ -11,12 +11,12 @@
 import {ManualClock} from '../src/utils/manual-clock.ts';
 import {createRequestId} from '../src/utils/request-id.ts';
 import {createRandom} from '../src/utils/seeded-random.ts';
-import {createClaimsWorld} from './claims-world.ts';
+import {createSimulatedClaims} from './simulated-claims.ts';
 
 test('an id older than the retention of the log is refused, also by an entry that starts after its claim has expired', async () => {
 	// A caller repeats an old request whose claim has expired from the log: a new entry cannot know that it ran.
 	const retentionMs = 600_000;
-	const simulation = createClaimsWorld({retentionMs});
+	const simulation = createSimulatedClaims({retentionMs});
 	const a = simulation.start('a');
 	const requestId = simulation.createId();
 	const first = a.request(requestId);
@@ -26,7 +26,7 @@
 	const late = simulation.start('b');
 	await simulation.clock.advance(1000);
 	for (const entry of [a, late]) {
-		expect(entry.registry.judge(requestId)).toBe(RefusalReason.RequestIdExpired);
+		expect(entry.registry.checkRequestId(requestId)).toBe(RefusalReason.RequestIdExpired);
 		expect(await entry.request(requestId)).toMatchObject({refusal: 'not-run', isDispatched: false});
 	}
 
@@ -35,7 +35,7 @@
 
 test('a log that retains records for less than the configured retention does not make a request run twice', async () => {
 	// The platform deletes records after minutes although the settings say a day.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const a = simulation.start('a');
 	const requestId = simulation.createId();
 	const first = a.request(requestId);
@@ -48,16 +48,16 @@
 	simulation.memory.truncate(Stream.Claims, endOffset - 2);
 	const late = simulation.start('b');
 	await simulation.clock.advance(1000);
-	expect(late.registry.judge(requestId)).toBe(RefusalReason.RequestIdExpired);
+	expect(late.registry.checkRequestId(requestId)).toBe(RefusalReason.RequestIdExpired);
 	const retry = await late.request(requestId);
 	expect(retry.isDispatched).toBe(false);
 	await simulation.clock.advance(10_000);
-	expect(late.registry.judge(simulation.createId())).toBeUndefined();
+	expect(late.registry.checkRequestId(simulation.createId())).toBeUndefined();
 });
 
 test('a starting entry skips records of ids that are no longer accepted, and no others', async () => {
 	// Reading a day of records would keep a new entry from claiming for minutes.
-	const simulation = createClaimsWorld({claims: {idLifetimeMs: 60_000, marginMs: 60_000}});
+	const simulation = createSimulatedClaims({claims: {idLifetimeMs: 60_000, marginMs: 60_000}});
 	const createBatch = (writtenAtMs: number): ClaimRecord => ({
 		id: 'r', entryId: 'a', writtenAtMs, items: [],
 	});
@@ -77,12 +77,12 @@
 
 test('ids from the future and ids in another format are refused', () => {
 	// The claim of an id from tomorrow would expire before the id is too old, and the request would run again.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const {registry} = simulation.start('a');
 	const tomorrow = new ManualClock(simulation.clock.now().getTime() + 86_400_000);
-	expect(registry.judge(createRequestId(tomorrow, simulation.random))).toBe(RefusalReason.BadRequestId);
-	expect(registry.judge('b0d4ce5d-2757-4699-948c-cfa72ba94f86')).toBe(RefusalReason.BadRequestId);
-	expect(registry.judge(simulation.createId())).toBeUndefined();
+	expect(registry.checkRequestId(createRequestId(tomorrow, simulation.random))).toBe(RefusalReason.BadRequestId);
+	expect(registry.checkRequestId('b0d4ce5d-2757-4699-948c-cfa72ba94f86')).toBe(RefusalReason.BadRequestId);
+	expect(registry.checkRequestId(simulation.createId())).toBeUndefined();
 });
 
 /** A registry whose records the test applies itself, on a clock that can jump without firing its timers. */
@@ -91,7 +91,7 @@
 	const random = createRandom(3);
 	const jump = {ms: 0};
 	const appended: ClaimRecord[] = [];
-	const registry = new ClaimBook({
+	const registry = new ClaimRegistry({
 		clock: {
 			monotonicMs: () => clock.monotonicMs() + jump.ms,
 			now: () => new Date(clock.now().getTime() + jump.ms),
@@ -150,7 +150,7 @@
 	const memory = new MemoryLog(clock, random);
 	const aborter = new AbortController();
 	const hanging = {isHanging: false};
-	const registry = new ClaimBook({
+	const registry = new ClaimRegistry({
 		clock,
 		random,
 		entryId: 'a',
@@ -212,7 +212,7 @@
 });
 
 test('when there are more ids than `maxKnown`, the oldest are refused instead of being forgotten and claimable', async () => {
-	const simulation = createClaimsWorld({claims: {maxKnown: 20}});
+	const simulation = createSimulatedClaims({claims: {maxKnown: 20}});
 	const entry = simulation.start('a');
 	const ids: string[] = [];
 	for (let index = 0; index < 60; index++) {
@@ -222,6 +222,6 @@
 	}
 
 	expect(entry.registry.getStatus().known).toBeLessThanOrEqual(20 + 6);
-	expect(entry.registry.judge(ids[0]!)).toBe(RefusalReason.RequestIdExpired);
-	expect(entry.registry.judge(simulation.createId())).toBeUndefined();
+	expect(entry.registry.checkRequestId(ids[0]!)).toBe(RefusalReason.RequestIdExpired);
+	expect(entry.registry.checkRequestId(simulation.createId())).toBeUndefined();
 });
--- a/test/claims.test.ts
+++ b/test/claims.test.ts
@@ -1,12 +1,12 @@
 import * as fc from 'fast-check';
 import {expect, test} from 'vitest';
 import {ClaimState} from '../src/types/services.ts';
-import {createClaimsWorld} from './claims-world.ts';
+import {createSimulatedClaims} from './simulated-claims.ts';
 
 test('of two entries that get the same id at once, one dispatches and the other reports the claim that holds it', async () => {
 	// A client times out and repeats a non-idempotent request at another entry within the same millisecond.
 	// Both entries append a claim. The first in the log wins; the other entry must not run the request again.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const [a, b] = [simulation.start('a'), simulation.start('b')];
 	const requestId = simulation.createId();
 	const both = [a.request(requestId), b.request(requestId)];
@@ -19,7 +19,7 @@
 });
 
 test('the same id twice at one entry runs once', async () => {
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const entry = simulation.start('a');
 	const requestId = simulation.createId();
 	const both = [entry.request(requestId), entry.request(requestId.toUpperCase())];
@@ -31,7 +31,7 @@
 test('a claim whose append took effect without an answer is still dispatched, once', async () => {
 	// The log stores the claim, and its answer is lost. The entry appends the claim again.
 	// The caller must get its response, and the duplicate must not count as another request.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const entry = simulation.start('a');
 	simulation.memory.faults.loseAnswerChance = 1;
 	const requestId = simulation.createId();
@@ -47,7 +47,7 @@
 test('while the log is down, a claim fails within its timeout, and at once if the log stays down', async () => {
 	// The log is down when the entry starts. A caller must get "not run" when its timeout has passed, not later;
 	// after a while every caller gets it at once. Once the log is back, claims succeed again.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	simulation.memory.faults.isDown = true;
 	const entry = simulation.start('a');
 	const first = entry.request(simulation.createId(), {timeoutMs: 300});
@@ -73,7 +73,7 @@
 });
 
 test('ends of requests that ran while the log went down are written when it is back, from a bounded buffer', async () => {
-	const simulation = createClaimsWorld({claims: {maxPending: 4}});
+	const simulation = createSimulatedClaims({claims: {maxPending: 4}});
 	const entry = simulation.start('a');
 	const ids = Array.from({length: 4}, () => simulation.createId());
 	const all = ids.map(async requestId => entry.request(requestId, {runMs: 500}));
@@ -106,7 +106,7 @@
 test('an abandoned claim is released, and the id can be claimed again', async () => {
 	// The log is slow. The caller's timeout passes before the claim is read back; the caller gets "not run".
 	// The claim then turns out to be the first. It must not be dispatched, and must not hold the id for ever.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const entry = simulation.start('a');
 	await simulation.clock.advance(100);
 	simulation.memory.faults.delayMs = 400;
@@ -125,7 +125,7 @@
 
 test('a caller that got "not run" may repeat the request at the same entry at once', async () => {
 	// Its first claim is in the log and the release is not yet: the entry must not report its own abandoned claim as "in use".
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const entry = simulation.start('a');
 	await simulation.clock.advance(100);
 	simulation.memory.faults.delayMs = 100;
@@ -142,7 +142,7 @@
 test('an entry paused between its claim and its dispatch does not dispatch when it resumes too late', async () => {
 	// The entry wins the claim and is suspended for an hour. Operators see the request as open and resolve it by hand.
 	// When the entry resumes, it must not dispatch the request.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const [a, b] = [simulation.start('a'), simulation.start('b')];
 	const requestId = simulation.createId();
 	const attempt = a.request(requestId, {queueMs: 1000});
@@ -157,7 +157,7 @@
 });
 
 test('an entry paused before it reads its claim abandons it when it resumes, before any timer fires', async () => {
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const a = simulation.start('a');
 	await simulation.clock.advance(50);
 	const requestId = simulation.createId();
@@ -177,7 +177,7 @@
 test('after a crash between claim and response the request is open, listed, and never run again', async () => {
 	// The entry crashes while the upstream processes a request, so it is unknown whether the request ran.
 	// Every entry must refuse a retry as "in use", and operators must find the request in the list.
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const [a, b] = [simulation.start('a'), simulation.start('b')];
 	const requestId = simulation.createId();
 	void a.request(requestId, {runMs: 10_000});
@@ -195,7 +195,7 @@
 });
 
 test('claims and ends of many requests share few appends', async () => {
-	const simulation = createClaimsWorld();
+	const simulation = createSimulatedClaims();
 	const entry = simulation.start('a');
 	await simulation.clock.advance(100);
 	const appendsBefore = simulation.memory.appends;
@@ -249,7 +249,7 @@
 	);
 
 	await fc.assert(fc.asyncProperty(fc.integer(), fc.array(step, {maxLength: 50}), async (seed, steps) => {
-		const simulation = createClaimsWorld({seed, retentionMs: 240_000, claims: {idLifetimeMs: 120_000, marginMs: 60_000}});
+		const simulation = createSimulatedClaims({seed, retentionMs: 240_000, claims: {idLifetimeMs: 120_000, marginMs: 60_000}});
 		const entries = [simulation.start('a'), simulation.start('b'), simulation.start('c')];
 		const ids = Array.from({length: 5}, () => simulation.createId());
 		await simulation.clock.advance(10);
@@ -257,7 +257,7 @@
 			switch (next.type) {
 				case StepType.Request: {
 					// An id that has become too old is replaced by a new one.
-					if (entries[0]!.registry.judge(ids[next.idIndex]!) !== undefined && seed % 2 === 0) {
+					if (entries[0]!.registry.checkRequestId(ids[next.idIndex]!) !== undefined && seed % 2 === 0) {
 						ids[next.idIndex] = simulation.createId();
 					}
 
@@ -316,7 +316,7 @@
 		// Every request that ran is done or open at every entry, unless its id is too old.
 		for (const requestId of simulation.dispatches.keys()) {
 			const states = entries.map(entry => entry.registry.lookup(requestId)?.state);
-			const isOld = entries[0]!.registry.judge(requestId) !== undefined;
+			const isOld = entries[0]!.registry.checkRequestId(requestId) !== undefined;
 			expect(isOld || states.every(state => state === ClaimState.Done || state === ClaimState.Claimed), `${requestId} ${states.join(' ')}`).toBe(true);
 		}
 
--- a/test/config-fold.test.ts
+++ b/test/config-fold.test.ts
@@ -100,7 +100,7 @@
 		expect(full.sections.get(desk)?.values).toEqual({region: 'bagmati'});
 
 		const lateReader = new ConfigFold();
-		lateReader.noteGap(1);
+		lateReader.markGap(1);
 		lateReader.apply(later[1]!);
 		expect(lateReader.isComplete).toBe(false);
 		lateReader.apply(later[2]!);
@@ -111,7 +111,7 @@
 	test('a snapshot that does not cover the expired records is not applied', () => {
 		const snapshot = foldAll(toRecords([createPublish('a', {[desk]: {baseOffset: -1, values: {}}})])).createSnapshot('s');
 		const lateReader = new ConfigFold();
-		lateReader.noteGap(2);
+		lateReader.markGap(2);
 		lateReader.apply({offset: 2, value: snapshot});
 		expect(lateReader.isComplete).toBe(false);
 		expect(lateReader.sections.size).toBe(0);
@@ -264,7 +264,7 @@
 			const full = history.at(-1)!;
 			const lateReader = new ConfigFold();
 			const oldest = Math.min(truncateAt, records.length);
-			lateReader.noteGap(oldest);
+			lateReader.markGap(oldest);
 			let lastOffset = -1;
 			for (const record of records.slice(oldest)) {
 				applyIgnoringErrors(lateReader, record);
