--- a/test/crash-blame.test.ts
+++ b/test/crash-attribution.test.ts
@@ -2,14 +2,14 @@
 import {describe, expect, it} from 'vitest';
 import {type TaskCrash} from '../src/types/workflows.ts';
 import {
-	addCrash, chooseSuspects, getQuarantineMs, isGivenUp, isSuspect, type AboardTask,
-} from '../src/workflows/crash-blame.ts';
+	addCrash, chooseSuspects, getQuarantineMs, isCrashLimitReached, isSuspect, type ResidentTask,
+} from '../src/workflows/crash-attribution.ts';
 
 const createCrash = (run: number, ageMs: number, isNewest = true): TaskCrash => ({
 	run, ageMs, isNewest, host: `host-${run}`, isHostProven: false, atMs: 0,
 });
 
-const createResident = (crash: TaskCrash, earlier: TaskCrash[] = []): AboardTask => ({crash, earlier});
+const createResident = (crash: TaskCrash, earlier: TaskCrash[] = []): ResidentTask => ({crash, earlier});
 
 describe('a crash is attributed', () => {
 	it('to all recently started runs, while none of them is in quarantine', () => {
@@ -29,7 +29,7 @@
 		const cleared = createResident(createCrash(2, 1500, false), [createCrash(1, 30, false)]);
 		const culprit = createResident(createCrash(1, 10));
 		expect(chooseSuspects([cleared, culprit])).toContain(culprit);
-		expect(isGivenUp([createCrash(1, 30, false), createCrash(2, 1500, false), createCrash(3, 1500, false)])).toBe(false);
+		expect(isCrashLimitReached([createCrash(1, 30, false), createCrash(2, 1500, false), createCrash(3, 1500, false)])).toBe(false);
 	});
 
 	it('to no run that started long before', () => {
@@ -40,25 +40,25 @@
 describe('a task reaches the crash limit', () => {
 	it('at its third crash if it crashes each worker soon after its start', () => {
 		const crashes = [createCrash(1, 15, false), createCrash(2, 12), createCrash(3, 200)];
-		expect(isGivenUp(crashes.slice(0, 2))).toBe(false);
-		expect(isGivenUp(crashes)).toBe(true);
+		expect(isCrashLimitReached(crashes.slice(0, 2))).toBe(false);
+		expect(isCrashLimitReached(crashes)).toBe(true);
 	});
 
 	it('before its sixth start if it crashes each worker some seconds after its start', () => {
 		const crashes = [1, 2, 3, 4, 5].map(run => createCrash(run, 3000 + (run * 50)));
-		expect(isGivenUp(crashes)).toBe(true);
+		expect(isCrashLimitReached(crashes)).toBe(true);
 	});
 
 	it('never by crashes next to newer runs', () => {
 		fc.assert(fc.property(fc.array(fc.integer({min: 0, max: 5000}), {maxLength: 12}), ages => {
-			expect(isGivenUp(ages.map((ageMs, run) => createCrash(run, ageMs, false)))).toBe(false);
+			expect(isCrashLimitReached(ages.map((ageMs, run) => createCrash(run, ageMs, false)))).toBe(false);
 		}), {seed: 30});
 	});
 
 	it('never by crashes on one host, unless other tasks succeed there', () => {
 		const crashes = [1, 2, 3, 4, 5, 6].map(run => ({...createCrash(run, 10), host: 'host'}));
-		expect(isGivenUp(crashes)).toBe(false);
-		expect(isGivenUp(crashes.slice(0, 3).map(crash => ({...crash, isHostProven: true})))).toBe(true);
+		expect(isCrashLimitReached(crashes)).toBe(false);
+		expect(isCrashLimitReached(crashes.slice(0, 3).map(crash => ({...crash, isHostProven: true})))).toBe(true);
 	});
 
 	it('independently of the order in which its crashes are reported', () => {
@@ -67,7 +67,7 @@
 		});
 		const crashes = fc.uniqueArray(crash, {selector: ({run}) => run, maxLength: 8});
 		fc.assert(fc.property(crashes.chain(list => fc.tuple(fc.constant(list), fc.shuffledSubarray(list, {minLength: list.length}))), ([list, shuffled]) => {
-			expect(isGivenUp(shuffled)).toBe(isGivenUp(list));
+			expect(isCrashLimitReached(shuffled)).toBe(isCrashLimitReached(list));
 		}), {seed: 30});
 	});
 });
@@ -77,7 +77,7 @@
 	let crashes: TaskCrash[] = [];
 	for (const crash of yearly) {
 		crashes = addCrash(crashes, crash);
-		expect(isGivenUp(crashes)).toBe(false);
+		expect(isCrashLimitReached(crashes)).toBe(false);
 	}
 
 	expect(crashes).toHaveLength(1);
--- a/test/crash-watch.test.ts
+++ b/test/crash-monitor.test.ts
@@ -1,32 +1,32 @@
 import {expect, it} from 'vitest';
 import {type WatchReply} from '../src/types/fleet.ts';
 import {ManualClock} from '../src/utils/manual-clock.ts';
-import {CrashWatch} from '../src/workflows/crash-watch.ts';
+import {CrashMonitor} from '../src/workflows/crash-monitor.ts';
 import {type LiveRun} from '../src/workflows/live-model.ts';
-import {type CrashedTask} from '../src/workflows/records.ts';
+import {type AttributedCrash} from '../src/workflows/records.ts';
 import {type RunTracker} from '../src/workflows/run-tracker.ts';
 import {
 	createWorker, createWorkflow, load, run,
 } from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const id = '0000000000000001';
 
 const createMonitor = () => {
 	const {model} = load([createWorkflow(id, createSpec([createStep()]))]);
-	const [task] = [...model.waiting(0, () => false)];
+	const [task] = [...model.getWaitingTasks(0, () => false)];
 	const lost: LiveRun[] = [];
-	const stored: CrashedTask[] = [];
-	const monitor = new CrashWatch({
+	const stored: AttributedCrash[] = [];
+	const monitor = new CrashMonitor({
 		clock: new ManualClock(),
-		tracker: {lose: (live: LiveRun) => lost.push(live)} as unknown as RunTracker,
+		tracker: {markLost: (live: LiveRun) => lost.push(live)} as unknown as RunTracker,
 		getTask: () => task,
 		async store(crashes) {
 			stored.push(...crashes);
 			return true;
 		},
-		onCulprit: () => undefined,
-		onGivenUp: () => undefined,
+		onLikelyCause: () => undefined,
+		onCrashLimit: () => undefined,
 		note: () => undefined,
 	});
 	return {
@@ -45,8 +45,8 @@
 	const {monitor, task, lost, stored} = createMonitor();
 	const worker = createWorker('host');
 	const live = run(task, worker);
-	monitor.take(worker, createReply(live.workerId), 1000);
-	monitor.take(worker, createReply(live.workerId), 2000);
+	monitor.handleReply(worker, createReply(live.workerId), 1000);
+	monitor.handleReply(worker, createReply(live.workerId), 2000);
 	expect(lost).toEqual([live]);
 	expect(stored).toHaveLength(1);
 });
@@ -55,7 +55,7 @@
 	const {monitor, task, lost, stored} = createMonitor();
 	const worker = createWorker('host');
 	run(task, worker, {workerId: 'host-2'});
-	monitor.take(worker, createReply('host-1'), 1000);
+	monitor.handleReply(worker, createReply('host-1'), 1000);
 	expect(lost).toEqual([]);
 	expect(stored).toHaveLength(1);
 });
--- a/test/drain.test.ts
+++ b/test/drain.test.ts
@@ -6,7 +6,7 @@
 import {MemoryLog} from '../src/standin/memory-log.ts';
 import {HostState, type UpstreamAnnouncement} from '../src/types/announcements.ts';
 import {ServiceName} from '../src/types/services.ts';
-import {callJson} from '../src/utils/http-client.ts';
+import {callJson} from '../src/utils/json-client.ts';
 import {createRandom} from '../src/utils/seeded-random.ts';
 import {createSystemClock} from '../src/utils/system-clock.ts';
 
--- a/test/event-log.test.ts
+++ b/test/event-log.test.ts
@@ -2,7 +2,7 @@
 Rate limit on log lines.
 */
 import {describe, expect, it} from 'vitest';
-import {LineBudget} from '../src/utils/event-log.ts';
+import {LineRateLimiter} from '../src/utils/event-log.ts';
 
 describe('a log under load', () => {
 	/**
@@ -10,23 +10,23 @@
 	second. If the lines on the acceptance and end of jobs are dropped with the rest, the wait of a caller cannot be explained.
 	*/
 	it('writes rare events beside frequent ones', () => {
-		const budget = new LineBudget();
-		budget.renew(0);
+		const budget = new LineRateLimiter();
+		budget.startWindow(0);
 		for (let index = 0; index < 2000; index++) {
-			budget.take('pace');
+			budget.tryTake('pace');
 		}
 
-		const kept = Array.from({length: 30}, () => budget.take('job over'));
+		const kept = Array.from({length: 30}, () => budget.tryTake('job over'));
 		expect(kept.every(Boolean)).toBe(true);
 	});
 
 	it('is limited, and reports the number of dropped lines', () => {
-		const budget = new LineBudget();
-		budget.renew(0);
-		const written = Array.from({length: 2000}, () => budget.take('pace')).filter(Boolean).length;
+		const budget = new LineRateLimiter();
+		budget.startWindow(0);
+		const written = Array.from({length: 2000}, () => budget.tryTake('pace')).filter(Boolean).length;
 		expect(written).toBe(600);
-		expect(budget.renew(500)).toBeUndefined();
-		expect(budget.renew(1000)).toEqual({pace: 1400});
-		expect(budget.take('pace')).toBe(true);
+		expect(budget.startWindow(500)).toBeUndefined();
+		expect(budget.startWindow(1000)).toEqual({pace: 1400});
+		expect(budget.tryTake('pace')).toBe(true);
 	});
 });
--- a/test/first-fit.test.ts
+++ b/test/first-fit.test.ts
@@ -4,18 +4,18 @@
 import {createSpec, defaultCapacity} from './jobs-harness.ts';
 
 const worker: PlacementWorker = {
-	workerId: 'w', region: 'r', failureDomain: 'd', rack: 'k', capacity: defaultCapacity, isOpen: true,
+	workerId: 'w', region: 'r', failureDomain: 'd', rack: 'k', capacity: defaultCapacity, isSchedulable: true,
 };
 
 // The tasks of another entry fill the only worker. A job that fits it when it is empty must wait,
 // and not be told that no worker is large enough.
 test('what others hold of a worker delays a job and does not make it unplaceable', () => {
 	const engine = new FirstFitEngine();
-	engine.setWorker({...worker, foreign: defaultCapacity});
+	engine.setWorker({...worker, usedByOthers: defaultCapacity});
 	engine.enqueue({
 		taskId: 'job/0', attempt: 0, spec: createSpec('job'), queuedAtMs: 0,
 	});
 	expect(engine.decide(0, 10)).toEqual([]);
-	engine.setWorker({...worker, foreign: {processors: 0, memoryMb: 0, accelerators: 0}});
+	engine.setWorker({...worker, usedByOthers: {processors: 0, memoryMb: 0, accelerators: 0}});
 	expect(engine.decide(1, 10)).toMatchObject([{type: DecisionType.Start, workerId: 'w'}]);
 });
--- a/test/follower.test.ts
+++ b/test/follower.test.ts
@@ -8,7 +8,7 @@
 import {WorkflowFollower} from '../src/workflows/follower.ts';
 import {encodeRecord, RecordType} from '../src/workflows/records.ts';
 import {createWorkflow} from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const ref = {topic: 'jobs', partition: 0};
 const jobs = 120;
--- a/test/harm.test.ts
+++ b/test/harm.test.ts
@@ -105,7 +105,7 @@
 	const decisions: Decision[] = [];
 	for (let nowMs = fromMs; nowMs <= toMs; nowMs += 2000) {
 		const measuredAtMs = nowMs - 20_000;
-		engine.noteUsage('desk/0', {
+		engine.recordUsage('desk/0', {
 			measuredAtMs, processors: 4, memoryMb: 512, slowdown: slowdown(measuredAtMs),
 		});
 		decisions.push(...engine.decide(nowMs, 100));
@@ -124,12 +124,12 @@
 	enqueueJob(engine, service);
 	enqueueJob(engine, noisy('n1'));
 	expect(getStarts(engine.decide(0, 10))).toHaveLength(2);
-	engine.noteEnded('n1/0', true, 100_000);
+	engine.recordEnded('n1/0', true, 100_000);
 	const quiet = createSpec('quiet', {kind: 'quiet', declaredRunTimeMs: 600_000});
 	enqueueJob(engine, quiet, {queuedAtMs: 100_000});
 	expect(getStarts(engine.decide(100_000, 10))).toHaveLength(1);
 	const report = (measuredAtMs: number, slowdown: number) => {
-		engine.noteUsage('desk/0', {
+		engine.recordUsage('desk/0', {
 			measuredAtMs, processors: 4, memoryMb: 512, slowdown,
 		});
 	};
--- a/test/jobs-service.test.ts
+++ b/test/jobs-service.test.ts
@@ -8,7 +8,7 @@
 import {
 	PeerMethod, ServiceName, type PeerHandler, type PeersService,
 } from '../src/types/services.ts';
-import {callJson} from '../src/utils/http-client.ts';
+import {callJson} from '../src/utils/json-client.ts';
 import {createRandom} from '../src/utils/seeded-random.ts';
 import {createSystemClock} from '../src/utils/system-clock.ts';
 import {createSpec} from './jobs-harness.ts';
--- a/test/http-calls.test.ts
+++ b/test/keep-alive-client.test.ts
@@ -6,7 +6,7 @@
 import {Worker} from 'node:worker_threads';
 import {afterEach, expect, it} from 'vitest';
 import {ErrorCode, getErrorCode} from '../src/core/errors.ts';
-import {createHttpClient, type HttpClient} from '../src/utils/http-calls.ts';
+import {createHttpClient, type HttpClient} from '../src/utils/keep-alive-client.ts';
 import {listen} from '../src/utils/http-server.ts';
 
 let server: Server;
--- a/test/membership-rest.test.ts
+++ b/test/membership-rest.test.ts
@@ -29,8 +29,8 @@
 test('an answer does not return the set of the entry that requests it', () => {
 	const clock = new ManualClock();
 	const [a, b] = [createState(clock, 'a'), createState(clock, 'b')];
-	a.hear('upstream/desk-1', announcement, 60_000);
-	b.takeAnswer(a.servePull(b.createPull('a')), clock.monotonicMs());
+	a.receiveAnnouncement('upstream/desk-1', announcement, 60_000);
+	b.applyAnswer(a.servePull(b.createPull('a')), clock.monotonicMs());
 	expect(b.isAlive('upstream/desk-1')).toBe(true);
 	clock.advanceSync(voucherLeaseMs / 2);
 	const {owners} = b.servePull(a.createPull('b'));
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -6,17 +6,17 @@
 import {HostState} from '../src/types/announcements.ts';
 import {ServiceName} from '../src/types/services.ts';
 import {ManualClock} from '../src/utils/manual-clock.ts';
-import {World, type WorldEntry} from './membership-world.ts';
+import {SimulatedMembership, type SimulatedEntry} from './simulated-membership.ts';
 
-let simulation = new World();
+let simulation = new SimulatedMembership();
 const allIds = ['a', 'b', 'c'];
 
 afterEach(async () => {
 	await simulation.stop();
 });
 
-const startSimulation = async (settings: ConstructorParameters<typeof World>[0] = {}, ids = allIds) => {
-	simulation = new World(settings);
+const startSimulation = async (settings: ConstructorParameters<typeof SimulatedMembership>[0] = {}, ids = allIds) => {
+	simulation = new SimulatedMembership(settings);
 	for (const id of ids) {
 		await simulation.startEntry(id);
 	}
@@ -24,7 +24,7 @@
 	await simulation.clock.advance(1000);
 };
 
-const getCounts = (entry: WorldEntry) => entry.kernel.get(ServiceName.Metrics).getCounts();
+const getCounts = (entry: SimulatedEntry) => entry.kernel.get(ServiceName.Metrics).getCounts();
 const getAllRoutable = () => [...simulation.entries.keys()].map(id => simulation.getRoutable(id));
 
 test('all entries know an upstream within 3 s, whichever entry receives its announcements', async () => {
@@ -54,7 +54,7 @@
 	const upstream = simulation.addUpstream('u', {targets: ['a']});
 	await simulation.clock.advance(3000);
 	for (const [a, b] of [['a', 'b'], ['a', 'c'], ['b', 'c']] as const) {
-		simulation.setCut(a, b, true);
+		simulation.setLinkBroken(a, b, true);
 	}
 
 	upstream.state = HostState.Draining;
@@ -75,8 +75,8 @@
 	const late = {...upstream.sent.at(-1)!, sequence: 1000};
 	upstream.state = HostState.Draining;
 	await upstream.announce(simulation.entries.get('a')!);
-	simulation.repeat(simulation.entries.get('b')!, late);
-	simulation.repeat(simulation.entries.get('c')!, upstream.sent[0]!);
+	simulation.redeliver(simulation.entries.get('b')!, late);
+	simulation.redeliver(simulation.entries.get('c')!, upstream.sent[0]!);
 	await simulation.clock.advance(1000);
 	expect(getAllRoutable()).toEqual([[], [], []]);
 	// The next incarnation of the host overrides the drain.
@@ -99,9 +99,9 @@
 			const body = {
 				upstreamId: 'u', service: 's', address: `127.0.0.1:${order.incarnation}`, region: 'r', failureDomain: 'd', slots: 8, connections: 64, isGuarded: false, ...order,
 			};
-			simulation.repeat(simulation.entries.get(entry)!, body);
+			simulation.redeliver(simulation.entries.get(entry)!, body);
 			if (isTwice) {
-				simulation.repeat(simulation.entries.get(entry)!, body);
+				simulation.redeliver(simulation.entries.get(entry)!, body);
 			}
 
 			await simulation.clock.advance(simulation.random.below(300));
@@ -124,7 +124,7 @@
 	simulation.addUpstream('u1', {targets: ['a']});
 	simulation.addUpstream('u2', {targets: ['b']});
 	await simulation.clock.advance(3000);
-	simulation.setCut('a', 'b', true);
+	simulation.setLinkBroken('a', 'b', true);
 	for (let second = 0; second < 20; second++) {
 		await simulation.clock.advance(1000);
 		expect(getAllRoutable()).toEqual([['u1', 'u2'], ['u1', 'u2'], ['u1', 'u2']]);
@@ -143,7 +143,7 @@
 
 	await simulation.clock.advance(3000);
 	expect(getAllRoutable().map(ids => ids.length)).toEqual([10, 10]);
-	simulation.setCut('a', 'b', true);
+	simulation.setLinkBroken('a', 'b', true);
 	await simulation.clock.advance(5000);
 	expect(getAllRoutable().map(ids => ids.filter(id => id.startsWith('a')).length)).toEqual([5, 0]);
 	await simulation.clock.advance(3_600_000);
@@ -151,7 +151,7 @@
 	const before = simulation.announcements;
 	await simulation.clock.advance(10_000);
 	const perSecond = (simulation.announcements - before) / 10;
-	simulation.network.healAll();
+	simulation.network.restoreAllLinks();
 	const {calls} = simulation.network;
 	await simulation.clock.advance(5000);
 	expect(getAllRoutable().map(ids => ids.length)).toEqual([10, 10]);
@@ -286,7 +286,7 @@
 	const damper = new FlapDamper(clock, {holdAt: 4, releaseAt: 1.5, halfLifeMs: 60_000});
 	const [a, b] = ['a#1', 'b#1'].map(id => new MembershipState(clock, id, policy, damper)) as [MembershipState, MembershipState];
 	const announce = (index: number, sequence: number, state = HostState.Alive) => {
-		a.hear(`upstream/${index}`, {
+		a.receiveAnnouncement(`upstream/${index}`, {
 			upstreamId: String(index), service: 's', incarnation: 1, sequence, state, address: '127.0.0.1:1', region: 'r', failureDomain: 'd', slots: 8, connections: 64, isGuarded: false,
 		}, 3000);
 	};
@@ -294,7 +294,7 @@
 	const exchange = () => {
 		const request = b.createPull('a#1');
 		const answer = a.servePull(request);
-		b.takeAnswer(answer, clock.monotonicMs());
+		b.applyAnswer(answer, clock.monotonicMs());
 		return JSON.stringify([request, answer]).length;
 	};
 
--- a/test/metrics-page.test.ts
+++ b/test/metrics-page.test.ts
@@ -2,7 +2,7 @@
 The metrics page as a scraper reads it.
 */
 import {afterEach, expect, it} from 'vitest';
-import {createHttpClient} from '../src/utils/http-calls.ts';
+import {createHttpClient} from '../src/utils/keep-alive-client.ts';
 import {close, listen} from '../src/utils/http-server.ts';
 import {createMetricsPage, type MetricsPage} from '../src/utils/metrics-page.ts';
 
--- a/test/pair-effects.test.ts
+++ b/test/pair-effects.test.ts
@@ -1,9 +1,9 @@
 import {
 	describe, expect, it,
 } from 'vitest';
-import {FillHarm, type BestEffortGroup, type LatencyCriticalTask} from '../src/workflows/fill-harm.ts';
+import {BestEffortInterference, type BestEffortGroup, type LatencyCriticalTask} from '../src/workflows/best-effort-interference.ts';
 import {PairEffects} from '../src/workflows/pair-effects.ts';
-import {getLoadAt} from '../src/workflows/serving-load.ts';
+import {getLoadAt} from '../src/workflows/latency-critical-load.ts';
 
 const reportVariance = 0.03 ** 2;
 const share = 0.11;
@@ -67,7 +67,7 @@
 });
 
 it('lets a job with many tasks of an unknown image proceed after the first reports of its effect', () => {
-	const harm = new FillHarm();
+	const harm = new BestEffortInterference();
 	const task: LatencyCriticalTask = {image: 'server', job: 'job.0', latencyRatio: 0.3};
 	for (let nowMs = 0; nowMs <= 3000; nowMs += 400) {
 		harm.observe([task], [], nowMs);
--- a/test/peer-clock.test.ts
+++ b/test/peer-clock.test.ts
@@ -7,16 +7,16 @@
 
 it('is not set back by a response that was handled late', () => {
 	const peer = new PeerClock();
-	peer.note(5000, {sentAtMs: 990, handledAtMs: 1000});
-	peer.note(5100, {sentAtMs: 1090, handledAtMs: 2400});
-	expect(peer.read(2400)).toBe(6400);
+	peer.addReading(5000, {sentAtMs: 990, handledAtMs: 1000});
+	peer.addReading(5100, {sentAtMs: 1090, handledAtMs: 2400});
+	expect(peer.estimate(2400)).toBe(6400);
 });
 
 it('is corrected at the next response after the peer stood still', () => {
 	const peer = new PeerClock();
-	peer.note(5000, {sentAtMs: 990, handledAtMs: 1000});
-	peer.note(5100, {sentAtMs: 4090, handledAtMs: 4100});
-	expect(peer.read(4100)).toBeLessThanOrEqual(5110);
+	peer.addReading(5000, {sentAtMs: 990, handledAtMs: 1000});
+	peer.addReading(5100, {sentAtMs: 4090, handledAtMs: 4100});
+	expect(peer.estimate(4100)).toBeLessThanOrEqual(5110);
 });
 
 it('is never ahead of a running clock, whatever the delays', () => {
@@ -27,8 +27,8 @@
 			const sentAtMs = nowMs;
 			const readAtMs = sentAtMs + requestMs;
 			nowMs = readAtMs + lateMs;
-			peer.note(readAtMs + 700, {sentAtMs, handledAtMs: nowMs});
-			if (peer.read(nowMs) > nowMs + 700 || peer.read(nowMs) < nowMs + 700 - lateMs) {
+			peer.addReading(readAtMs + 700, {sentAtMs, handledAtMs: nowMs});
+			if (peer.estimate(nowMs) > nowMs + 700 || peer.estimate(nowMs) < nowMs + 700 - lateMs) {
 				return false;
 			}
 
--- a/test/peers.test.ts
+++ b/test/peers.test.ts
@@ -68,10 +68,10 @@
 	await clock.advance(1000);
 	expect([a, b, c].map(entry => getAlive(entry))).toEqual([['b', 'c'], ['a', 'c'], ['a', 'b']]);
 	const address = (entry: RunningKernel, id: string) => entry.get(ServiceName.Peers).list().find(({processId}) => processId === id)!.peerAddress;
-	network.setCut(address(b, 'a'), address(a, 'b'), true);
+	network.setLinkBroken(address(b, 'a'), address(a, 'b'), true);
 	await clock.advance(2000);
 	expect([a, b, c].map(entry => getAlive(entry))).toEqual([['c'], ['c'], ['a', 'b']]);
-	network.healAll();
+	network.restoreAllLinks();
 	await clock.advance(4000);
 	expect(getAlive(a)).toEqual(['b', 'c']);
 });
--- a/test/perf/measure-claims.ts
+++ b/test/perf/measure-claims.ts
@@ -6,7 +6,7 @@
 import {build as createHistogram} from 'hdr-histogram-js';
 import {followLog} from '../../src/core/log-reader.ts';
 import {createSettings} from '../../src/core/settings.ts';
-import {ClaimBook} from '../../src/requests/claim-book.ts';
+import {ClaimRegistry} from '../../src/requests/claim-registry.ts';
 import {MemoryLog} from '../../src/standin/memory-log.ts';
 import {Stream, type PlatformLog} from '../../src/types/platform.ts';
 import {type Random} from '../../src/types/random.ts';
@@ -60,7 +60,7 @@
 	let won = 0;
 	let lost = 0;
 
-	const claimOne = async (registry: ClaimBook) => {
+	const claimOne = async (registry: ClaimRegistry) => {
 		const requestId = createRequestId(clock, random);
 		const startMs = clock.monotonicMs();
 		const {isWon} = await registry.claim(requestId, 'desk', 5000);
@@ -75,7 +75,7 @@
 		registry.finish(requestId, {state: ClaimState.Done, status: 200, body: 'x'.repeat(400)});
 	};
 
-	const arrive = async (registry: ClaimBook) => {
+	const arrive = async (registry: ClaimRegistry) => {
 		while (!signal.aborted) {
 			await clock.sleep(getArrivalGapMs(random, claimsPerSecond / entryCount));
 			void claimOne(registry);
@@ -83,7 +83,7 @@
 	};
 
 	for (let index = 0; index < entryCount; index++) {
-		const registry = new ClaimBook({
+		const registry = new ClaimRegistry({
 			log, clock, random, entryId: `entry-${index}`, settings: createSettings(),
 		});
 		void registry.run(signal);
--- a/test/perf/measure-cycles.ts
+++ b/test/perf/measure-cycles.ts
@@ -6,12 +6,12 @@
 import process from 'node:process';
 import {formatTable} from '../../src/measure/table.ts';
 import {createRandom} from '../../src/utils/seeded-random.ts';
-import {FillHarm} from '../../src/workflows/fill-harm.ts';
+import {BestEffortInterference} from '../../src/workflows/best-effort-interference.ts';
 import {type LiveTask} from '../../src/workflows/live-model.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from '../site-fleet.ts';
-import {createSpec, createStep} from '../site-world.ts';
+import {createSpec, createStep} from '../simulated-site.ts';
 
 const repeats = 15;
 const servingJobs = 40;
@@ -35,7 +35,7 @@
 	const short = createWorkflow('c', createSpec([createStep({count: shortTasks, milliCpu: 400})]));
 	const {model} = load([...serving, ...filling, ...waiting, short]);
 	const workers = Array.from({length: size}, (_, index) => createWorker(`host-${index}`, 16_000, ['a', `r1-${Math.floor(index / 8)}`]));
-	const tasks = [...model.waiting(0, () => false)];
+	const tasks = [...model.getWaitingTasks(0, () => false)];
 	const isRunning = ({ref: {workflowId}}: LiveTask) => workflowId.startsWith('s') || workflowId.startsWith('f');
 	for (const [index, task] of tasks.filter(task => isRunning(task)).entries()) {
 		run(task, workers[index % size]!, {recent: task.step.spec.isFilling ? 1800 : 12, percent: 100});
@@ -45,9 +45,9 @@
 };
 
 /** Half of the pairs disturb each other, and all are known. */
-const createHarm = (): FillHarm => {
+const createHarm = (): BestEffortInterference => {
 	const random = createRandom(2);
-	const harm = new FillHarm();
+	const harm = new BestEffortInterference();
 	harm.restore(Array.from({length: servingImages * fillingImages}, (_, index) => ({
 		server: `serve-${index % servingImages}`, filler: `fill-${Math.floor(index / servingImages)}`, mean: random.below(2) * random.next() * 0.2, deviation: 0.02,
 	})), 0);
--- a/test/perf/measure-filling.ts
+++ b/test/perf/measure-filling.ts
@@ -4,14 +4,14 @@
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
 import {formatTable} from '../../src/measure/table.ts';
-import {FillHarm} from '../../src/workflows/fill-harm.ts';
+import {BestEffortInterference} from '../../src/workflows/best-effort-interference.ts';
 import {type LiveTask} from '../../src/workflows/live-model.ts';
-import {createPlaceFinder} from '../../src/workflows/placement.ts';
+import {createPlacementCheck} from '../../src/workflows/placement.ts';
 import {createPolicy} from '../../src/workflows/policy.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from '../site-fleet.ts';
-import {createSpec, createStep} from '../site-world.ts';
+import {createSpec, createStep} from '../simulated-site.ts';
 
 const repeats = 30;
 const heldTasks = 30;
@@ -30,7 +30,7 @@
 			count: waitingTasks, isFilling: true, image: 'wait', milliCpu: 1800,
 		})])),
 	]);
-	const tasks = [...model.waiting(0, () => false)];
+	const tasks = [...model.getWaitingTasks(0, () => false)];
 	const workers = Array.from({length: size}, (_, index) => createWorker(`host-${index}`, 16_000));
 	for (const [index, task] of tasks.slice(0, 7 * size).entries()) {
 		run(task, workers[index % size]!, {recent: task.step.spec.isFilling ? 1800 : 12, percent: 100});
@@ -50,13 +50,13 @@
 
 const rows = [11, 72, 300].map(size => {
 	const {model, workers, held} = createFleet(size);
-	const harm = new FillHarm();
-	const terms = {harm, isAllowed: () => true, policy: createPolicy()};
-	const askAnew = (task: LiveTask) => createPlaceFinder(workers, terms)(task);
+	const harm = new BestEffortInterference();
+	const terms = {interference: harm, isAllowed: () => true, policy: createPolicy()};
+	const askAnew = (task: LiveTask) => createPlacementCheck(workers, terms)(task);
 	const round = measureMs(() => placeAll(model, workers, {harm}));
 	const before = measureMs(() => held.filter(task => askAnew(task)));
 	const after = measureMs(() => {
-		const hasPlace = createPlaceFinder(workers, terms);
+		const hasPlace = createPlacementCheck(workers, terms);
 		held.filter(task => hasPlace(task));
 	});
 	return {
--- a/test/perf/profile-entry.ts
+++ b/test/perf/profile-entry.ts
@@ -14,7 +14,7 @@
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {Agent} from '../../src/agents/agent.ts';
-import {leaseHorizonMs} from '../../src/agents/lease-clock.ts';
+import {leaseDurationMs} from '../../src/agents/worker-lease.ts';
 import {getPartition} from '../../src/core/partitions.ts';
 import {decidingLoads, offerJobs, type OfferedJob} from '../../src/measure/deciding-load.ts';
 import {serveAgent} from '../../src/plugins/agent-messages.ts';
@@ -163,7 +163,7 @@
 		client: worker.createClient(),
 		clock,
 		life: host,
-		leaseHorizonMs,
+		leaseDurationMs,
 		maxLeaseMs: 6000,
 		note: () => undefined,
 	});
@@ -179,9 +179,9 @@
 	});
 	void agent.run(new AbortController().signal);
 	setInterval(() => {
-		agent.announce(worker.announce());
+		agent.handleAnnouncement(worker.announce());
 	}, secondMs);
-	agent.announce(worker.announce());
+	agent.handleAnnouncement(worker.announce());
 }
 
 setInterval(() => {
--- a/test/perf/store-server.ts
+++ b/test/perf/store-server.ts
@@ -104,7 +104,7 @@
 			}
 
 			case '/log-newest': {
-				const {records, endOffset} = await client.newest(ref);
+				const {records, endOffset} = await client.readNewest(ref);
 				return {status: 200, body: JSON.stringify({items: records.map(({key, value, offset}) => ({key, value: value.toString('base64'), offset})), hasMore: false, end: endOffset})};
 			}
 
@@ -117,7 +117,7 @@
 			}
 
 			case '/log-owners': {
-				const owners = await client.getOwners(query.get('group')!);
+				const owners = await client.getPartitionHolders(query.get('group')!);
 				return {status: 200, body: JSON.stringify({rows: owners.map(owner => ['', 0, owner, 0])})};
 			}
 
--- a/test/placement-properties.test.ts
+++ b/test/placement-properties.test.ts
@@ -82,7 +82,7 @@
 	end(running: Running, isSuccess: boolean): void {
 		const {task} = running;
 		this.running.delete(task.taskId);
-		this.engine.noteEnded(task.taskId, isSuccess, this.nowMs);
+		this.engine.recordEnded(task.taskId, isSuccess, this.nowMs);
 		if (!isSuccess) {
 			this.enqueue({...task, attempt: task.attempt + 1, queuedAtMs: this.nowMs});
 		}
@@ -134,7 +134,7 @@
 		const task = this.waiting.get(taskId)!;
 		expect(task).toBeDefined();
 		const worker = this.workers.get(workerId)!;
-		expect(worker.isOpen).toBe(true);
+		expect(worker.isSchedulable).toBe(true);
 		let used = resources.processors;
 		for (const other of this.running.values()) {
 			used += other.workerId === workerId ? other.resources.processors : 0;
@@ -197,7 +197,7 @@
 			case 'refuse': {
 				const running = pick(step.pick);
 				if (running && !running.isEvicting) {
-					this.engine.noteStartRefused(running.task.taskId, running.workerId);
+					this.engine.recordStartRefused(running.task.taskId, running.workerId);
 					this.end(running, false);
 				}
 
@@ -207,7 +207,7 @@
 			case 'usage': {
 				const running = pick(step.pick);
 				if (running) {
-					this.engine.noteUsage(running.task.taskId, {
+					this.engine.recordUsage(running.task.taskId, {
 						measuredAtMs: this.nowMs, processors: running.resources.processors * step.ratio, memoryMb: 512, slowdown: step.slowdown,
 					});
 				}
@@ -222,7 +222,7 @@
 	}
 
 	changeWorker(number: number, state: 'open' | 'closed' | 'lost'): void {
-		const worker = createWorker(number, {isOpen: state === 'open'});
+		const worker = createWorker(number, {isSchedulable: state === 'open'});
 		if (state !== 'lost') {
 			this.setWorker(worker);
 			return;
--- a/test/placement-tools.ts
+++ b/test/placement-tools.ts
@@ -19,7 +19,7 @@
 	failureDomain: ['leith-hall', 'govan-hall', 'grange-hall'][Math.floor(number / 3) % 3]!,
 	rack: `rack-${Math.floor(number / 3)}`,
 	capacity: {processors: 16, memoryMb: 61_440, accelerators: 0},
-	isOpen: true,
+	isSchedulable: true,
 	...changes,
 });
 
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -11,7 +11,7 @@
 	enqueueJob(engine, createSpec('j', {taskCount: 5}));
 	expect(getStarts(engine.decide(0, 100))).toHaveLength(4);
 	expect(engine.decide(10, 100)).toEqual([]);
-	engine.noteEnded('j/1', true, 1000);
+	engine.recordEnded('j/1', true, 1000);
 	expect(getStarts(engine.decide(1000, 100)).map(({taskId}) => taskId)).toEqual(['j/4']);
 });
 
@@ -25,11 +25,11 @@
 	const whole = {processors: 16, memoryMb: 1024, accelerators: 0};
 	enqueueJob(engine, createSpec('a', {resources: whole}));
 	engine.decide(0, 10);
-	engine.noteStartRefused('a/0', 'w0');
+	engine.recordStartRefused('a/0', 'w0');
 	engine.enqueue(createTask(createSpec('a', {resources: whole}), 0, {attempt: 1}));
 	enqueueJob(engine, createSpec('b', {resources: whole}));
 	expect(engine.decide(100, 10)).toEqual([]);
-	engine.noteEnded('a/0', false, 5000);
+	engine.recordEnded('a/0', false, 5000);
 	expect(getStarts(engine.decide(5000, 10))).toHaveLength(1);
 });
 
@@ -74,7 +74,7 @@
 	expect(first.map(({taskId}) => taskId)).toEqual(['g1/0', 'g1/1', 'g1/2']);
 	expect(engine.decide(10_000, 100)).toEqual([]);
 	for (const {taskId} of first) {
-		engine.noteEnded(taskId, true, 20_000);
+		engine.recordEnded(taskId, true, 20_000);
 	}
 
 	expect(getStarts(engine.decide(20_000, 100))).toHaveLength(3);
@@ -100,7 +100,7 @@
 		for (const [taskId, endMs] of running) {
 			if (endMs <= nowMs) {
 				running.delete(taskId);
-				engine.noteEnded(taskId, true, nowMs);
+				engine.recordEnded(taskId, true, nowMs);
 			}
 		}
 
@@ -148,7 +148,7 @@
 	enqueueJob(engine, createSpec('urgent', {priority: 950}), {queuedAtMs: 60_000});
 	const evictions = getEvictions(engine.decide(60_000, 100));
 	expect(evictions.map(({taskId, forTaskId}) => [taskId, forTaskId])).toEqual([['cheap/0', 'urgent/0']]);
-	engine.noteEnded('cheap/0', false, 60_300);
+	engine.recordEnded('cheap/0', false, 60_300);
 	engine.enqueue(createTask(createSpec('cheap'), 0, {attempt: 1, queuedAtMs: 60_300}));
 	expect(getStarts(engine.decide(60_400, 100)).map(({taskId}) => taskId)).toEqual(['urgent/0']);
 	expect(engine.decide(60_500, 100)).toEqual([]);
@@ -164,14 +164,14 @@
 	const [first] = getEvictions(engine.decide(1000, 100));
 	const [second] = getEvictions(engine.decide(2000, 100));
 	expect(second!.workerId).not.toBe(first!.workerId);
-	engine.noteEnded(second!.taskId, false, 2200);
+	engine.recordEnded(second!.taskId, false, 2200);
 	expect(getStarts(engine.decide(2300, 100))).toMatchObject([{taskId: 'urgent/0', workerId: second!.workerId}]);
 });
 
 test('after a takeover tasks learned from workers hold their room', () => {
 	const engine = createEngine();
 	const spec = createSpec('old', {resources: {processors: 12, memoryMb: 1024, accelerators: 0}});
-	engine.noteRunning(createTask(spec), 'w0', 0);
+	engine.recordRunning(createTask(spec), 'w0', 0);
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('new', {taskCount: 2}));
 	expect(getStarts(engine.decide(0, 10))).toHaveLength(1);
@@ -182,7 +182,7 @@
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('a'));
 	engine.decide(0, 10);
-	engine.setWorker(createWorker(0, {isOpen: false}));
+	engine.setWorker(createWorker(0, {isSchedulable: false}));
 	enqueueJob(engine, createSpec('b'));
 	expect(getStarts(engine.decide(10, 10))).toEqual([]);
 	engine.removeWorker('w0');
@@ -207,7 +207,7 @@
 	engine.decide(0, 100);
 	enqueueJob(engine, createSpec('urgent', {priority: 950}), {queuedAtMs: 10_000});
 	expect(engine.decide(10_000, 100)).toEqual([]);
-	engine.noteEnded('batch/2', true, 10_900);
+	engine.recordEnded('batch/2', true, 10_900);
 	expect(getStarts(engine.decide(10_900, 100)).map(({taskId}) => taskId)).toEqual(['urgent/0']);
 });
 
@@ -217,12 +217,12 @@
 */
 test('what others take of a worker is waited for and not told to be missing', () => {
 	const engine = createEngine();
-	engine.setWorker(createWorker(0, {foreign: {processors: 10, memoryMb: 1024, accelerators: 0}}));
+	engine.setWorker(createWorker(0, {usedByOthers: {processors: 10, memoryMb: 1024, accelerators: 0}}));
 	enqueueJob(engine, createSpec('wide', {resources: {processors: 12, memoryMb: 1024, accelerators: 0}}));
 	enqueueJob(engine, createSpec('small'));
 	expect(engine.decide(0, 10)).toMatchObject([{type: DecisionType.Start, taskId: 'small/0'}]);
-	engine.noteEnded('small/0', true, 500);
-	engine.setWorker(createWorker(0, {foreign: {processors: 4, memoryMb: 1024, accelerators: 0}}));
+	engine.recordEnded('small/0', true, 500);
+	engine.setWorker(createWorker(0, {usedByOthers: {processors: 4, memoryMb: 1024, accelerators: 0}}));
 	expect(getStarts(engine.decide(1000, 10)).map(({taskId}) => taskId)).toEqual(['wide/0']);
 });
 
@@ -238,14 +238,14 @@
 	const gang = createSpec('gang', {isGang: true, taskCount: 2, resources: half});
 	enqueueJob(engine, gang);
 	engine.decide(0, 10);
-	engine.noteEnded('gang/1', false, 1000);
+	engine.recordEnded('gang/1', false, 1000);
 	enqueueJob(engine, createSpec('other', {priority: 200, resources: half}), {queuedAtMs: 1000});
 	engine.enqueue(createTask(gang, 1, {attempt: 1, queuedAtMs: 1000}));
 	expect(getStarts(engine.decide(1000, 10)).map(({taskId}) => taskId)).toEqual(['other/0']);
-	engine.noteEnded('gang/0', false, 2000);
+	engine.recordEnded('gang/0', false, 2000);
 	engine.enqueue(createTask(gang, 0, {attempt: 1, queuedAtMs: 2000}));
 	expect(engine.decide(2000, 10)).toEqual([]);
-	engine.noteEnded('other/0', true, 3000);
+	engine.recordEnded('other/0', true, 3000);
 	expect(getStarts(engine.decide(3000, 10))).toHaveLength(2);
 });
 
@@ -256,7 +256,7 @@
 	engine.decide(0, 10);
 	enqueueJob(engine, createSpec('large', {resources: {...half, processors: 16}}), {queuedAtMs: 1000});
 	engine.decide(1000, 10);
-	engine.noteEnded('filler/0', true, 2000);
+	engine.recordEnded('filler/0', true, 2000);
 	expect(engine.decide(2000, 10)).toEqual([]);
 	enqueueJob(engine, createSpec('urgent', {priority: 950, resources: half}), {queuedAtMs: 3000});
 	expect(getStarts(engine.decide(3000, 10)).map(({taskId}) => taskId)).toEqual(['urgent/0']);
--- a/test/quarantine.test.ts
+++ b/test/quarantine.test.ts
@@ -4,15 +4,15 @@
 import {type Start} from '../src/workflows/placement.ts';
 import {Quarantine} from '../src/workflows/quarantine.ts';
 import {createWorker, createWorkflow, load} from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const createFleet = (size: number): FleetWorker[] =>
-	Array.from({length: size}, (_, index) => ({...createWorker(`host-${index}`), isAnswering: true, silentSinceMs: undefined}));
+	Array.from({length: size}, (_, index) => ({...createWorker(`host-${index}`), isAnswering: true, unresponsiveSinceMs: undefined}));
 
 /** Creates waiting tasks, under each of which a worker has crashed. */
 const createSuspects = (count: number, isGang = false): LiveTask[] => {
 	const {model} = load([createWorkflow('0000000000000001', createSpec([createStep({count, isGang})]))]);
-	const tasks = [...model.waiting(0, () => false)];
+	const tasks = [...model.getWaitingTasks(0, () => false)];
 	for (const task of tasks) {
 		task.crashes.push({
 			run: 1, ageMs: 10, isNewest: false, host: 'gone', isHostProven: false, atMs: 0,
@@ -35,7 +35,7 @@
 it('finds the one worker that may take a suspect', () => {
 	const open = createFleet(12);
 	const {starts} = createQuarantine(open).arrange({
-		waiting: createSuspects(1), open, nowMs: 1000, place: createPlace(({host}) => host === 'host-11'),
+		waiting: createSuspects(1), schedulable: open, nowMs: 1000, place: createPlace(({host}) => host === 'host-11'),
 	});
 	expect(starts.map(({worker}) => worker.host)).toEqual(['host-11']);
 });
@@ -43,7 +43,7 @@
 it('finds the workers for a suspected gang', () => {
 	const open = createFleet(12);
 	const {starts} = createQuarantine(open).arrange({
-		waiting: createSuspects(3, true), open, nowMs: 1000, place: createPlace(({host}) => ['host-7', 'host-9', 'host-11'].includes(host)),
+		waiting: createSuspects(3, true), schedulable: open, nowMs: 1000, place: createPlace(({host}) => ['host-7', 'host-9', 'host-11'].includes(host)),
 	});
 	expect(starts).toHaveLength(3);
 });
@@ -51,8 +51,8 @@
 it('holds at most a tenth of the workers, each for one suspect and closed to others', () => {
 	const open = createFleet(40);
 	const quarantine = createQuarantine(open);
-	const {starts, waiting, open: left} = quarantine.arrange({
-		waiting: createSuspects(20), open, nowMs: 1000, place: createPlace(() => true),
+	const {starts, waiting, schedulable: left} = quarantine.arrange({
+		waiting: createSuspects(20), schedulable: open, nowMs: 1000, place: createPlace(() => true),
 	});
 	expect(new Set(starts.map(({worker}) => worker.host)).size).toBe(4);
 	expect(starts).toHaveLength(4);
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -24,7 +24,7 @@
 	const evictions = getEvictions(engine.decide(15_000, 100));
 	expect(evictions.map(({reason}) => reason)).toEqual([EvictionReason.QuotaReturn, EvictionReason.QuotaReturn]);
 	for (const {taskId} of evictions) {
-		engine.noteEnded(taskId, false, 15_500);
+		engine.recordEnded(taskId, false, 15_500);
 	}
 
 	expect(getStarts(engine.decide(15_500, 100)).map(({taskId}) => taskId)).toEqual(['b-job/0', 'b-job/1']);
@@ -103,7 +103,7 @@
 		const decisions = engine.decide(nowMs, 100);
 		told = getUnplaceable(decisions).find(({isFinal}) => isFinal)?.missing;
 		for (const {taskId} of getStarts(decisions)) {
-			engine.noteEnded(taskId, !taskId.startsWith('broken'), nowMs + 500);
+			engine.recordEnded(taskId, !taskId.startsWith('broken'), nowMs + 500);
 		}
 	}
 
@@ -134,7 +134,7 @@
 				startsOnBad.push(nowMs);
 			}
 
-			engine.noteEnded(taskId, workerId !== bad || isMended, nowMs + 100);
+			engine.recordEnded(taskId, workerId !== bad || isMended, nowMs + 100);
 		}
 	}
 
@@ -155,7 +155,7 @@
 	for (let step = 0; step < 40; step++) {
 		enqueueJob(engine, createSpec(`j${step}`, {taskCount: 8}), {queuedAtMs: step * 500});
 		for (const {taskId} of getStarts(engine.decide(step * 500, 100))) {
-			engine.noteEnded(taskId, false, (step * 500) + 100);
+			engine.recordEnded(taskId, false, (step * 500) + 100);
 		}
 	}
 
@@ -204,7 +204,7 @@
 	enqueueJob(engine, createSpec('liar', {kind: 'liar', taskCount: 2}));
 	engine.decide(0, 10);
 	for (const taskId of ['liar/0', 'liar/1']) {
-		engine.noteUsage(taskId, {
+		engine.recordUsage(taskId, {
 			measuredAtMs: 1000, processors: 8, memoryMb: 8192, slowdown: 1,
 		});
 	}
--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -9,13 +9,13 @@
 } from '../src/types/requests.ts';
 import {ClaimState, ServiceName} from '../src/types/services.ts';
 import {
-	createRequestsWorld, describe, send, sendRaw, type Behaviour,
-} from './requests-world.ts';
+	createSimulatedRequests, getRefusal, send, sendRaw, type Behaviour,
+} from './simulated-requests.ts';
 
-let simulation: ReturnType<typeof createRequestsWorld>;
+let simulation: ReturnType<typeof createSimulatedRequests>;
 
 beforeEach(() => {
-	simulation = createRequestsWorld();
+	simulation = createSimulatedRequests();
 });
 
 afterEach(async () => {
@@ -43,7 +43,7 @@
 		[{method: 'PUT', body: 'x'.repeat(101)}, 413, RefusalReason.BodyTooLarge],
 	];
 	for (const [options, status, reason] of cases) {
-		expect(describe(await send(entry.address, options))).toEqual({status, reason, outcome: Outcome.NotRun});
+		expect(getRefusal(await send(entry.address, options))).toEqual({status, reason, outcome: Outcome.NotRun});
 		expect(entry.getCounts()[`refusals.${reason}`]).toBeGreaterThanOrEqual(1);
 	}
 
@@ -73,7 +73,7 @@
 	const entry = await simulation.startEntry({callers: {maxHeldBytes: 2500}});
 	const answers = await Promise.all(Array.from({length: 5}, async () => send(entry.address, {method: 'PUT', body: 'x'.repeat(1000)})));
 	expect(answers.filter(({status}) => status === 200)).toHaveLength(2);
-	expect(describe(answers.find(({status}) => status !== 200)!)).toMatchObject({reason: RefusalReason.QueueFull, outcome: Outcome.NotRun});
+	expect(getRefusal(answers.find(({status}) => status !== 200)!)).toMatchObject({reason: RefusalReason.QueueFull, outcome: Outcome.NotRun});
 	expect(upstream.requests).toHaveLength(2);
 	expect(await send(entry.address, {method: 'PUT', body: 'x'.repeat(1000)})).toMatchObject({status: 200});
 });
@@ -81,7 +81,7 @@
 test('without any upstream the caller is refused at once, with a time to retry', async () => {
 	const entry = await simulation.startEntry();
 	const answer = await send(entry.address);
-	expect(describe(answer)).toEqual({status: 503, reason: RefusalReason.NoUpstream, outcome: Outcome.NotRun});
+	expect(getRefusal(answer)).toEqual({status: 503, reason: RefusalReason.NoUpstream, outcome: Outcome.NotRun});
 	expect(Number(answer.headers[Header.RetryAfter])).toBeGreaterThan(0);
 	expect(Number(answer.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
 });
@@ -113,7 +113,7 @@
 	const requestId = simulation.createId();
 	await send(entry.address, post(requestId));
 	const answer = await send(entry.address, post(requestId));
-	expect(describe(answer)).toEqual({status: 409, reason: RefusalReason.AnswerNotKept, outcome: Outcome.Done});
+	expect(getRefusal(answer)).toEqual({status: 409, reason: RefusalReason.AnswerNotKept, outcome: Outcome.Done});
 	expect(answer.headers[Header.Status]).toBe('200');
 	expect(upstream.requests).toHaveLength(1);
 });
@@ -127,7 +127,7 @@
 	const answers = await Promise.all(entries.map(async ({address}) => send(address, post(requestId))));
 	expect(answers.map(({status}) => status).toSorted((a, b) => a - b)).toEqual([200, 409]);
 	const refused = answers.find(({status}) => status === 409)!;
-	expect(describe(refused)).toMatchObject({reason: RefusalReason.RequestIdInUse, outcome: Outcome.Unknown});
+	expect(getRefusal(refused)).toMatchObject({reason: RefusalReason.RequestIdInUse, outcome: Outcome.Unknown});
 	expect(upstream.requests).toHaveLength(1);
 });
 
@@ -136,7 +136,7 @@
 	simulation.log.faults.isDown = true;
 	const entry = await simulation.startEntry();
 	const answer = await send(entry.address, post(simulation.createId(), {[Header.DeadlineMs]: '400'}));
-	expect(describe(answer)).toEqual({status: 503, reason: RefusalReason.ClaimUnavailable, outcome: Outcome.NotRun});
+	expect(getRefusal(answer)).toEqual({status: 503, reason: RefusalReason.ClaimUnavailable, outcome: Outcome.NotRun});
 	expect(Number(answer.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
 	expect(upstream.requests).toEqual([]);
 	expect(await send(entry.address)).toMatchObject({status: 200});
@@ -148,8 +148,8 @@
 	const entry = await simulation.startEntry();
 	const requestId = simulation.createId();
 	const answer = await send(entry.address, post(requestId, {[Header.DeadlineMs]: '300'}));
-	expect(describe(answer)).toEqual({status: 504, reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown});
-	expect(describe(await send(entry.address, post(requestId)))).toMatchObject({reason: RefusalReason.RequestIdInUse, outcome: Outcome.Unknown});
+	expect(getRefusal(answer)).toEqual({status: 504, reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown});
+	expect(getRefusal(await send(entry.address, post(requestId)))).toMatchObject({reason: RefusalReason.RequestIdInUse, outcome: Outcome.Unknown});
 	const open = await send(entry.controlAddress, {path: '/v1/requests?state=open'});
 	expect(JSON.parse(open.body)).toMatchObject({count: 1, requests: [{requestId}]});
 	expect(upstream.requests).toHaveLength(1);
@@ -164,7 +164,7 @@
 	const entry = await simulation.startEntry();
 	const requestId = simulation.createId();
 	const answer = await send(entry.address, post(requestId, {[Header.DeadlineMs]: '200'}));
-	expect(describe(answer)).toMatchObject({status: 504, outcome: Outcome.Unknown});
+	expect(getRefusal(answer)).toMatchObject({status: 504, outcome: Outcome.Unknown});
 	await simulation.waitUntil(() => entry.kernel.get(ServiceName.Claims).lookup(requestId)?.state === ClaimState.Done);
 	expect(await send(entry.address, post(requestId))).toMatchObject({status: 200, body: 'late title'});
 	expect(entry.getCounts().late_answers).toBe(1);
@@ -178,7 +178,7 @@
 	});
 	const entry = await simulation.startEntry();
 	const answer = await send(entry.address, post(simulation.createId()));
-	expect(describe(answer)).toEqual({status: 502, reason: RefusalReason.AnswerTruncated, outcome: Outcome.Unknown});
+	expect(getRefusal(answer)).toEqual({status: 502, reason: RefusalReason.AnswerTruncated, outcome: Outcome.Unknown});
 	expect(connections).toBe(1);
 });
 
@@ -243,14 +243,14 @@
 	const owningRegion = {region: 'elsewhere' as string | undefined, isSettled: true};
 	simulation.moves.current = {getRegion: () => owningRegion.region, isSettled: () => owningRegion.isSettled};
 	const entry = await simulation.startEntry();
-	expect(describe(await send(entry.address))).toEqual({status: 503, reason: RefusalReason.WrongSide, outcome: Outcome.NotRun});
+	expect(getRefusal(await send(entry.address))).toEqual({status: 503, reason: RefusalReason.WrongRegion, outcome: Outcome.NotRun});
 	owningRegion.region = 'local';
 	owningRegion.isSettled = false;
 	await simulation.clock.sleep(20);
 	expect(await send(entry.address)).toMatchObject({status: 200});
 	const requestId = simulation.createId();
 	const refused = await send(entry.address, post(requestId));
-	expect(describe(refused)).toEqual({status: 503, reason: RefusalReason.WrongSide, outcome: Outcome.NotRun});
+	expect(getRefusal(refused)).toEqual({status: 503, reason: RefusalReason.WrongRegion, outcome: Outcome.NotRun});
 	expect(Number(refused.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
 	owningRegion.isSettled = true;
 	expect(await send(entry.address, post(requestId))).toMatchObject({status: 200});
--- a/test/retry.test.ts
+++ b/test/retry.test.ts
@@ -7,12 +7,12 @@
 	Header, Outcome, RefusalReason, RetryReason,
 } from '../src/types/requests.ts';
 import {ClaimState, ServiceName} from '../src/types/services.ts';
-import {createRequestsWorld, describe, send} from './requests-world.ts';
+import {createSimulatedRequests, getRefusal, send} from './simulated-requests.ts';
 
-let world: ReturnType<typeof createRequestsWorld>;
+let world: ReturnType<typeof createSimulatedRequests>;
 
 beforeEach(() => {
-	world = createRequestsWorld();
+	world = createSimulatedRequests();
 });
 
 afterEach(async () => {
@@ -63,7 +63,7 @@
 	const entry = await world.startEntry();
 	const requestId = world.createId();
 	const answer = await send(entry.address, post(requestId));
-	expect(describe(answer)).toEqual({status: 502, reason: RefusalReason.UpstreamFailed, outcome: Outcome.NotRun});
+	expect(getRefusal(answer)).toEqual({status: 502, reason: RefusalReason.UpstreamFailed, outcome: Outcome.NotRun});
 	expect(Number(answer.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
 	world.announcements.pop();
 	await world.startUpstream((_request, response) => {
@@ -100,7 +100,7 @@
 	const entry = await world.startEntry();
 	const requestId = world.createId();
 	const answer = await send(entry.address, post(requestId));
-	expect(describe(answer)).toEqual({status: 503, reason: RefusalReason.GuardFull, outcome: Outcome.NotRun});
+	expect(getRefusal(answer)).toEqual({status: 503, reason: RefusalReason.GuardFull, outcome: Outcome.NotRun});
 	expect(Number(answer.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
 	isFull = false;
 	expect(await send(entry.address, post(requestId))).toMatchObject({status: 200});
@@ -114,7 +114,7 @@
 	}, true);
 	const entry = await world.startEntry();
 	const requestId = world.createId();
-	expect(describe(await send(entry.address, post(requestId)))).toEqual({status: 502, reason: RefusalReason.UpstreamFailed, outcome: Outcome.Unknown});
+	expect(getRefusal(await send(entry.address, post(requestId)))).toEqual({status: 502, reason: RefusalReason.UpstreamFailed, outcome: Outcome.Unknown});
 	await world.waitUntil(() => entry.kernel.get(ServiceName.Claims).lookup(requestId)?.state === ClaimState.Unknown);
 	expect(upstream.requests).toHaveLength(1);
 	await send(entry.address);
@@ -136,7 +136,7 @@
 	expect(check).toMatchObject({status: 200, body: 'ok'});
 	expect(count).toBe(2);
 	const issue = await send(entry.address, post(world.createId()));
-	expect(describe(issue)).toMatchObject({status: 502, outcome: Outcome.Unknown});
+	expect(getRefusal(issue)).toMatchObject({status: 502, outcome: Outcome.Unknown});
 	expect(count).toBe(3);
 });
 
@@ -184,7 +184,7 @@
 	});
 	const entry = await world.startEntry();
 	const answer = await send(entry.address, {headers: {[Header.DeadlineMs]: '150'}});
-	expect(describe(answer)).toEqual({status: 504, reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown});
+	expect(getRefusal(answer)).toEqual({status: 504, reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown});
 	expect(count).toBe(1);
 	await world.waitUntil(() => entry.slots.getHeld() === 0);
 });
--- a/test/open-workers.test.ts
+++ b/test/schedulable-workers.test.ts
@@ -1,19 +1,19 @@
 import {expect, it} from 'vitest';
-import {getOpenWorkers} from '../src/workflows/open-workers.ts';
+import {getSchedulableWorkers} from '../src/workflows/schedulable-workers.ts';
 import {createPolicy} from '../src/workflows/policy.ts';
 import {createWorker} from './site-fleet.ts';
 
 const nowMs = 1000;
 const terms = {nowMs, policy: createPolicy(), evacuated: []};
-const reachable = {isAnswering: true, heardAtMs: nowMs};
+const reachable = {isAnswering: true, lastReplyAtMs: nowMs};
 
 it('includes a worker whose agent replies', () => {
-	expect(getOpenWorkers([{...createWorker('host'), ...reachable}], terms)).toHaveLength(1);
+	expect(getSchedulableWorkers([{...createWorker('host'), ...reachable}], terms)).toHaveLength(1);
 });
 
 it('excludes a worker whose lost agent has registered again before its loss is settled: all runs there will count as lost', () => {
 	const worker = {
 		...createWorker('host'), ...reachable, session: 2, lostSession: 1, lostAtMs: 0,
 	};
-	expect(getOpenWorkers([worker], terms)).toEqual([]);
+	expect(getSchedulableWorkers([worker], terms)).toEqual([]);
 });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,18 +1,18 @@
 import {describe, expect, test} from 'vitest';
 import {
-	checkSettings, createSettings, formatMistake, loadSettings, printSettings,
+	checkSettings, createSettings, formatIssue, loadSettings, printSettings,
 } from '../src/core/settings.ts';
 
 describe('settings', () => {
 	test('the printed defaults are valid and parse to the defaults', () => {
-		const {settings, mistakes} = checkSettings(printSettings(), 'printed');
-		expect(mistakes).toEqual([]);
+		const {settings, issues} = checkSettings(printSettings(), 'printed');
+		expect(issues).toEqual([]);
 		expect(settings).toEqual(createSettings());
 	});
 
 	test('a misspelt key, a value out of range and an unknown section are all reported, with the nearest name', () => {
-		const {mistakes} = checkSettings('[log]\ntimeoutMS = 5\nretentionMs = -1\n[enrty]\nx = 1\n', 'a.ini');
-		expect(mistakes.map(issue => formatMistake(issue))).toEqual([
+		const {issues} = checkSettings('[log]\ntimeoutMS = 5\nretentionMs = -1\n[enrty]\nx = 1\n', 'a.ini');
+		expect(issues.map(issue => formatIssue(issue))).toEqual([
 			'a.ini: [log] timeoutMS = 5: no such key; did you mean timeoutMs?',
 			'a.ini: [enrty]: no such section; did you mean entry?',
 			expect.stringMatching(/a\.ini: \[log] retentionMs = -1: a whole number from 1000 to \d+/) as string,
@@ -20,7 +20,7 @@
 	});
 
 	test('a key outside any section is reported', () => {
-		expect(checkSettings('id = 1\n', 'a.ini').mistakes).toHaveLength(1);
+		expect(checkSettings('id = 1\n', 'a.ini').issues).toHaveLength(1);
 	});
 
 	test.each(['clydeside', 'authority'])('the example of %s is valid', name => {
--- a/test/shutdown.test.ts
+++ b/test/shutdown.test.ts
@@ -7,13 +7,13 @@
 import {Header, Outcome, RefusalReason} from '../src/types/requests.ts';
 import {ClaimState, ServiceName} from '../src/types/services.ts';
 import {
-	createRequestsWorld, describe, send, type Answer,
-} from './requests-world.ts';
+	createSimulatedRequests, getRefusal, send, type Answer,
+} from './simulated-requests.ts';
 
-let simulation: ReturnType<typeof createRequestsWorld>;
+let simulation: ReturnType<typeof createSimulatedRequests>;
 
 beforeEach(() => {
-	simulation = createRequestsWorld();
+	simulation = createSimulatedRequests();
 });
 
 afterEach(async () => {
@@ -35,7 +35,7 @@
 	await simulation.waitUntil(() => entry.getCounts().requests === 7);
 	const stopped = entry.stop();
 	for (const answer of await Promise.all(waiting)) {
-		expect(describe(answer)).toEqual({status: 503, reason: RefusalReason.ShuttingDown, outcome: Outcome.NotRun});
+		expect(getRefusal(answer)).toEqual({status: 503, reason: RefusalReason.ShuttingDown, outcome: Outcome.NotRun});
 		expect(Number(answer.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
 		expect(answer.headers.connection).toBe('close');
 	}
@@ -81,7 +81,7 @@
 	await agent.destroy();
 	const refused = answers.filter(({status}) => status !== 200);
 	expect(refused).toHaveLength(16);
-	expect(refused.every(answer => describe(answer).reason === RefusalReason.ShuttingDown)).toBe(true);
+	expect(refused.every(answer => getRefusal(answer).reason === RefusalReason.ShuttingDown)).toBe(true);
 	expect(answers.filter(({status}) => status === 200).every(({body}) => body === 'ok')).toBe(true);
 	expect(broken).toBe(0);
 });
--- a/test/claims-world.ts
+++ b/test/simulated-claims.ts
@@ -5,7 +5,7 @@
 import {followLog} from '../src/core/log-reader.ts';
 import {createSettings} from '../src/core/settings.ts';
 import {type Settings} from '../src/core/settings-schema.ts';
-import {ClaimBook} from '../src/requests/claim-book.ts';
+import {ClaimRegistry} from '../src/requests/claim-registry.ts';
 import {findStartOffset} from '../src/requests/claim-start.ts';
 import {MemoryLog} from '../src/standin/memory-log.ts';
 import {type Clock, type Timer} from '../src/types/clock.ts';
@@ -17,7 +17,7 @@
 import {createRandom} from '../src/utils/seeded-random.ts';
 
 /** Defers all actions of a process while it is paused. */
-export class Gate {
+export class PauseGate {
 	isPaused = false;
 	readonly #deferred: Array<() => void> = [];
 
@@ -44,7 +44,7 @@
 }
 
 /** A clock whose timers do not fire while the process is paused. */
-const createGatedClock = (clock: Clock, gate: Gate): Clock => {
+const createGatedClock = (clock: Clock, gate: PauseGate): Clock => {
 	const setTimer = (callback: () => void, delayMs: number): Timer => {
 		let isCancelled = false;
 		const timer = clock.setTimer(() => {
@@ -71,7 +71,7 @@
 };
 
 /** One attempt of a caller, and its result. */
-export type Try = {
+export type Attempt = {
 	requestId: string;
 	refusal?: 'not-run' | 'in-use';
 	isDispatched: boolean;
@@ -79,20 +79,20 @@
 };
 
 /** Options of the simulation. */
-export type WorldOptions = {
+export type SimulatedClaimsOptions = {
 	seed?: number;
 	retentionMs?: number;
 	claims?: Partial<Settings['claims']>;
 };
 
 /** Creates a log, and functions that start processes on it. */
-export const createClaimsWorld = ({seed = 1, retentionMs, claims = {}}: WorldOptions = {}) => {
+export const createSimulatedClaims = ({seed = 1, retentionMs, claims = {}}: SimulatedClaimsOptions = {}) => {
 	const clock = new ManualClock();
 	const random = createRandom(seed);
 	const memory = new MemoryLog(clock, random, retentionMs);
 	const settings = createSettings({claims, ...(retentionMs !== undefined && {log: {retentionMs}})});
 	const dispatches = new Map<string, number>();
-	const tries: Try[] = [];
+	const tries: Attempt[] = [];
 	const late = {chance: 0, delayMs: 3000};
 
 	const append: PlatformLog['append'] = async (stream, value) => {
@@ -108,7 +108,7 @@
 	};
 
 	const start = (entryId: string) => {
-		const gate = new Gate();
+		const gate = new PauseGate();
 		const aborter = new AbortController();
 		const gatedClock = createGatedClock(clock, gate);
 		const log: PlatformLog = {
@@ -127,7 +127,7 @@
 				}
 			},
 		};
-		const registry = new ClaimBook({
+		const registry = new ClaimRegistry({
 			log, clock: gatedClock, random, entryId, settings,
 		});
 		const follow = async () => {
@@ -144,8 +144,8 @@
 		let isDead = false;
 
 		/** One attempt of a caller: claims the id, and if the claim won, dispatches the request, which runs for `runMs`. */
-		const request = async (requestId: string, {timeoutMs = 500, runMs = 50, queueMs = 0} = {}): Promise<Try> => {
-			const attempt: Try = {requestId, isDispatched: false};
+		const request = async (requestId: string, {timeoutMs = 500, runMs = 50, queueMs = 0} = {}): Promise<Attempt> => {
+			const attempt: Attempt = {requestId, isDispatched: false};
 			tries.push(attempt);
 			const result = await registry.claim(requestId, 'desk', timeoutMs);
 			if (result.isWon && queueMs > 0) {
--- a/test/membership-world.ts
+++ b/test/simulated-membership.ts
@@ -76,7 +76,7 @@
 		}
 	}
 
-	async ready(): Promise<void> {
+	async waitUntilRunning(): Promise<void> {
 		await new Promise<void>(resolve => {
 			this.run(resolve);
 		});
@@ -92,14 +92,14 @@
 
 const createPausableTransport = (transport: PeerTransport, clock: ProcessClock): PeerTransport => ({
 	listen: async (address, serve) => transport.listen(address, async request => {
-		await clock.ready();
+		await clock.waitUntilRunning();
 		return serve(request);
 	}),
 	async call(address, request, timeoutMs) {
 		try {
 			return await transport.call(address, request, timeoutMs);
 		} finally {
-			await clock.ready();
+			await clock.waitUntilRunning();
 		}
 	},
 	close: async () => transport.close(),
@@ -118,7 +118,7 @@
 	isReleased: boolean;
 };
 
-export type WorldEntry = {
+export type SimulatedEntry = {
 	id: string;
 	clock: ProcessClock;
 	kernel: RunningKernel;
@@ -127,14 +127,14 @@
 	address(): string;
 };
 
-export type WorldUpstream = {
+export type SimulatedUpstream = {
 	body: Omit<UpstreamAnnouncement, 'sequence' | 'state'>;
 	state: HostState;
 	isStopped: boolean;
 	/** Ids of the entries that it announces itself to; empty means all. */
 	targets: string[];
 	sent: UpstreamAnnouncement[];
-	announce(entry: WorldEntry): Promise<AnnouncementReply | undefined>;
+	announce(entry: SimulatedEntry): Promise<AnnouncementReply | undefined>;
 };
 
 type WorldOptions = {
@@ -142,17 +142,17 @@
 	settings?: {[Section in keyof Settings]?: Partial<Settings[Section]>};
 };
 
-export class World {
+export class SimulatedMembership {
 	announcements = 0;
 	readonly clock = new ManualClock();
 	readonly random: Random;
 	readonly log: MemoryLog;
 	readonly network: MemoryNetwork;
-	readonly entries = new Map<string, WorldEntry>();
-	readonly upstreams = new Map<string, WorldUpstream>();
+	readonly entries = new Map<string, SimulatedEntry>();
+	readonly upstreams = new Map<string, SimulatedUpstream>();
 	readonly #options: WorldOptions;
-	readonly #crashed: WorldEntry[] = [];
-	readonly #leaving = new Map<string, WorldEntry>();
+	readonly #crashed: SimulatedEntry[] = [];
+	readonly #leaving = new Map<string, SimulatedEntry>();
 
 	constructor(options: WorldOptions = {}) {
 		this.#options = options;
@@ -161,7 +161,7 @@
 		this.network = new MemoryNetwork(this.clock, this.random);
 	}
 
-	async startEntry(id: string): Promise<WorldEntry> {
+	async startEntry(id: string): Promise<SimulatedEntry> {
 		const clock = new ProcessClock(this.clock);
 		const kernel = createKernel(clock, 30_000);
 		kernel.provide(ServiceName.Settings, createSettings({...this.#options.settings, process: {id}}));
@@ -194,7 +194,7 @@
 		}
 
 		await kernel.start();
-		const entry: WorldEntry = {
+		const entry: SimulatedEntry = {
 			id, clock, kernel, address: () => boundAddress, isCrashed: false, holds: [],
 		};
 		this.entries.set(id, entry);
@@ -244,22 +244,22 @@
 	}
 
 	/** Delivers an earlier announcement again. */
-	repeat(entry: WorldEntry, announcement: UpstreamAnnouncement): void {
+	redeliver(entry: SimulatedEntry, announcement: UpstreamAnnouncement): void {
 		void this.#send(entry, announcement);
 	}
 
-	setCut(a: string, b: string, isCut: boolean): void {
+	setLinkBroken(a: string, b: string, isCut: boolean): void {
 		const [first, second] = [this.entries.get(a), this.entries.get(b)];
 		if (first && second) {
-			this.network.setCut(first.address(), second.address(), isCut);
+			this.network.setLinkBroken(first.address(), second.address(), isCut);
 		}
 	}
 
-	addUpstream(upstreamId: string, options: Partial<UpstreamAnnouncement> & {isEchoing?: boolean; targets?: string[]} = {}): WorldUpstream {
+	addUpstream(upstreamId: string, options: Partial<UpstreamAnnouncement> & {isEchoing?: boolean; targets?: string[]} = {}): SimulatedUpstream {
 		const {isEchoing = true, targets = [], ...shape} = options;
 		const lock = new SponsorLock(this.clock);
 		let sequence = 0;
-		const upstream: WorldUpstream = {
+		const upstream: SimulatedUpstream = {
 			body: {
 				upstreamId, service: 's', incarnation: 1, address: '127.0.0.1:1', region: 'r', failureDomain: 'd', slots: upstreamSlots, connections: 64, isGuarded: false, ...shape,
 			},
@@ -276,7 +276,7 @@
 				this.announcements++;
 				const reply = await this.#send(entry, announcement);
 				if (reply && isEchoing) {
-					lock.take(reply, echo as ReturnType<SponsorLock['getEcho']>);
+					lock.handleReply(reply, echo as ReturnType<SponsorLock['getEcho']>);
 				}
 
 				return reply;
@@ -288,7 +288,7 @@
 	}
 
 	/** Reserves a slot for a request that runs for `runMs` and must have ended after `holdMs`; false if none was free. */
-	take(entry: WorldEntry, upstreamId: string, runMs: number, holdMs: number): boolean {
+	tryAcquireSlot(entry: SimulatedEntry, upstreamId: string, runMs: number, holdMs: number): boolean {
 		if (entry.clock.isPaused) {
 			return false;
 		}
@@ -341,7 +341,7 @@
 		await stopping;
 	}
 
-	async #announceRepeatedly(upstream: WorldUpstream): Promise<void> {
+	async #announceRepeatedly(upstream: SimulatedUpstream): Promise<void> {
 		let target = '';
 		let failures = 0;
 		while (!upstream.isStopped) {
@@ -361,15 +361,15 @@
 		}
 	}
 
-	async #send(entry: WorldEntry, announcement: UpstreamAnnouncement): Promise<AnnouncementReply | undefined> {
+	async #send(entry: SimulatedEntry, announcement: UpstreamAnnouncement): Promise<AnnouncementReply | undefined> {
 		return new Promise<AnnouncementReply | undefined>(resolve => {
 			const timer = this.clock.setTimer(() => {
 				resolve(undefined);
 			}, announceTimeoutMs);
 			const exchange = async () => {
-				await entry.clock.ready();
+				await entry.clock.waitUntilRunning();
 				const reply = await receive(entry, announcement);
-				await entry.clock.ready();
+				await entry.clock.waitUntilRunning();
 				timer.cancel();
 				resolve(reply);
 			};
@@ -380,7 +380,7 @@
 }
 
 /** Resolves to undefined if the entry refuses the announcement. */
-const receive = async (entry: WorldEntry, announcement: UpstreamAnnouncement): Promise<AnnouncementReply | undefined> => {
+const receive = async (entry: SimulatedEntry, announcement: UpstreamAnnouncement): Promise<AnnouncementReply | undefined> => {
 	try {
 		return await entry.kernel.get(ServiceName.Upstreams).receive(announcement);
 	} catch {
--- a/test/requests-world.ts
+++ b/test/simulated-requests.ts
@@ -25,7 +25,7 @@
 import {createSystemClock} from '../src/utils/system-clock.ts';
 
 /** Path of the service under test. */
-export const desk = '/desk';
+export const deskPath = '/desk';
 const host = '127.0.0.1';
 const waitMs = 10_000;
 
@@ -96,7 +96,7 @@
 type Overrides = Parameters<typeof createSettings>[0];
 
 /** Creates a simulation; the test must await `close` at its end. */
-export const createRequestsWorld = () => {
+export const createSimulatedRequests = () => {
 	const clock = createSystemClock();
 	const random = createRandom(5);
 	const log = new MemoryLog(clock, random);
@@ -292,7 +292,7 @@
 
 /** Sends one request on a new connection; rejects if the answer is incomplete. */
 export const send = async (address: string, options: SendOptions = {}): Promise<Answer> => {
-	const {method = 'GET', path = desk, headers = {}, body, signal} = options;
+	const {method = 'GET', path = deskPath, headers = {}, body, signal} = options;
 	const response = await fetch(`http://${address}${path}`, {
 		method, headers: {connection: 'close', ...headers}, body, signal,
 	});
@@ -301,6 +301,6 @@
 };
 
 /** Gets the status, reason and outcome of a refusal. */
-export const describe = ({status, headers}: Answer) => ({
+export const getRefusal = ({status, headers}: Answer) => ({
 	status, reason: headers[Header.RefusalReason], outcome: headers[Header.Outcome],
 });
--- a/test/site-world.ts
+++ b/test/simulated-site.ts
@@ -4,7 +4,7 @@
 */
 import {Agent} from '../src/agents/agent.ts';
 import {agentsTopic} from '../src/agents/control-records.ts';
-import {leaseHorizonMs} from '../src/agents/lease-clock.ts';
+import {leaseDurationMs} from '../src/agents/worker-lease.ts';
 import {getPartition} from '../src/core/partitions.ts';
 import {MemoryStore} from '../src/standin/memory-store.ts';
 import {SiteWorker, type RunPlan, type WorkerEvent} from '../src/standin/site-worker.ts';
@@ -23,7 +23,7 @@
 import {createPolicy} from '../src/workflows/policy.ts';
 import {workflowsTopic} from '../src/workflows/records.ts';
 import {RelayingApi} from '../src/workflows/relaying-api.ts';
-import {ProcessClock} from './membership-world.ts';
+import {ProcessClock} from './simulated-membership.ts';
 import {createAgentClient, createEntryClient} from './site-calls.ts';
 import {gate} from './process-gate.ts';
 
@@ -83,7 +83,7 @@
 };
 
 /** The simulated site. */
-export class SiteWorld {
+export class SimulatedSite {
 	readonly controlPartition = partition;
 	readonly queue = queue;
 	readonly clock = new ManualClock();
@@ -155,7 +155,7 @@
 			client: gate(host.clock, host.worker.createClient()),
 			clock: host.clock,
 			life,
-			leaseHorizonMs,
+			leaseDurationMs,
 			maxLeaseMs: 6000,
 			note: this.#createNote(name),
 		});
@@ -194,15 +194,15 @@
 			member: formatMember(name, processors, life),
 			processors,
 			async countWorkers() {
-				const {records} = await store.newest({topic: agentsTopic, partition: 0});
+				const {records} = await store.readNewest({topic: agentsTopic, partition: 0});
 				return records.length;
 			},
 			isAlive: async address => this.entries.has(address),
 			minTtlMs: 1000,
-			getProvenAtMs: () => follower.provenAtMs,
-			isUsed: used => used === partition,
-			createOwner: (owned, epoch, {onDeposed, getReachedAtMs}) => new Owner({
-				store, clock, client: gate(clock, createAgentClient(this, name)), partition: owned, epoch, adviceClient: this.adviceClient, maxCallBytes: 2_000_000, keptMs: 60_000, leaseHorizonMs, cancelMs, getEvacuations: () => this.getEvacuations(name), getReachedAtMs, note, onDeposed, host: name, follower, isMine: () => true, policy: createPolicy(),
+			getCaughtUpAtMs: () => follower.caughtUpAtMs,
+			hasService: used => used === partition,
+			createOwner: (owned, epoch, {onSuperseded, getHeartbeatAtMs}) => new Owner({
+				store, clock, client: gate(clock, createAgentClient(this, name)), partition: owned, epoch, adviceClient: this.adviceClient, maxCallBytes: 2_000_000, retentionMs: 60_000, leaseDurationMs, cancelMs, getEvacuations: () => this.getEvacuations(name), getHeartbeatAtMs, note, onSuperseded, host: name, follower, isOwned: () => true, policy: createPolicy(),
 			}),
 		});
 		void follower.run(aborter.signal);
@@ -301,7 +301,7 @@
 
 	#announce(host: AgentHost): void {
 		if (!host.worker.isAway) {
-			host.agent?.announce(host.worker.announce());
+			host.agent?.handleAnnouncement(host.worker.announce());
 		}
 
 		this.clock.setTimer(() => {
--- a/test/site-acceptance.test.ts
+++ b/test/site-acceptance.test.ts
@@ -9,10 +9,10 @@
 import {RunEnd, WorkflowState} from '../src/types/workflows.ts';
 import {createSite, jobId, otherId} from './site-setup.ts';
 import {
-	createSpec, createStep, queue, type SiteWorld,
-} from './site-world.ts';
+	createSpec, createStep, queue, type SimulatedSite,
+} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 
 const startSite = async (...sizes: Parameters<typeof createSite>): Promise<void> => {
 	site = await createSite(...sizes);
--- a/test/site-behind.test.ts
+++ b/test/site-behind.test.ts
@@ -8,10 +8,10 @@
 import {workflowsTopic} from '../src/workflows/records.ts';
 import {createSite, jobId} from './site-setup.ts';
 import {
-	cancelMs, createSpec, createStep, type SiteWorld,
-} from './site-world.ts';
+	cancelMs, createSpec, createStep, type SimulatedSite,
+} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 
 /** Sequential steps: a task of the job starts every half second. */
 const chain = createSpec(Array.from({length: 40}, (_, index) => createStep({after: index === 0 ? [] : [index - 1]})));
--- a/test/site-busy.test.ts
+++ b/test/site-busy.test.ts
@@ -7,10 +7,10 @@
 } from 'vitest';
 import {createSite, jobId} from './site-setup.ts';
 import {
-	createSpec, createStep, type SiteWorld,
-} from './site-world.ts';
+	createSpec, createStep, type SimulatedSite,
+} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 
 const countTakeovers = (): number => site.notes.filter(({event}) => event === 'took over').length;
 
--- a/test/site-capacity.test.ts
+++ b/test/site-capacity.test.ts
@@ -5,9 +5,9 @@
 import {OrderRefusal, OrderType} from '../src/types/fleet.ts';
 import {WorkflowState} from '../src/types/workflows.ts';
 import {createSite, jobId, otherId} from './site-setup.ts';
-import {createSpec, createStep, type SiteWorld} from './site-world.ts';
+import {createSpec, createStep, type SimulatedSite} from './simulated-site.ts';
 
-let world: SiteWorld;
+let world: SimulatedSite;
 
 afterEach(() => {
 	world.stop();
@@ -20,7 +20,7 @@
 /** The worker announces its new capacity, and changes it once calls sent before have arrived. */
 const setCapacity = async (host: string, milliCpu: number): Promise<void> => {
 	const {worker, agent} = world.hosts.get(host)!;
-	agent!.announce({...worker.announce(), milliCpu});
+	agent!.handleAnnouncement({...worker.announce(), milliCpu});
 	await world.clock.advance(callMs);
 	worker.setMilliCpu(milliCpu);
 };
@@ -60,7 +60,7 @@
 			},
 		}],
 	}));
-	expect(answers).toEqual([{isDone: false, refusal: OrderRefusal.Shrunk}]);
+	expect(answers).toEqual([{isDone: false, refusal: OrderRefusal.CapacityReduced}]);
 	expect(isAnyRunning('host-0')).toBe(false);
 });
 
--- a/test/site-config.test.ts
+++ b/test/site-config.test.ts
@@ -16,8 +16,8 @@
 const follow = async (pages: KeyedPage[]): Promise<number[]> => {
 	const clock = new ManualClock();
 	const aborter = new AbortController();
-	const store: Pick<StoreClient, 'newest' | 'readKeyed'> = {
-		newest: async () => pages.length > 1 ? pages.shift()! : pages[0]!,
+	const store: Pick<StoreClient, 'readNewest' | 'readKeyed'> = {
+		readNewest: async () => pages.length > 1 ? pages.shift()! : pages[0]!,
 		async readKeyed() {
 			await clock.sleep(100);
 			throw createError(ErrorCode.OffsetGone, {step: 'read', detail: '0'});
--- a/test/site-crash-notes.test.ts
+++ b/test/site-crash-notes.test.ts
@@ -3,9 +3,9 @@
 */
 import {afterEach, expect, it} from 'vitest';
 import {createSite, jobId, otherId} from './site-setup.ts';
-import {createSpec, createStep, type SiteWorld} from './site-world.ts';
+import {createSpec, createStep, type SimulatedSite} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 
 afterEach(() => {
 	site.stop();
--- a/test/site-crash-property.test.ts
+++ b/test/site-crash-property.test.ts
@@ -4,8 +4,8 @@
 */
 import fc from 'fast-check';
 import {expect, it} from 'vitest';
-import {anySeries, createTroubledSite, playSeries} from './site-troubles.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {faultSeries, createFaultySite, runFaultSeries} from './site-faults.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 /** A task fails at its third crash, and fewer than three further starts may be lost to other faults. */
 const maxStarts = 5;
@@ -13,11 +13,11 @@
 const crashAfterMs = 10;
 
 it.each([30, 41])('start a bounded number of times, and all ordinary jobs complete, seed %i', async seed => {
-	await fc.assert(fc.asyncProperty(anySeries, fc.nat(20), async (steps, submitAt) => {
-		const site = await createTroubledSite(({taskId}) => culprits.includes(taskId.split('.')[0]!)
+	await fc.assert(fc.asyncProperty(faultSeries, fc.nat(20), async (steps, submitAt) => {
+		const site = await createFaultySite(({taskId}) => culprits.includes(taskId.split('.')[0]!)
 			? {workMs: undefined, crashAfterMs}
 			: {workMs: 300 + (400 * (taskId.codePointAt(15)! % 4))});
-		const open = await playSeries(site, steps, async index => {
+		const open = await runFaultSeries(site, steps, async index => {
 			for (const id of index === submitAt % steps.length ? culprits : []) {
 				await site.submit(id, createSpec([createStep()]), [...site.entries.keys()][0]);
 			}
--- a/test/site-crashes.test.ts
+++ b/test/site-crashes.test.ts
@@ -8,10 +8,10 @@
 import {WorkflowState, type WorkflowStep} from '../src/types/workflows.ts';
 import {createSite, jobId, otherId} from './site-setup.ts';
 import {
-	createSpec, createStep, queue, SiteWorld,
-} from './site-world.ts';
+	createSpec, createStep, queue, SimulatedSite,
+} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 
 afterEach(() => {
 	site.stop();
@@ -146,7 +146,7 @@
 	});
 
 	it('leaves nine tenths of the workers of a large site available, also in a burst of a hundred such tasks', async () => {
-		site = new SiteWorld();
+		site = new SimulatedSite();
 		const hosts = Array.from({length: 160}, (_, index) => site.addHost(`host-${index}`, 16_000));
 		site.startEntry('entry-0');
 		await site.clock.advance(2000);
--- a/test/site-decisions.test.ts
+++ b/test/site-decisions.test.ts
@@ -2,7 +2,7 @@
 Decisions of the owner without a network: order, placement, stalls, leases and the fold.
 */
 import {describe, expect, it} from 'vitest';
-import {LeaseClock} from '../src/agents/lease-clock.ts';
+import {WorkerLease} from '../src/agents/worker-lease.ts';
 import {RunEnd, WorkflowState, type Workflow} from '../src/types/workflows.ts';
 import {WorkflowFold} from '../src/workflows/fold.ts';
 import {RunPhase} from '../src/workflows/live-model.ts';
@@ -12,7 +12,7 @@
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
-import {createSpec, createStep, queue} from './site-world.ts';
+import {createSpec, createStep, queue} from './simulated-site.ts';
 
 describe('placement', () => {
 	it('never exceeds the capacity of a worker', () => {
@@ -23,7 +23,7 @@
 	it('counts runs that are being stopped', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep({count: 5, milliCpu: 1000})]))]);
 		const worker = createWorker('x');
-		const [first] = [...model.waiting(0, () => false)];
+		const [first] = [...model.getWaitingTasks(0, () => false)];
 		run(first!, worker, {phase: RunPhase.Stopping});
 		expect(placeAll(model, [worker])).toHaveLength(3);
 	});
@@ -50,7 +50,7 @@
 
 	it('starts a failed task on another worker', () => {
 		const {model} = load([createWorkflow('a', createSpec([createStep()]))]);
-		const [task] = [...model.waiting(0, () => false)];
+		const [task] = [...model.getWaitingTasks(0, () => false)];
 		task!.avoidedHosts.add('x');
 		expect(placeAll(model, [createWorker('x'), createWorker('y')]).map(({worker}) => worker.host)).toEqual(['y']);
 	});
@@ -79,27 +79,27 @@
 describe('stalled runs', () => {
 	const createRun = (step = {}) => {
 		const {model} = load([createWorkflow('a', createSpec([createStep(step)]))]);
-		const [task] = [...model.waiting(0, () => false)];
+		const [task] = [...model.getWaitingTasks(0, () => false)];
 		const worker = createWorker('x');
-		worker.heardAtMs = 5000;
+		worker.lastReplyAtMs = 5000;
 		return {worker, task: task!, live: run(task!, worker)};
 	};
 
 	it('are moved if another worker has capacity', () => {
 		const {worker} = createRun();
 		expect(chooseMoves({
-			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => false,
+			policy: createPolicy(), workers: [worker], nowMs: 5000, canPlace: () => false,
 		})).toHaveLength(0);
 		expect(chooseMoves({
-			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => true,
+			policy: createPolicy(), workers: [worker], nowMs: 5000, canPlace: () => true,
 		})).toHaveLength(1);
 	});
 
 	it('are not detected while their agent does not answer', () => {
 		const {worker} = createRun();
-		worker.silentSinceMs = 4000;
+		worker.unresponsiveSinceMs = 4000;
 		expect(chooseMoves({
-			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => true,
+			policy: createPolicy(), workers: [worker], nowMs: 5000, canPlace: () => true,
 		})).toHaveLength(0);
 	});
 
@@ -109,28 +109,28 @@
 		worker.report!.isDraining = true;
 		worker.report!.remainingMs = 1500;
 		live.progressAtMs = 5000;
-		live.sentAtMs = 3000;
+		live.orderedAtMs = 3000;
 		live.percent = 80;
 		expect(chooseMoves({
-			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => true,
+			policy: createPolicy(), workers: [worker], nowMs: 5000, canPlace: () => true,
 		})).toHaveLength(0);
 		live.percent = 30;
 		expect(chooseMoves({
-			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => true,
+			policy: createPolicy(), workers: [worker], nowMs: 5000, canPlace: () => true,
 		})).toHaveLength(1);
 		const lasting = createRun({isLasting: true});
 		lasting.worker.report!.isDraining = true;
 		lasting.live.percent = 100;
 		lasting.live.progressAtMs = 5000;
 		expect(chooseMoves({
-			policy: createPolicy(), workers: [lasting.worker], nowMs: 5000, hasPlace: () => true,
+			policy: createPolicy(), workers: [lasting.worker], nowMs: 5000, canPlace: () => true,
 		})).toHaveLength(1);
 	});
 
 	it('get a copy if the step allows it', () => {
 		const {worker, task, live} = createRun({isSpeculative: true});
 		expect(chooseMoves({
-			policy: createPolicy(), workers: [worker], nowMs: 5000, hasPlace: () => true,
+			policy: createPolicy(), workers: [worker], nowMs: 5000, canPlace: () => true,
 		})).toHaveLength(0);
 		expect(wantsCopy(task, 5000)).toBe(true);
 		live.progressAtMs = 4900;
@@ -144,31 +144,31 @@
 	worker's clock before the proof.
 	*/
 	it('starts at the clock reading from before its proof was requested', () => {
-		const lease = new LeaseClock(7000);
-		lease.note(100_000, 0);
-		const dated = lease.estimate(400)!;
-		lease.note(103_500, 900);
-		lease.prove(dated);
+		const lease = new WorkerLease(7000);
+		lease.recordReading(100_000, 0);
+		const dated = lease.estimateClockMs(400)!;
+		lease.recordReading(103_500, 900);
+		lease.extendByProof(dated);
 		expect(lease.leaseUntilMs).toBe(107_400);
 	});
 
 	it('does not grow while the worker does not reply, so that it expires', () => {
-		const lease = new LeaseClock(7000);
-		lease.note(100_000, 0);
-		lease.prove(100_000);
-		lease.noteSent(lease.getNextUntilMs(true));
-		lease.prove(103_000);
-		lease.noteSent(lease.getNextUntilMs(false));
-		expect(lease.isOver(7000, 300)).toBe(false);
-		expect(lease.isOver(7500, 300)).toBe(true);
+		const lease = new WorkerLease(7000);
+		lease.recordReading(100_000, 0);
+		lease.extendByProof(100_000);
+		lease.recordSent(lease.getRenewalUntilMs(true));
+		lease.extendByProof(103_000);
+		lease.recordSent(lease.getRenewalUntilMs(false));
+		expect(lease.isExpired(7000, 300)).toBe(false);
+		expect(lease.isExpired(7500, 300)).toBe(true);
 	});
 
 	it('allows for a worker\'s clock that is up to 2% slow', () => {
-		const lease = new LeaseClock(7000);
-		lease.note(100_000, 0);
-		lease.noteSent(107_000);
-		expect(lease.isOver(7100, 0)).toBe(false);
-		expect(lease.isOver(7150, 0)).toBe(true);
+		const lease = new WorkerLease(7000);
+		lease.recordReading(100_000, 0);
+		lease.recordSent(107_000);
+		expect(lease.isExpired(7100, 0)).toBe(false);
+		expect(lease.isExpired(7150, 0)).toBe(true);
 	});
 });
 
@@ -231,7 +231,7 @@
 		const workflow = createWorkflow('a', createSpec([createStep({count: 2})]));
 		fold.apply({type: RecordType.Cancel, id: 'a'}, 7);
 		fold.apply({
-			type: RecordType.Whole, job: {
+			type: RecordType.Snapshot, job: {
 				workflow, state: WorkflowState.Running, hasBegun: true, remaining: 1, ledgers: [], writtenAtMs: 0,
 			},
 		}, 8);
@@ -243,7 +243,7 @@
 		const fold = new WorkflowFold();
 		submit(fold, createWorkflow('a', createSpec([createStep()])));
 		submit(fold, createWorkflow('b', createSpec([createStep()])));
-		fold.apply({type: RecordType.Begun, ids: ['b']}, fold.offset);
+		fold.apply({type: RecordType.Started, ids: ['b']}, fold.offset);
 		expect(fold.countPending(queue.name)).toBe(1);
 	});
 });
--- a/test/site-evacuation.test.ts
+++ b/test/site-evacuation.test.ts
@@ -13,12 +13,12 @@
 import {ManualClock} from '../src/utils/manual-clock.ts';
 import {ConfigFollower} from '../src/workflows/config-follower.ts';
 import {jobId, otherId} from './site-setup.ts';
-import {createSpec, createStep, SiteWorld} from './site-world.ts';
+import {createSpec, createStep, SimulatedSite} from './simulated-site.ts';
 
-let world: SiteWorld;
+let world: SimulatedSite;
 
 const createSite = async (domains: string[]): Promise<void> => {
-	world = new SiteWorld();
+	world = new SimulatedSite();
 	for (const [index, domain] of domains.entries()) {
 		world.addHost(`host-${index}`, 4000, ['a', 'r1-1'], domain);
 	}
--- a/test/site-troubles.ts
+++ b/test/site-faults.ts
@@ -6,7 +6,7 @@
 import {OrderFault} from '../src/standin/site-worker.ts';
 import {SubmitOutcome} from '../src/types/job-api.ts';
 import {WorkflowState} from '../src/types/workflows.ts';
-import {createSpec, createStep, SiteWorld} from './site-world.ts';
+import {createSpec, createStep, SimulatedSite} from './simulated-site.ts';
 
 const hosts = ['host-0', 'host-1', 'host-2'];
 const entries = ['entry-0', 'entry-1', 'entry-2'];
@@ -34,7 +34,7 @@
 const createOutage = (fault: StoreFault, until: number) => ({fault, until});
 
 /** Plays one step; its fault ends after `forMs`. */
-const play = async (site: SiteWorld, {faultType, target, forMs}: Step, jobs: Map<string, SubmitOutcome>): Promise<void> => {
+const play = async (site: SimulatedSite, {faultType, target, forMs}: Step, jobs: Map<string, SubmitOutcome>): Promise<void> => {
 	const host = site.hosts.get(hosts[target % hosts.length]!)!;
 	const entryName = entries[target % entries.length]!;
 	const entry = site.entries.get(entryName);
@@ -161,13 +161,13 @@
 });
 
 /** Random series of faults. */
-export const anySeries = fc.array(step, {minLength: 4, maxLength: 24});
+export const faultSeries = fc.array(step, {minLength: 4, maxLength: 24});
 
 const recoveryMs = 45_000;
 
 /** Creates a site to play series on. */
-export const createTroubledSite = async (plan: SiteWorld['plan']): Promise<SiteWorld> => {
-	const site = new SiteWorld();
+export const createFaultySite = async (plan: SimulatedSite['plan']): Promise<SimulatedSite> => {
+	const site = new SimulatedSite();
 	site.isRelaying = true;
 	site.plan = plan;
 	for (const name of hosts) {
@@ -183,7 +183,7 @@
 };
 
 /** Plays a series and a time without faults, and stops the site; returns the accepted jobs that have not completed, with their states. */
-export const playSeries = async (site: SiteWorld, steps: Step[], beforeStep: (index: number) => Promise<void>): Promise<Array<[string, string]>> => {
+export const runFaultSeries = async (site: SimulatedSite, steps: Step[], beforeStep: (index: number) => Promise<void>): Promise<Array<[string, string]>> => {
 	const jobs = new Map<string, SubmitOutcome>();
 	for (const [index, each] of steps.entries()) {
 		await beforeStep(index);
--- a/test/site-fleet.ts
+++ b/test/site-fleet.ts
@@ -3,7 +3,7 @@
 */
 import {type Workflow, type WorkflowSpec} from '../src/types/workflows.ts';
 import {PeerClock} from '../src/utils/peer-clock.ts';
-import {FillHarm} from '../src/workflows/fill-harm.ts';
+import {BestEffortInterference} from '../src/workflows/best-effort-interference.ts';
 import {type FleetWorker} from '../src/workflows/fleet-view.ts';
 import {WorkflowFold} from '../src/workflows/fold.ts';
 import {
@@ -14,7 +14,7 @@
 import {RecordType} from '../src/workflows/records.ts';
 import {RunTimes} from '../src/workflows/run-times.ts';
 import {createRank, getRemainingWork} from '../src/workflows/task-order.ts';
-import {queue} from './site-world.ts';
+import {queue} from './simulated-site.ts';
 
 export const createWorkflow = (id: string, spec: WorkflowSpec, terms: Partial<Workflow> = {}): Workflow => ({
 	...spec, id, queue: queue.name, service: queue.service, priority: 0, maxAttempts: 2, stretch: 2, targetLatencyMs: 500, needsAdvice: false, receivedAtMs: 0, ...terms,
@@ -31,22 +31,22 @@
 	},
 	isListed: true,
 	isAnswering: true,
-	heardAtMs: 0,
+	lastReplyAtMs: 0,
 	workerClockMs: 0,
 	agentClock: new PeerClock(),
 	runs: new Set(),
 	health: {spec: {workerId: host}, isHeld: false, isProbing: false},
-	takenEnd: 0,
+	processedEnd: 0,
 	storedEnd: 0,
-	isProven: false,
-	takenCrash: 0,
+	hasSucceededSinceCrash: false,
+	processedCrash: 0,
 	storedCrash: 0,
 	blockedUntilMs: 0,
-	unknownStopAtMs: 0,
-	paces: new Map(),
-	isFillStopped: false,
-	fillUses: [],
-	harmNotedAtMs: Number.NEGATIVE_INFINITY,
+	unknownRunStopAtMs: 0,
+	throttles: new Map(),
+	isBestEffortStopped: false,
+	bestEffortUsage: [],
+	interferenceLearnedAtMs: Number.NEGATIVE_INFINITY,
 });
 
 export const load = (workflows: Workflow[]): {model: LiveModel; fold: WorkflowFold} => {
@@ -60,22 +60,22 @@
 	return {model, fold};
 };
 
-export const placeAll = (model: LiveModel, workers: FleetWorker[], {wallMs = 0, nowMs = 0, nextStartDelayMs = 50, harm = new FillHarm(), times = new RunTimes(), policy = createPolicy()} = {}): Start[] => place({
-	waiting: model.waiting(0, () => false),
+export const placeAll = (model: LiveModel, workers: FleetWorker[], {wallMs = 0, nowMs = 0, nextStartDelayMs = 50, harm: interference = new BestEffortInterference(), times = new RunTimes(), policy = createPolicy()} = {}): Start[] => place({
+	waiting: model.getWaitingTasks(0, () => false),
 	workers,
 	nowMs,
 	nextStartDelayMs,
-	harm,
+	interference,
 	isAllowed: () => true,
 	policy,
 	createRank: spareMilliCpu => createRank({
-		nowMs, wallMs, spareMilliCpu, times, policy, remainingWork: new Map(model.openOccurrences().map(steps => [steps, getRemainingWork(steps, times)])),
+		nowMs, wallMs, spareMilliCpu, times, policy, remainingWork: new Map(model.getOpenOccurrences().map(steps => [steps, getRemainingWork(steps, times)])),
 	}),
 }).starts;
 
 export const run = (task: LiveTask, worker: FleetWorker, fields: Partial<LiveRun> = {}): LiveRun => {
 	const live: LiveRun = {
-		task, run: 1, host: worker.host, workerId: worker.report!.workerId, agentLife: 'life', phase: RunPhase.Running, sentAtMs: 0, isOrderOut: false, notAfterMs: 0, confirmedVersion: 1, percent: 0, basePercent: 0, workedMs: 0, workedUntilMs: 0, recent: 0, progressAtMs: 0, stopSentAtMs: 0, isUnwanted: false, pacePercent: 100, ...fields,
+		task, run: 1, host: worker.host, workerId: worker.report!.workerId, agentLife: 'life', phase: RunPhase.Running, orderedAtMs: 0, isOrderPending: false, notAfterMs: 0, confirmedVersion: 1, percent: 0, basePercent: 0, workedMs: 0, workedUntilMs: 0, recent: 0, progressAtMs: 0, stopOrderedAtMs: 0, isUnwanted: false, throttlePercent: 100, ...fields,
 	};
 	task.runs.push(live);
 	worker.runs.add(live);
--- a/test/site-inputs.test.ts
+++ b/test/site-inputs.test.ts
@@ -5,11 +5,11 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
 import {
-	agentsTopic, ControlType, decodeControl, decodeRegistration, encodeControl,
+	agentsTopic, ControlRecordType, decodeControlRecord, decodeRegistration, encodeControlRecord,
 } from '../src/agents/control-records.ts';
 import {AgentState} from '../src/agents/agent-state.ts';
 import {ErrorCode, getErrorCode} from '../src/core/errors.ts';
-import {decodeSpec} from '../src/platform/caller-server.ts';
+import {decodeWorkflowSpec} from '../src/platform/caller-server.ts';
 import {decodeSiteConfig} from '../src/platform/site-config.ts';
 import {decodeAnnouncement} from '../src/platform/worker-calls.ts';
 import {AppendOutcome} from '../src/types/store.ts';
@@ -21,8 +21,8 @@
 } from '../src/workflows/records.ts';
 import {createWorkflow} from './site-fleet.ts';
 import {
-	createSpec, createStep, partition, SiteWorld,
-} from './site-world.ts';
+	createSpec, createStep, partition, SimulatedSite,
+} from './simulated-site.ts';
 
 const step = createStep({
 	image: 'x', requiredLabel: 'a', dataRack: 'r1-1', maxAway: 1, after: [],
@@ -37,16 +37,16 @@
 			taskId: `${workflow.id}.0.0.0`, run: 1, end: RunEnd.Done, checkpoint: '',
 		}],
 	},
-	{type: RecordType.Begun, ids: [workflow.id]},
+	{type: RecordType.Started, ids: [workflow.id]},
 	{
-		type: RecordType.Whole, job: {
+		type: RecordType.Snapshot, job: {
 			workflow, state: WorkflowState.Running, hasBegun: true, remaining: 1, writtenAtMs: 5, ledgers: [[`${workflow.id}.0.0.0`, {
 				isDone: true, crashes: [], failedRuns: [1], lastRun: 2, checkpoint: 'c',
 			}]],
 		},
 	},
 	{
-		type: RecordType.Harm, pairs: [{
+		type: RecordType.Interference, pairs: [{
 			server: 'a', filler: 'b', mean: -0.1, deviation: 0.2,
 		}],
 	},
@@ -54,9 +54,9 @@
 
 const decoders: Record<string, (bytes: Buffer) => unknown> = {
 	announcement: bytes => decodeAnnouncement('i-1', bytes),
-	'job of a caller': decodeSpec,
+	'job of a caller': decodeWorkflowSpec,
 	configuration: bytes => decodeSiteConfig(bytes.toString('utf8')),
-	'control record': decodeControl,
+	'control record': decodeControlRecord,
 	registration: decodeRegistration,
 	'job record': decodeRecord,
 };
@@ -77,9 +77,9 @@
 
 	it('decode an encoded control record', () => {
 		const lost = {
-			type: ControlType.Lost as const, host: 'h', session: 4, epoch: 2,
+			type: ControlRecordType.Lost as const, host: 'h', session: 4, epoch: 2,
 		};
-		expect(decodeControl(encodeControl(lost))).toEqual(lost);
+		expect(decodeControlRecord(encodeControlRecord(lost))).toEqual(lost);
 	});
 
 	/** A value of another writer either decodes to its type or is refused with `bad-input`, which every reader handles. */
@@ -105,7 +105,7 @@
 describe('readers of the store', () => {
 	/** Undecodable records between those of jobs are reported and skipped; every job is read. */
 	it('skip records that they cannot decode', async () => {
-		const world = new SiteWorld();
+		const world = new SimulatedSite();
 		const store = world.store.createClient('x');
 		const invalid: number[] = [];
 		const junk = fc.sample(fc.oneof(fc.uint8Array({minLength: 1, maxLength: 80}).map(array => Buffer.from(array)), fc.json().map(text => Buffer.from(text))), {seed: 11, numRuns: 60});
@@ -125,7 +125,7 @@
 	complete its reconciliation.
 	*/
 	it('find the other agents despite registrations that cannot be decoded', async () => {
-		const world = new SiteWorld();
+		const world = new SimulatedSite();
 		const store = world.store.createClient('x');
 		await world.settle(store.appendKeyed({topic: agentsTopic, partition: 0}, [
 			{key: 'stray', value: Buffer.from('{"host":7}')}, {key: 'bytes', value: Buffer.from([0xFF, 0])},
@@ -152,17 +152,17 @@
 	*/
 	it('does not make the live incarnation count as gone', () => {
 		const state = new AgentState('life', 7000);
-		expect(state.announce(report('i-2', 1), 0)).toBe(true);
-		expect(state.announce(report('i-1', 90), 0)).toBe(false);
+		expect(state.applyAnnouncement(report('i-2', 1), 0)).toBe(true);
+		expect(state.applyAnnouncement(report('i-1', 90), 0)).toBe(false);
 		expect(state.worker?.report.workerId).toBe('i-2');
 		expect(state.goneWorkerIds).toEqual([]);
 	});
 
 	it('takes effect once the worker\'s answer shows that the previous incarnation is gone', () => {
 		const state = new AgentState('life', 7000);
-		state.announce(report('i-1', 5), 0);
-		state.announce(report('i-2', 1), 0);
-		state.drop('i-1', 0);
+		state.applyAnnouncement(report('i-1', 5), 0);
+		state.applyAnnouncement(report('i-2', 1), 0);
+		state.removeWorker('i-1', 0);
 		expect(state.worker?.report.workerId).toBe('i-2');
 		expect(state.goneWorkerIds).toEqual(['i-1']);
 	});
--- a/test/site-harm.test.ts
+++ b/test/site-interference.test.ts
@@ -4,16 +4,16 @@
 import {describe, expect, it} from 'vitest';
 import {ManualClock} from '../src/utils/manual-clock.ts';
 import {type AgentLinks} from '../src/workflows/agent-links.ts';
-import {FillHarm, type BestEffortGroup, type LatencyCriticalTask} from '../src/workflows/fill-harm.ts';
+import {BestEffortInterference, type BestEffortGroup, type LatencyCriticalTask} from '../src/workflows/best-effort-interference.ts';
 import {WorkflowFold} from '../src/workflows/fold.ts';
-import {planSpeeds} from '../src/workflows/harm-pacing.ts';
-import {decideThrottles, PaceKeeper} from '../src/workflows/pace-keeper.ts';
+import {planSpeeds} from '../src/workflows/interference-throttling.ts';
+import {decideThrottles, ThrottleController} from '../src/workflows/throttle-controller.ts';
 import {decodeRecord, encodeRecord, RecordType} from '../src/workflows/records.ts';
-import {getLoadAt, LatencyCriticalLoadTracker} from '../src/workflows/serving-load.ts';
+import {getLoadAt, LatencyCriticalLoadTracker} from '../src/workflows/latency-critical-load.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const createGroup = (image: string, fields: Partial<BestEffortGroup> = {}): BestEffortGroup => ({
 	image, share: 0.25, usedShare: 0.25, peakShare: fields.usedShare ?? 0.25, throttlePercent: 100, sinceChangeMs: 1000, ...fields,
@@ -25,8 +25,8 @@
 const getRatioAt = (load: number): number => 1 / (6 * (1 - Math.min(0.99, load)));
 
 /** Two workers report a job for ten seconds: one with non-interfering neighbours only, the other with an interfering one at times. */
-const learnEffects = (heavyEffect: number): FillHarm => {
-	const harm = new FillHarm();
+const learnEffects = (heavyEffect: number): BestEffortInterference => {
+	const harm = new BestEffortInterference();
 	for (let nowMs = 0; nowMs < 10_000; nowMs += 500) {
 		const own = 0.45 + (0.2 * Math.sin(nowMs / 1600));
 		const heavyShare = nowMs % 2000 < 1000 ? 0.2 : 0;
@@ -45,7 +45,7 @@
 		createWorkflow('f', createSpec([createStep({count: 2, isFilling: true, image: 'heavy'})])),
 	]);
 	const worker = createWorker('x');
-	const [latencyCriticalTask] = [...model.waiting(0, () => false)];
+	const [latencyCriticalTask] = [...model.getWaitingTasks(0, () => false)];
 	run(latencyCriticalTask!, worker, {recent: recentMs, percent: 100});
 	return {model, worker};
 };
@@ -78,8 +78,8 @@
 	/** Guards against a new owner that starts without the model, so that each image interferes again before it is slowed. */
 	it('is restored by the next owner', () => {
 		const fold = new WorkflowFold();
-		fold.apply(decodeRecord(encodeRecord({type: RecordType.Harm, pairs: learnEffects(1.5).getPairs()})), 0);
-		const next = new FillHarm();
+		fold.apply(decodeRecord(encodeRecord({type: RecordType.Interference, pairs: learnEffects(1.5).getPairs()})), 0);
+		const next = new BestEffortInterference();
 		next.restore(fold.harm, 0);
 		expect(next.getEffect('serve', 'heavy')).toBeCloseTo(learnEffects(1.5).getEffect('serve', 'heavy'), 1);
 		expect(next.getPairs()).toEqual(learnEffects(1.5).getPairs());
@@ -134,7 +134,7 @@
 	});
 
 	it('are lowered when no known effect explains the tail', () => {
-		expect(decideThrottles(createLatencyCriticalTasks(5), [createGroup('new')], new FillHarm()).get('new')).toBeLessThan(50);
+		expect(decideThrottles(createLatencyCriticalTasks(5), [createGroup('new')], new BestEffortInterference()).get('new')).toBeLessThan(50);
 	});
 
 	/**
@@ -142,29 +142,29 @@
 	After a time all best-effort tasks there stop, and none are placed there, until the tail has recovered.
 	*/
 	it('stop all best-effort tasks beside a tail that exceeds its target too long, and placement there', async () => {
-		const harm = new FillHarm();
+		const harm = new BestEffortInterference();
 		harm.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
 		}], 0);
 		const {model, worker} = createScenario(30);
 		const {runs} = worker;
 		const [latencyCriticalTask] = [...runs];
-		const [task] = [...model.waiting(0, () => false)];
+		const [task] = [...model.getWaitingTasks(0, () => false)];
 		run(task!, worker, {recent: 500});
 		const clock = new ManualClock();
-		const keeper = new PaceKeeper({
-			harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
+		const keeper = new ThrottleController({
+			interference: harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
 		});
 		latencyCriticalTask!.recent = 110;
-		keeper.take(worker);
-		expect(worker.isFillStopped).toBe(false);
+		keeper.handleState(worker);
+		expect(worker.isBestEffortStopped).toBe(false);
 		await clock.advance(1600);
-		keeper.take(worker);
-		expect(worker.paces.get('heavy')?.percent).toBe(0);
+		keeper.handleState(worker);
+		expect(worker.throttles.get('heavy')?.percent).toBe(0);
 		expect(placeAll(model, [worker], {harm, nowMs: 10_000})).toHaveLength(0);
 		latencyCriticalTask!.recent = 20;
-		keeper.take(worker);
-		expect(worker.isFillStopped).toBe(false);
+		keeper.handleState(worker);
+		expect(worker.isBestEffortStopped).toBe(false);
 	});
 
 	/**
@@ -172,27 +172,27 @@
 	reading just below it restarted the count of 1.5 s, and best-effort tasks went on. A tail that has recovered stays below.
 	*/
 	it('stop all best-effort tasks beside a tail that exceeds its target too long but for single readings', async () => {
-		const harm = new FillHarm();
+		const harm = new BestEffortInterference();
 		harm.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
 		}], 0);
 		const {model, worker} = createScenario(30);
 		const [latencyCriticalTask] = [...worker.runs];
-		const [task] = [...model.waiting(0, () => false)];
+		const [task] = [...model.getWaitingTasks(0, () => false)];
 		run(task!, worker, {recent: 500});
 		const clock = new ManualClock();
-		const keeper = new PaceKeeper({
-			harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
+		const keeper = new ThrottleController({
+			interference: harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
 		});
 		// Users tolerate 4 s; a stop takes effect after 0.1 s, and the tail falls for 1.3 s more.
 		const boundMs = 4000 - 100 - 1300;
 		for (let nowMs = 0; nowMs < boundMs; nowMs += 100) {
 			latencyCriticalTask!.recent = nowMs % 1500 >= 1400 ? 98 : 104;
-			keeper.take(worker);
+			keeper.handleState(worker);
 			await clock.advance(100);
 		}
 
-		expect(worker.paces.get('heavy')?.percent).toBe(0);
+		expect(worker.throttles.get('heavy')?.percent).toBe(0);
 	});
 
 	it('are raised no further than latency-critical tasks tolerate', () => {
@@ -226,7 +226,7 @@
 		const {model, worker} = createScenario();
 		model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
-		})!.waitsSinceMs = 1900;
+		})!.waitingSinceMs = 1900;
 		expect(placeAll(model, [worker], {harm: learnEffects(4), nowMs: 2000})).toHaveLength(1);
 	});
 
@@ -247,7 +247,7 @@
 		run(model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
 		})!, worker, {
-			percent: 75, basePercent: 70, workedMs: 200, sentAtMs: 1800, progressAtMs: 2000,
+			percent: 75, basePercent: 70, workedMs: 200, orderedAtMs: 1800, progressAtMs: 2000,
 		});
 		expect(placeAll(model, [worker], {harm: learnEffects(4), nowMs: 2100, nextStartDelayMs: 300})).toHaveLength(0);
 	});
@@ -260,13 +260,13 @@
 	/** Guards against an image whose throttle stays 0 after its tasks have moved on: it never returned to that worker. */
 	it('resets the throttle of an image without tasks on the worker', () => {
 		const {model, worker} = createScenario(20);
-		worker.paces.set('heavy', {percent: 0, changedAtMs: 0});
+		worker.throttles.set('heavy', {percent: 0, changedAtMs: 0});
 		const harm = learnEffects(0);
 		expect(placeAll(model, [worker], {harm})).toHaveLength(0);
-		const keeper = new PaceKeeper({
-			harm, clock: new ManualClock(), links: undefined as unknown as AgentLinks, note: () => undefined,
+		const keeper = new ThrottleController({
+			interference: harm, clock: new ManualClock(), links: undefined as unknown as AgentLinks, note: () => undefined,
 		});
-		keeper.take(worker);
+		keeper.handleState(worker);
 		expect(placeAll(model, [worker], {harm})).toHaveLength(2);
 	});
 });
--- a/test/site-late-answers.test.ts
+++ b/test/site-late-answers.test.ts
@@ -3,9 +3,9 @@
 */
 import {afterEach, expect, it} from 'vitest';
 import {createSite, jobId} from './site-setup.ts';
-import {createSpec, createStep, type SiteWorld} from './site-world.ts';
+import {createSpec, createStep, type SimulatedSite} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 
 afterEach(() => {
 	site.stop();
--- a/test/site-messages.test.ts
+++ b/test/site-messages.test.ts
@@ -8,15 +8,15 @@
 import {type Owner} from '../src/workflows/owner.ts';
 import {createSite, jobId} from './site-setup.ts';
 import {
-	createSpec, createStep, partition, type SiteWorld,
-} from './site-world.ts';
+	createSpec, createStep, partition, type SimulatedSite,
+} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 let polls: number;
 
 const secondMs = 1000;
 
-const getOwner = (simulated: SiteWorld): Owner => simulated.entries.get(simulated.getOwnerName()!)!.ownership.owners.get(partition) as Owner;
+const getOwner = (simulated: SimulatedSite): Owner => simulated.entries.get(simulated.getOwnerName()!)!.ownership.owners.get(partition) as Owner;
 
 const countPollsOf = (agent: Agent): void => {
 	const watch = agent.watch.bind(agent);
@@ -60,7 +60,7 @@
 		site = await createSite(1, 1);
 		site.addHost('silent');
 		countPolls();
-		site.hosts.get('silent')!.agent!.workerLeft(site.hosts.get('silent')!.worker.workerId);
+		site.hosts.get('silent')!.agent!.handleWorkerLeave(site.hosts.get('silent')!.worker.workerId);
 		await site.clock.advance(secondMs);
 		expect(await countPollsPerS(10 * secondMs)).toBeLessThanOrEqual(2 * 3);
 	});
--- a/test/site-order.test.ts
+++ b/test/site-order.test.ts
@@ -3,7 +3,7 @@
 */
 import {describe, expect, it} from 'vitest';
 import {type Workflow} from '../src/types/workflows.ts';
-import {FillHarm} from '../src/workflows/fill-harm.ts';
+import {BestEffortInterference} from '../src/workflows/best-effort-interference.ts';
 import {type LiveModel, type LiveTask} from '../src/workflows/live-model.ts';
 import {createPolicy, Mechanism} from '../src/workflows/policy.ts';
 import {RunTimes} from '../src/workflows/run-times.ts';
@@ -11,16 +11,16 @@
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
-const getTasks = (model: LiveModel): LiveTask[] => [...model.waiting(0, () => false)];
+const getTasks = (model: LiveModel): LiveTask[] => [...model.getWaitingTasks(0, () => false)];
 
 /** Observes one task of each job that ran for the given time at full speed. */
 const learn = (times: RunTimes, rows: Array<{estimateMs: number; workedMs: number}>): void => {
 	for (const [index, {estimateMs, workedMs}] of rows.entries()) {
 		const {model} = load([createWorkflow(`done-${index}`, createSpec([createStep({estimateMs})]))]);
 		const [task] = getTasks(model);
-		times.note(run(task!, createWorker('x'), {percent: 100, workedMs}), {isDone: true});
+		times.observe(run(task!, createWorker('x'), {percent: 100, workedMs}), {isDone: true});
 	}
 };
 
@@ -57,7 +57,7 @@
 		const times = new RunTimes();
 		const {model} = load([createWorkflow('a', createSpec([createStep({count: 2, estimateMs: 9000})]))]);
 		const [first, second] = getTasks(model);
-		times.note(run(first!, createWorker('x'), {percent: 40, workedMs: 400}), {isDone: false});
+		times.observe(run(first!, createWorker('x'), {percent: 40, workedMs: 400}), {isDone: false});
 		expect(times.getTaskMs(second!.step)).toBeCloseTo(1000);
 	});
 
@@ -65,7 +65,7 @@
 		const times = new RunTimes();
 		const {model} = load([createWorkflow('a', createSpec([createStep({estimateMs: 9000})]))]);
 		const [task] = getTasks(model);
-		times.note(run(task!, createWorker('x'), {percent: 70, basePercent: 20, workedMs: 1000}), {isDone: false});
+		times.observe(run(task!, createWorker('x'), {percent: 70, basePercent: 20, workedMs: 1000}), {isDone: false});
 		expect(times.getTaskMs(task!.step)).toBeCloseTo(2000);
 	});
 });
@@ -151,7 +151,7 @@
 		const [latencyCriticalTask] = getTasks(model);
 		const workers = [createWorker('quiet', 400), createWorker('served')];
 		run(latencyCriticalTask!, workers[1]!, {percent: 100, recent: 5});
-		const harm = new FillHarm();
+		const harm = new BestEffortInterference();
 		harm.restore([{
 			server: 'one', filler: 'light', mean: 0, deviation: 0.001,
 		}], 0);
--- a/test/site-orders.test.ts
+++ b/test/site-orders.test.ts
@@ -10,12 +10,12 @@
 import {OrderSender} from '../src/workflows/order-sender.ts';
 import {LossReason, RunTracker} from '../src/workflows/run-tracker.ts';
 import {createWorker, createWorkflow, load} from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const ignore = () => undefined;
 
 const createTracker = (model: LiveModel): RunTracker => new RunTracker(model, {
-	store: async () => true, onBegun: ignore, recall: ignore, onUnknown: ignore, onProgress: ignore, onOutcome: ignore, onExhausted: ignore, onChange: ignore, note: ignore,
+	storeEnds: async () => true, onStarted: ignore, findFinishedTask: ignore, onUnknownRun: ignore, onProgress: ignore, onOutcome: ignore, onAttemptsExhausted: ignore, onChange: ignore, note: ignore,
 });
 
 /**
@@ -36,11 +36,11 @@
 		},
 	} as unknown as AgentLinks;
 	const sender = new OrderSender({
-		clock, model, links, tracker: createTracker(model), getTicket: ignore, getStartGoodMs: () => 1500, onStaleEpoch: ignore, note() {
+		clock, model, links, tracker: createTracker(model), getTicket: ignore, getStartValidityMs: () => 1500, onStaleEpoch: ignore, note() {
 			clock.advanceSync(5);
 		},
 	});
-	const tasks = [...model.waiting(0, () => false)];
+	const tasks = [...model.getWaitingTasks(0, () => false)];
 	sender.start(tasks.map(task => ({task, worker})));
 	await clock.advance(1);
 	expect(tasks).toHaveLength(3);
@@ -52,11 +52,11 @@
 	const {model} = load([createWorkflow('0000000000000001', createSpec([createStep()]))]);
 	const worker = createWorker('host-0');
 	const tracker = createTracker(model);
-	const [task] = [...model.waiting(0, () => false)];
-	const refused = tracker.open(task!, worker, 1, {nowMs: 1000, notAfterMs: 2500});
+	const [task] = [...model.getWaitingTasks(0, () => false)];
+	const refused = tracker.addRun(task!, worker, 1, {nowMs: 1000, notAfterMs: 2500});
 	tracker.withdraw(refused, worker);
-	expect(task!.waitsSinceMs).toBe(0);
-	const lost = tracker.open(task!, worker, 2, {nowMs: 3000, notAfterMs: 4500});
-	tracker.lose(lost, worker, LossReason.NeverStarted, 4600);
-	expect(task!.waitsSinceMs).toBe(4600);
+	expect(task!.waitingSinceMs).toBe(0);
+	const lost = tracker.addRun(task!, worker, 2, {nowMs: 3000, notAfterMs: 4500});
+	tracker.markLost(lost, worker, LossReason.NeverStarted, 4600);
+	expect(task!.waitingSinceMs).toBe(4600);
 });
--- a/test/site-places.test.ts
+++ b/test/site-placement.test.ts
@@ -3,22 +3,22 @@
 */
 import * as fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {FillHarm} from '../src/workflows/fill-harm.ts';
+import {BestEffortInterference} from '../src/workflows/best-effort-interference.ts';
 import {type FleetWorker} from '../src/workflows/fleet-view.ts';
 import {type LiveTask} from '../src/workflows/live-model.ts';
 import {createCandidate, type Candidate} from '../src/workflows/placement-candidates.ts';
 import {createPolicy} from '../src/workflows/policy.ts';
-import {StepPlacement} from '../src/workflows/step-places.ts';
-import {InterferenceTrials} from '../src/workflows/trials.ts';
+import {StepPlacement} from '../src/workflows/step-placement.ts';
+import {InterferenceTrials} from '../src/workflows/interference-trials.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const images = ['a', 'b', 'c'];
 
 /** Creates workers with latency-critical and best-effort tasks; the last job waits. */
-const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Scenario): {workers: FleetWorker[]; tasks: LiveTask[]; harm: FillHarm} => {
+const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Scenario): {workers: FleetWorker[]; tasks: LiveTask[]; harm: BestEffortInterference} => {
 	const {model} = load([
 		...running.map(({isServing, image}, index) => createWorkflow(`r${index}`, createSpec([createStep({
 			milliCpu: 1500, image: images[image], ...(isServing ? {isLasting: true, targetMs: 24} : {isFilling: true}),
@@ -34,7 +34,7 @@
 		})!, workers[worker % workers.length]!, {recent: 12, percent: 100});
 	}
 
-	const harm = new FillHarm();
+	const harm = new BestEffortInterference();
 	harm.restore(effects.map((mean, index) => ({
 		server: images[index % 3]!, filler: images[Math.floor(index / 3)]!, mean, deviation: 0.02,
 	})), 0);
@@ -93,9 +93,9 @@
 	it('exclude a host with another run of the task', () => {
 		const {model} = load([createWorkflow('w', createSpec([createStep({isSpeculative: true})]))]);
 		const worker = createWorker('host-0');
-		const task = [...model.waiting(0, () => false)][0]!;
+		const task = [...model.getWaitingTasks(0, () => false)][0]!;
 		run(task, worker);
-		const harm = new FillHarm();
+		const harm = new BestEffortInterference();
 		const candidates = [createCandidate(worker, harm)];
 		const places = new StepPlacement(task.step, candidates, {
 			interference: harm, policy: createPolicy(), trials: new InterferenceTrials(harm, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
--- a/test/site-relay.test.ts
+++ b/test/site-relay.test.ts
@@ -11,10 +11,10 @@
 import {createSite, jobId, otherId} from './site-setup.ts';
 import {createEntryClient} from './site-calls.ts';
 import {
-	createSpec, createStep, queue, type SiteWorld,
-} from './site-world.ts';
+	createSpec, createStep, queue, type SimulatedSite,
+} from './simulated-site.ts';
 
-let currentSite: SiteWorld | undefined;
+let currentSite: SimulatedSite | undefined;
 
 afterEach(() => {
 	currentSite?.stop();
@@ -22,20 +22,20 @@
 	currentSite = undefined;
 });
 
-const createRelaying = async (): Promise<SiteWorld> => {
+const createRelaying = async (): Promise<SimulatedSite> => {
 	const site = await createSite(2, 3);
 	site.isRelaying = true;
 	return site;
 };
 
-const createCut = async (fault: StoreFault, isKnown = true): Promise<SiteWorld> => {
+const createCut = async (fault: StoreFault, isKnown = true): Promise<SimulatedSite> => {
 	const site = await createRelaying();
 	cut(site, 'entry-0', fault, isKnown);
 	await site.clock.advance(1000);
 	return site;
 };
 
-const cut = (site: SiteWorld, entry: string, fault: StoreFault, isKnown = true): void => {
+const cut = (site: SimulatedSite, entry: string, fault: StoreFault, isKnown = true): void => {
 	const before = site.store.fault;
 	site.store.fault = call => call.client === entry ? fault : before(call);
 	if (isKnown) {
--- a/test/site-saved.test.ts
+++ b/test/site-saved.test.ts
@@ -8,11 +8,11 @@
 import {
 	createWorker, createWorkflow, load, run,
 } from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const create = () => {
 	const {model, fold} = load([createWorkflow('a', createSpec([createStep({count: 2, isCheckpointing: true})]))]);
-	const [task, other] = [...model.waiting(0, () => false)];
+	const [task, other] = [...model.getWaitingTasks(0, () => false)];
 	const worker = createWorker('x');
 	run(task!, worker, {run: 3});
 	run(other!, worker);
@@ -23,10 +23,10 @@
 	it('are written to the stream once each', () => {
 		const {model, task} = create();
 		task.checkpoint = 'first';
-		expect(model.takeUnstored()).toEqual([{taskId: 'a.0.0.0', run: 3, checkpoint: 'first'}]);
-		expect(model.takeUnstored()).toEqual([]);
+		expect(model.takeUnstoredCheckpoints()).toEqual([{taskId: 'a.0.0.0', run: 3, checkpoint: 'first'}]);
+		expect(model.takeUnstoredCheckpoints()).toEqual([]);
 		task.checkpoint = 'second';
-		expect(model.takeUnstored()).toHaveLength(1);
+		expect(model.takeUnstoredCheckpoints()).toHaveLength(1);
 	});
 
 	/**
@@ -35,10 +35,10 @@
 	*/
 	it('are what the next owner resumes from, with a new run number', () => {
 		const {fold} = create();
-		fold.apply({type: RecordType.Saved, runs: [{taskId: 'a.0.0.0', run: 3, checkpoint: 'saved'}]}, 1);
+		fold.apply({type: RecordType.Checkpoints, runs: [{taskId: 'a.0.0.0', run: 3, checkpoint: 'saved'}]}, 1);
 		const next = new LiveModel();
 		next.load(fold, 0, 0);
-		const [task, other] = [...next.waiting(0, () => false)];
+		const [task, other] = [...next.getWaitingTasks(0, () => false)];
 		expect(task).toMatchObject({checkpoint: 'saved', lastRun: 3});
 		expect(other).toMatchObject({checkpoint: '', lastRun: 0});
 	});
@@ -50,7 +50,7 @@
 				taskId: 'a.0.0.0', run: 4, end: RunEnd.Done, checkpoint: '',
 			}],
 		}, 1);
-		fold.apply({type: RecordType.Saved, runs: [{taskId: 'a.0.0.0', run: 3, checkpoint: 'late'}, {taskId: 'b.0.0.0', run: 1, checkpoint: 'stray'}]}, 2);
+		fold.apply({type: RecordType.Checkpoints, runs: [{taskId: 'a.0.0.0', run: 3, checkpoint: 'late'}, {taskId: 'b.0.0.0', run: 1, checkpoint: 'stray'}]}, 2);
 		expect(fold.workflows.get('a')!.ledgers.get('a.0.0.0')).toMatchObject({isDone: true, lastRun: 4});
 		expect(fold.workflows.has('b')).toBe(false);
 	});
--- a/test/site-setup.ts
+++ b/test/site-setup.ts
@@ -1,13 +1,13 @@
 /**
 Creates a simulated site for tests: hosts with agents and workers, and entries, after the time that they need to connect.
 */
-import {SiteWorld} from './site-world.ts';
+import {SimulatedSite} from './simulated-site.ts';
 
 export const jobId = '00000000000000a1';
 export const otherId = '00000000000000a2';
 
-export const createSite = async (hosts = 2, entries = 2): Promise<SiteWorld> => {
-	const site = new SiteWorld();
+export const createSite = async (hosts = 2, entries = 2): Promise<SimulatedSite> => {
+	const site = new SimulatedSite();
 	for (let index = 0; index < hosts; index++) {
 		site.addHost(`host-${index}`);
 	}
--- a/test/site-slow-thread.test.ts
+++ b/test/site-slow-thread.test.ts
@@ -6,9 +6,9 @@
 	afterEach, describe, expect, it,
 } from 'vitest';
 import {createSite, jobId} from './site-setup.ts';
-import {createSpec, createStep, type SiteWorld} from './site-world.ts';
+import {createSpec, createStep, type SimulatedSite} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 const hosts = 15;
 const tasks = 900;
 const workMs = 500;
--- a/test/site-takeover.test.ts
+++ b/test/site-takeover.test.ts
@@ -9,10 +9,10 @@
 import {RunEnd, WorkflowState} from '../src/types/workflows.ts';
 import {createSite, jobId, otherId} from './site-setup.ts';
 import {
-	createSpec, createStep, partition, type SiteWorld,
-} from './site-world.ts';
+	createSpec, createStep, partition, type SimulatedSite,
+} from './simulated-site.ts';
 
-let site: SiteWorld;
+let site: SimulatedSite;
 
 const startSite = async (...sizes: Parameters<typeof createSite>): Promise<void> => {
 	site = await createSite(...sizes);
@@ -82,7 +82,7 @@
 	it('that takes over does not wait for an agent whose worker has left', async () => {
 		await startSite(2);
 		const {agent, worker} = site.hosts.get('host-0')!;
-		agent!.workerLeft(worker.workerId);
+		agent!.handleWorkerLeave(worker.workerId);
 		await site.settle(agent!.leave());
 		site.killAgent('host-0');
 		await site.clock.advance(500);
--- a/test/site-trials.test.ts
+++ b/test/site-trials.test.ts
@@ -2,12 +2,12 @@
 Best-effort tasks beside latency-critical tasks while their interference is unknown.
 */
 import {describe, expect, it} from 'vitest';
-import {FillHarm} from '../src/workflows/fill-harm.ts';
+import {BestEffortInterference} from '../src/workflows/best-effort-interference.ts';
 import {createPolicy} from '../src/workflows/policy.ts';
 import {
 	createWorker, createWorkflow, load, placeAll, run,
 } from './site-fleet.ts';
-import {createSpec, createStep} from './site-world.ts';
+import {createSpec, createStep} from './simulated-site.ts';
 
 const size = 20;
 
@@ -58,7 +58,7 @@
 
 	it('starts everywhere once the image is known not to interfere', () => {
 		const {model, workers} = createFleet(size);
-		const harm = new FillHarm();
+		const harm = new BestEffortInterference();
 		harm.restore(['even', 'odd'].map(server => ({
 			server, filler: 'new', mean: 0, deviation: 0.02,
 		})), 0);
@@ -67,7 +67,7 @@
 
 	it('starts where the image is known while trials run elsewhere', () => {
 		const {model, workers} = createFleet(size);
-		const harm = new FillHarm();
+		const harm = new BestEffortInterference();
 		harm.restore([{
 			server: 'even', filler: 'new', mean: 0, deviation: 0.02,
 		}], 0);
@@ -78,7 +78,7 @@
 
 	it('starts one task beside latency-critical tasks in any case when it has waited too long', () => {
 		const {model, workers} = createFleet(1);
-		const harm = new FillHarm();
+		const harm = new BestEffortInterference();
 		harm.restore(['even', 'odd'].map(server => ({
 			server, filler: 'new', mean: 0.5, deviation: 0.02,
 		})), 0);
--- a/test/slots-property.test.ts
+++ b/test/slots-property.test.ts
@@ -2,7 +2,7 @@
 import {expect, test} from 'vitest';
 import fc from 'fast-check';
 import {type NetworkFaults} from '../src/plugins/peers-memory-transport.ts';
-import {upstreamSlots, World} from './membership-world.ts';
+import {upstreamSlots, SimulatedMembership} from './simulated-membership.ts';
 
 const entryIds = ['a', 'b', 'c'];
 const anyEntry = fc.constantFrom(...entryIds);
@@ -38,7 +38,7 @@
 type Action = typeof action extends fc.Arbitrary<infer Value> ? Value : never;
 type Performers = {[Kind in Action['kind']]: (step: Extract<Action, {kind: Kind}>) => Promise<void> | void};
 
-const createActor = (simulation: World) => {
+const createActor = (simulation: SimulatedMembership) => {
 	let incarnation = 1;
 	const leaving: Array<Promise<void>> = [];
 	const getUpstream = () => simulation.upstreams.get(`u@${incarnation}`)!;
@@ -46,17 +46,17 @@
 		take({entry, count, runMs}) {
 			const taker = simulation.entries.get(entry);
 			for (let index = 0; taker && index < count; index++) { // eslint-disable-line no-unmodified-loop-condition
-				simulation.take(taker, 'u', runMs, maxHoldMs);
+				simulation.tryAcquireSlot(taker, 'u', runMs, maxHoldMs);
 			}
 		},
 		cut({entry, other}) {
-			simulation.setCut(entry, other, true);
+			simulation.setLinkBroken(entry, other, true);
 		},
 		reach({entry}) {
 			getUpstream().targets = [entry];
 		},
 		heal() {
-			simulation.network.healAll();
+			simulation.network.restoreAllLinks();
 			getUpstream().targets = [];
 		},
 		pause({entry, pauseMs}) {
@@ -83,7 +83,7 @@
 			const old = getUpstream().sent.at(-back);
 			const taker = simulation.entries.get(entry);
 			if (taker && old) {
-				simulation.repeat(taker, old);
+				simulation.redeliver(taker, old);
 			}
 		},
 		log({isDown}) {
@@ -101,19 +101,19 @@
 	return {perform, finish: async () => Promise.all(leaving)};
 };
 
-const checkHeldSlots = (simulation: World) => {
+const checkHeldSlots = (simulation: SimulatedMembership) => {
 	for (const [key, held] of simulation.getHeld()) {
 		expect(held, key).toBeLessThanOrEqual(upstreamSlots);
 	}
 };
 
 /** Advances time and reserves as many slots as possible at all entries, so that a slot granted twice is detected. */
-const waitAndCheck = async (simulation: World, waitMs: number) => {
+const waitAndCheck = async (simulation: SimulatedMembership, waitMs: number) => {
 	for (let leftMs = waitMs; leftMs > 0; leftMs -= 250) {
 		await simulation.clock.advance(Math.min(250, leftMs));
 		for (const entry of simulation.entries.values()) {
 			for (let index = 0; index < upstreamSlots; index++) {
-				simulation.take(entry, 'u', 1 + simulation.random.below(maxHoldMs), maxHoldMs);
+				simulation.tryAcquireSlot(entry, 'u', 1 + simulation.random.below(maxHoldMs), maxHoldMs);
 			}
 		}
 
@@ -122,7 +122,7 @@
 };
 
 const runSteps = async (steps: Action[], networkFaults: NetworkFaults, seed: number, isEchoing = true) => {
-	const simulation = new World({seed, settings: {slots: {maxHoldMs}}});
+	const simulation = new SimulatedMembership({seed, settings: {slots: {maxHoldMs}}});
 	for (const id of entryIds) {
 		await simulation.startEntry(id);
 	}
--- a/test/slots.test.ts
+++ b/test/slots.test.ts
@@ -3,16 +3,16 @@
 import {defaultSlotsCondition, measureSlots, SlotDivision} from '../src/measure/slots-measure.ts';
 import {divideByDemand, getWaitingPart} from '../src/requests/slot-policy.ts';
 import {ServiceName} from '../src/types/services.ts';
-import {upstreamSlots, World, type WorldEntry} from './membership-world.ts';
+import {upstreamSlots, SimulatedMembership, type SimulatedEntry} from './simulated-membership.ts';
 
-let simulation = new World();
+let simulation = new SimulatedMembership();
 
 afterEach(async () => {
 	await simulation.stop();
 });
 
 const startEntries = async (entryIds: string[], maxHoldMs = 2000) => {
-	simulation = new World({settings: {slots: {maxHoldMs}}});
+	simulation = new SimulatedMembership({settings: {slots: {maxHoldMs}}});
 	const entries = [];
 	for (const id of entryIds) {
 		entries.push(await simulation.startEntry(id));
@@ -21,7 +21,7 @@
 	return entries;
 };
 
-const getFree = (entry: WorldEntry, upstreamId: string) => entry.kernel.get(ServiceName.Slots).getFree(upstreamId);
+const getFree = (entry: SimulatedEntry, upstreamId: string) => entry.kernel.get(ServiceName.Slots).getFree(upstreamId);
 const getSum = (upstreamId: string) => [...simulation.entries.values()].reduce((sum, entry) => sum + getFree(entry, upstreamId), 0);
 
 test('all slots are granted, and each entry gets some', async () => {
@@ -33,7 +33,7 @@
 });
 
 test('shares move to the entries with demand, and back', async () => {
-	const [a, b, c] = await startEntries(['a', 'b', 'c']) as [WorldEntry, WorldEntry, WorldEntry];
+	const [a, b, c] = await startEntries(['a', 'b', 'c']) as [SimulatedEntry, SimulatedEntry, SimulatedEntry];
 	simulation.addUpstream('u');
 	await simulation.clock.advance(3000);
 	a.kernel.get(ServiceName.Slots).setDemand('s', 20);
@@ -57,7 +57,7 @@
 });
 
 test('a slot is not granted for longer than the hold time that the sponsor relies on', async () => {
-	const [a] = await startEntries(['a']) as [WorldEntry];
+	const [a] = await startEntries(['a']) as [SimulatedEntry];
 	simulation.addUpstream('u');
 	await simulation.clock.advance(3000);
 	const slots = a.kernel.get(ServiceName.Slots);
@@ -75,7 +75,7 @@
 test('an entry that resumes after a pause takes no slot of its expired share', async () => {
 	// An entry is suspended for longer than its lease, and its slots are granted to the others. A request that it sent on
 	// resuming, before any exchange with its sponsor, would be the ninth at the upstream.
-	const [, b] = await startEntries(['a', 'b', 'c']) as [WorldEntry, WorldEntry];
+	const [, b] = await startEntries(['a', 'b', 'c']) as [SimulatedEntry, SimulatedEntry];
 	simulation.addUpstream('u', {targets: ['a']});
 	await simulation.clock.advance(3000);
 	expect(getFree(b, 'u')).toBeGreaterThan(0);
--- a/test/store-calls.test.ts
+++ b/test/store-calls.test.ts
@@ -8,13 +8,13 @@
 import {ErrorCode, getErrorCode, getOldestOffset} from '../src/core/errors.ts';
 import {createStoreClient} from '../src/platform/store-calls.ts';
 import {AppendOutcome, type StoreClient} from '../src/types/store.ts';
-import {WireServer, type Asked, type Given} from './wire-server.ts';
+import {StubServer, type ReceivedRequest, type StubResponse} from './stub-server.ts';
 
-let server: WireServer;
+let server: StubServer;
 const ref = {topic: 'work', partition: 3};
 
-const createStore = async (respond: (received: Asked) => Given): Promise<StoreClient> => {
-	server = await new WireServer(respond).start();
+const createStore = async (respond: (received: ReceivedRequest) => StubResponse): Promise<StoreClient> => {
+	server = await new StubServer(respond).start();
 	return createStoreClient(server.http, server.address);
 };
 
@@ -40,7 +40,7 @@
 		const store = await createStore(() => ({status: 200, json: {offset: 7, end: 9}}));
 		const result = await store.append(ref, [Buffer.from('ab'), Buffer.from('c')], {stamp: {producer: 'w', epoch: 2, sequence: 5}, atOffset: 7, timeoutMs: 1000});
 		expect(result).toEqual({outcome: AppendOutcome.Appended, offset: 7, endOffset: 9});
-		const {url, body} = server.asked[0]!;
+		const {url, body} = server.requests[0]!;
 		expect(Object.fromEntries(url.searchParams)).toEqual({
 			topic: 'work', part: '3', at: '7', producer: 'w', epoch: '2', seq: '5',
 		});
@@ -72,7 +72,7 @@
 	it('encodes the key before the value', async () => {
 		const store = await createStore(() => ({status: 200, json: {offset: 0, end: 1}}));
 		await store.appendKeyed(ref, [{key: 'k', value: Buffer.from('v')}, {key: 'gone'}], {timeoutMs: 1000});
-		expect(server.asked[0]!.body).toEqual(Buffer.concat([frame('\u0001kv'), frame('\u0004gone')]));
+		expect(server.requests[0]!.body).toEqual(Buffer.concat([frame('\u0001kv'), frame('\u0004gone')]));
 	});
 });
 
@@ -82,8 +82,8 @@
 		expect(await store.read(ref, 10, {waitMs: 500, maxBytes: 65_536})).toEqual({
 			records: [{offset: 10, value: Buffer.from('x')}, {offset: 11, value: Buffer.from('')}], oldestOffset: 2, endOffset: 12,
 		});
-		expect(server.asked[0]!.url.searchParams.get('waitMs')).toBe('500');
-		expect(server.asked[0]!.url.searchParams.get('maxKb')).toBe('64');
+		expect(server.requests[0]!.url.searchParams.get('waitMs')).toBe('500');
+		expect(server.requests[0]!.url.searchParams.get('maxKb')).toBe('64');
 	});
 
 	it('reports the oldest offset when records were dropped', async () => {
@@ -103,7 +103,7 @@
 				? {items: [{key: 'a', value: 'YQ==', offset: 3}], hasMore: true, end: 9}
 				: {items: [{key: 'b', value: 'Yg==', offset: 4}], hasMore: false, end: 10},
 		}));
-		expect(await store.newest(ref)).toEqual({
+		expect(await store.readNewest(ref)).toEqual({
 			records: [{key: 'a', value: Buffer.from('a'), offset: 3}, {key: 'b', value: Buffer.from('b'), offset: 4}], endOffset: 9,
 		});
 	});
--- a/test/wire-server.ts
+++ b/test/stub-server.ts
@@ -3,19 +3,19 @@
 */
 import {Buffer} from 'node:buffer';
 import {createServer, type IncomingHttpHeaders, type Server} from 'node:http';
-import {createHttpClient, type HttpClient} from '../src/utils/http-calls.ts';
+import {createHttpClient, type HttpClient} from '../src/utils/keep-alive-client.ts';
 import {close, listen} from '../src/utils/http-server.ts';
 
-export type Asked = {method: string; url: URL; headers: IncomingHttpHeaders; body: Buffer};
-export type Given = {status: number; json?: unknown; raw?: Buffer; headers?: Record<string, string>} | 'silence' | 'reset';
+export type ReceivedRequest = {method: string; url: URL; headers: IncomingHttpHeaders; body: Buffer};
+export type StubResponse = {status: number; json?: unknown; raw?: Buffer; headers?: Record<string, string>} | 'silence' | 'reset';
 
-export class WireServer {
-	readonly asked: Asked[] = [];
+export class StubServer {
+	readonly requests: ReceivedRequest[] = [];
 	readonly http: HttpClient = createHttpClient(4);
 	address = '';
 	readonly #server: Server;
 
-	constructor(respond: (received: Asked) => Given) {
+	constructor(respond: (received: ReceivedRequest) => StubResponse) {
 		this.#server = createServer((request, response) => {
 			const chunks: Buffer[] = [];
 			request.on('data', (chunk: Buffer) => {
@@ -25,7 +25,7 @@
 				const received = {
 					method: request.method!, url: new URL(request.url!, 'http://stand-in'), headers: request.headers, body: Buffer.concat(chunks),
 				};
-				this.asked.push(received);
+				this.requests.push(received);
 				const answer = respond(received);
 				if (answer === 'reset') {
 					request.socket.destroy();
--- a/test/turns.test.ts
+++ b/test/turn-scheduler.test.ts
@@ -3,7 +3,7 @@
 */
 import {createServer, type ServerResponse} from 'node:http';
 import {afterEach, expect, it} from 'vitest';
-import {createHttpClient, type HttpClient} from '../src/utils/http-calls.ts';
+import {createHttpClient, type HttpClient} from '../src/utils/keep-alive-client.ts';
 import {close, listen} from '../src/utils/http-server.ts';
 
 const peerCount = 30;
--- a/test/worker-calls.test.ts
+++ b/test/worker-calls.test.ts
@@ -8,15 +8,15 @@
 import {createWorkerClient, decodeAnnouncement} from '../src/platform/worker-calls.ts';
 import {OrderRefusal, type WorkerClient} from '../src/types/fleet.ts';
 import {RunEnd} from '../src/types/workflows.ts';
-import {WireServer, type Given} from './wire-server.ts';
+import {StubServer, type StubResponse} from './stub-server.ts';
 
-let server: WireServer | undefined;
+let server: StubServer | undefined;
 const start = {
 	taskId: 'j.0.1.17', run: 2, input: '(text)', checkpoint: '',
 };
 
-const createClient = async (response: Given): Promise<WorkerClient> => {
-	server = await new WireServer(() => response).start();
+const createClient = async (response: StubResponse): Promise<WorkerClient> => {
+	server = await new StubServer(() => response).start();
 	return createWorkerClient(server.http, server.address);
 };
 
@@ -29,7 +29,7 @@
 	it('sends the worker\'s incarnation, the lease and the fencing token', async () => {
 		const client = await createClient({status: 200, json: {clockMs: 5}});
 		expect(await client.start('i-1', {...start, checkpoint: 'c', ticket: 't'}, {fence: 7, leaseUntilMs: 486_000.7})).toEqual({isDone: true, clockMs: 5});
-		const {headers, body} = server!.asked[0]!;
+		const {headers, body} = server!.requests[0]!;
 		expect(headers['expect-instance']).toBe('i-1');
 		expect(JSON.parse(body.toString())).toEqual({
 			task: 'j.0.1.17', run: 2, spec: '(text)', untilMs: 486_000, fence: 7, checkpoint: 'c', ticket: 't',
@@ -37,12 +37,12 @@
 	});
 
 	it.each([
-		[409, 'fence', OrderRefusal.Fence],
+		[409, 'fence', OrderRefusal.StaleFence],
 		[409, 'old', OrderRefusal.OldRun],
-		[409, 'late', OrderRefusal.Late],
+		[409, 'late', OrderRefusal.StartTooLate],
 		[409, 'room', OrderRefusal.NoRoom],
 		[409, 'ticket', OrderRefusal.Ticket],
-		[421, undefined, OrderRefusal.OtherWorker],
+		[421, undefined, OrderRefusal.OtherWorkerIncarnation],
 		[429, undefined, OrderRefusal.Unhealthy],
 		[503, undefined, OrderRefusal.Unhealthy],
 		[400, undefined, OrderRefusal.Invalid],
@@ -73,10 +73,10 @@
 				taskId: 'j.0.1.17', run: 2, checkpoint: 'c', percent: 41, recent: 33,
 			}],
 			ended: [{
-				number: 58, taskId: 'j.0.1.9', run: 1, end: RunEnd.Broken, checkpoint: '',
+				number: 58, taskId: 'j.0.1.9', run: 1, end: RunEnd.GangBroken, checkpoint: '',
 			}],
 		});
-		expect(JSON.parse(server!.asked[0]!.body.toString())).toEqual({
+		expect(JSON.parse(server!.requests[0]!.body.toString())).toEqual({
 			fence: 7, seenUpto: 57, untilMs: 486_000, waitMs: 500,
 		});
 	});
