--- a/src/requests/admission-load.ts
+++ b/src/requests/admission-load.ts
@@ -1,28 +1,28 @@
 /**
-What admission learns of a service: how long requests hold a slot, and how many slots checks keep busy.
+Load statistics of a service: how long requests hold a slot, and how many slots checks occupy.
 */
 import {RequestClass} from '../types/requests.ts';
 
-const sampleCount = 32;
-const windowMs = 5000;
+const maxSampleCount = 32;
+const decayMs = 5000;
 
-/** Mean time that requests of a class hold a slot: plain at first, then with the old ones fading. */
+/** Mean time that requests of a class hold a slot: arithmetic over the first samples, then exponentially weighted. */
 export class HoldTime {
 	#count = 0;
 	#meanMs = 0;
 
-	/** Mean so far; 0 when nothing was measured. */
+	/** Mean so far; 0 before the first sample. */
 	get meanMs(): number {
 		return this.#meanMs;
 	}
 
 	add(heldMs: number): void {
-		this.#count = Math.min(sampleCount, this.#count + 1);
+		this.#count = Math.min(maxSampleCount, this.#count + 1);
 		this.#meanMs += (heldMs - this.#meanMs) / this.#count;
 	}
 }
 
-/** Mean over time of a number that changes in steps, with the past fading. */
+/** Time-weighted mean of a number that changes in steps, with exponential decay. */
 export class LevelMean {
 	#mean = 0;
 	#level = 0;
@@ -47,7 +47,7 @@
 			return;
 		}
 
-		this.#mean += (this.#level - this.#mean) * -Math.expm1((this.#sinceMs - nowMs) / windowMs);
+		this.#mean += (this.#level - this.#mean) * -Math.expm1((this.#sinceMs - nowMs) / decayMs);
 		this.#sinceMs = nowMs;
 	}
 }
@@ -55,5 +55,5 @@
 /** A number for each class. */
 export type ClassCounts = Record<RequestClass, number>;
 
-/** Creates counts of none. */
+/** Creates counts of 0. */
 export const createClassCounts = (): ClassCounts => ({[RequestClass.Check]: 0, [RequestClass.Long]: 0});
--- a/src/requests/admission-turns.ts
+++ b/src/requests/admission-turns.ts
@@ -1,21 +1,21 @@
 /**
-Which class may take the next slot: checks first, with a reserve for long requests that is lent while none waits.
+Decides which class may take the next slot: checks first, with slots reserved for long requests that checks may use while no long request waits.
 */
 import {type Clock} from '../types/clock.ts';
 import {RequestClass} from '../types/requests.ts';
 import {createClassCounts, LevelMean, type ClassCounts} from './admission-load.ts';
 
-/** What the turns depend on. */
+/** Dependencies and settings of a class scheduler. */
 export type TurnOptions = {
 	clock: Clock;
-	/** Share of the slots kept for long requests while any wait. */
+	/** Share of the slots reserved for long requests while any are waiting. */
 	longShare: number;
-	/** Slots of the service's upstreams that are free for this entry now. */
+	/** Slots of the service's upstreams that this entry can take now. */
 	getFreeSlots(): number;
 };
 
-/** Below so many slots none is kept idle for checks. */
-const smallestHeadroomSlots = 4;
+/** With fewer slots than this, long requests leave none free for checks. */
+const minSlotsForHeadroom = 4;
 const capacityRefreshMs = 20;
 
 /** Shares the slots of one service between the classes. */
@@ -26,7 +26,7 @@
 	#waiting: ClassCounts = createClassCounts();
 	#freeSlots = 0;
 	#freeSlotsAtMs = Number.NEGATIVE_INFINITY;
-	#longTurns = 0;
+	#longCredit = 0;
 
 	constructor(options: TurnOptions) {
 		this.#options = options;
@@ -35,41 +35,41 @@
 
 	setWaiting(waiting: ClassCounts): void {
 		this.#waiting = waiting;
-		this.#noteCheckLevel();
+		this.#updateCheckLoad();
 	}
 
-	/** A request is about to start: counted first, because it may end within the call that starts it. */
+	/** Counts a request before it starts, because it may end within the call that starts it. */
 	beginStart(requestClass: RequestClass): void {
 		this.inFlight[requestClass]++;
 		this.#freeSlots--;
-		this.#noteCheckLevel();
+		this.#updateCheckLoad();
 	}
 
-	/** It has started, and used up a turn. */
+	/** Updates the credit of long requests after a request has started. */
 	noteStart(requestClass: RequestClass): void {
 		if (requestClass === RequestClass.Long) {
-			this.#longTurns = 0;
+			this.#longCredit = 0;
 		} else if (this.#waiting.long > 0) {
-			this.#longTurns += this.#options.longShare;
+			this.#longCredit += this.#options.longShare;
 		}
 	}
 
-	/** No slot was there after all. */
+	/** Reverts `beginStart` when the request found no free slot. */
 	undoStart(requestClass: RequestClass): void {
 		this.inFlight[requestClass]--;
 		this.#freeSlots++;
-		this.#noteCheckLevel();
+		this.#updateCheckLoad();
 	}
 
 	noteEnd(requestClass: RequestClass): void {
 		this.inFlight[requestClass]--;
 		this.#freeSlots++;
-		this.#noteCheckLevel();
+		this.#updateCheckLoad();
 	}
 
 	/**
-	Classes in their turn: long requests within their reserve, then checks, then long requests on what is spare.
-	The second is for when no upstream that is free now will do for the first.
+	Classes that may start, by priority: long requests within their reserve, then checks, then long requests on other free slots.
+	The second class is used when no upstream with a free slot is acceptable for the first.
 	*/
 	getNextClasses(): RequestClass[] {
 		const isLongWaiting = this.#waiting.long > 0;
@@ -100,29 +100,29 @@
 		return unusedReserve === 0 || this.#getSlots() - this.inFlight.long - this.inFlight.check > unusedReserve;
 	}
 
-	/** Slots that serve the class while the other takes all it may. */
+	/** Slots available to the class while the other class takes as many as it may. */
 	getServingSlots(requestClass: RequestClass): number {
 		const slots = this.#getSlots();
-		const serving = requestClass === RequestClass.Long
+		const available = requestClass === RequestClass.Long
 			? Math.max(this.#getReserve(), slots - this.#getHeadroom())
 			: slots - Math.max(this.inFlight.long, this.#waiting.long > 0 ? this.#getReserve() : 0);
-		return Math.max(1, serving);
+		return Math.max(1, available);
 	}
 
 	#isWithinReserve(): boolean {
 		const reserve = this.#getReserve();
-		// Too few slots to keep one aside: a share of the turns keeps long requests from waiting for ever.
-		return reserve === 0 ? this.#longTurns >= 1 : this.inFlight.long < reserve;
+		// With too few slots to reserve one, a share of the starts goes to long requests, so that they do not wait for ever.
+		return reserve === 0 ? this.#longCredit >= 1 : this.inFlight.long < reserve;
 	}
 
 	#getReserve(): number {
 		return Math.floor(this.#getSlots() * this.#options.longShare);
 	}
 
-	/** Slots that long requests leave to checks: what these keep busy, and the square root of it for its swings. */
+	/** Slots that long requests leave free for checks: the mean number that checks occupy, plus its square root for fluctuations. */
 	#getHeadroom(): number {
 		const slots = this.#getSlots();
-		if (slots < smallestHeadroomSlots) {
+		if (slots < minSlotsForHeadroom) {
 			return 0;
 		}
 
@@ -140,7 +140,7 @@
 		return Math.max(0, this.#freeSlots) + this.inFlight.check + this.inFlight.long;
 	}
 
-	#noteCheckLevel(): void {
+	#updateCheckLoad(): void {
 		this.#checkLoad.set(this.inFlight.check + this.#waiting.check, this.#options.clock.monotonicMs());
 	}
 }
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -1,5 +1,5 @@
 /**
-Admission of one service's requests: two classes, bounded fair queues, and refusal at the door of what cannot be met.
+Admission control for one service: two request classes, bounded fair queues, and early refusal of requests that cannot meet their deadline.
 */
 import {type Clock} from '../types/clock.ts';
 import {type Random} from '../types/random.ts';
@@ -9,13 +9,13 @@
 import {DeadlineHeap} from './deadline-heap.ts';
 import {FairQueue, type GetWeight} from './fair-queue.ts';
 
-/** A refusal: why, and when to come back. */
+/** Why a request is refused, and after how long the caller may retry. */
 export type Refusal = {
 	reason: RefusalReason;
 	retryAfterMs: number;
 };
 
-/** What admission judges a request by. Times are on the monotonic clock. */
+/** Attributes of a request that decide its admission. Times are on the monotonic clock. */
 export type Admissible = {
 	requestClass: RequestClass;
 	callerId: string;
@@ -23,63 +23,63 @@
 	deadlineAtMs: number;
 };
 
-/** One request that asks to be dispatched. */
+/** A request to be dispatched. */
 export type Ticket = Admissible & {
-	/** Takes a slot and starts; false when no slot is free. */
+	/** Takes a slot and starts the request; false when no slot is free. */
 	tryStart(): boolean;
-	/** The request was not run and will not be. */
+	/** Called when the request leaves the queue, or is not queued at all, without being started. */
 	refuse(refusal: Refusal): void;
 };
 
-/** Bounds and shares; fractions are from 0 to 1. */
+/** Queue limits and shares; shares are from 0 to 1. */
 export type AdmissionLimits = {
-	/** Longest queue of checks. */
+	/** Maximum number of queued checks. */
 	queueLimit: number;
-	/** Longest queue of long requests; without it, that of checks. */
+	/** Maximum number of queued long requests; `queueLimit` if not set. */
 	longQueueLimit?: number;
-	/** Share of the slots kept for long requests while any wait. */
+	/** Share of the slots reserved for long requests while any are waiting. */
 	longShare: number;
-	/** Share of the time left after the expected run that may be spent in the queue. */
+	/** Share of the time until the deadline, less the expected run time, that a request may spend in the queue. */
 	waitShare: number;
 };
 
-/** What admission is created with. */
+/** Dependencies and limits of an admission. */
 export type AdmissionOptions = {
 	clock: Clock;
 	random: Random;
 	limits: AdmissionLimits;
 	getWeight?: GetWeight;
-	/** Slots of the service's upstreams that are free for this entry now. */
+	/** Slots of the service's upstreams that this entry can take now. */
 	getFreeSlots(): number;
-	/** Told whenever the number of waiting requests changes. */
+	/** Called whenever the number of waiting requests changes. */
 	onWaiting?(waiting: number): void;
 };
 
 const minRetryAfterMs = 50;
-/** Largest part of a request's whole time that its expected run may count as. */
+/** Upper bound of the expected run time, as a share of the time between a request's arrival and its deadline. */
 const maxRunShare = 0.5;
 
 /** Admits the requests of one service. */
 export class Admission {
 	readonly #options: AdmissionOptions;
 	readonly #queues: Record<RequestClass, FairQueue<Ticket>>;
-	readonly #holds = {[RequestClass.Check]: new HoldTime(), [RequestClass.Long]: new HoldTime()};
-	readonly #turns: ClassTurns;
+	readonly #holdTimes = {[RequestClass.Check]: new HoldTime(), [RequestClass.Long]: new HoldTime()};
+	readonly #classScheduler: ClassTurns;
 	readonly #deadlines: DeadlineHeap<Ticket>;
-	/** Requests to be tried again; they were admitted before and go first. */
-	readonly #again = new Set<Ticket>();
+	/** Requests that wait for another attempt; they start before all others. */
+	readonly #resubmitted = new Set<Ticket>();
 	readonly #queued = new Set<Ticket>();
-	/** Places kept for requests that will be submitted shortly. */
+	/** Queue places reserved for requests that will be submitted shortly. */
 	readonly #reserved: ClassCounts = createClassCounts();
-	#toldWaiting = 0;
-	#isPumping = false;
+	#reportedWaiting = 0;
+	#isStartingWaiting = false;
 	#isClosed = false;
 
 	constructor(options: AdmissionOptions) {
 		const {clock, getWeight} = options;
 		this.#options = options;
 		this.#queues = {[RequestClass.Check]: new FairQueue(getWeight), [RequestClass.Long]: new FairQueue(getWeight)};
-		this.#turns = new ClassTurns({clock, longShare: options.limits.longShare, getFreeSlots: () => options.getFreeSlots()});
+		this.#classScheduler = new ClassTurns({clock, longShare: options.limits.longShare, getFreeSlots: () => options.getFreeSlots()});
 		this.#deadlines = new DeadlineHeap<Ticket>({
 			clock,
 			isWaiting: ticket => this.#queued.has(ticket),
@@ -89,7 +89,7 @@
 		});
 	}
 
-	/** Tells why the request would be refused now, or undefined when it would be started or queued. */
+	/** Returns why the request would be refused now, or undefined if it would be started or queued. */
 	findRefusal(request: Admissible): Refusal | undefined {
 		if (this.#isClosed) {
 			return {reason: RefusalReason.ShuttingDown, retryAfterMs: minRetryAfterMs};
@@ -99,110 +99,110 @@
 			return this.#createRefusal(RefusalReason.DeadlinePassed, 0);
 		}
 
-		return this.#isStartable(request.requestClass) ? undefined : this.#judge(request);
+		return this.#isStartable(request.requestClass) ? undefined : this.#findQueueRefusal(request);
 	}
 
-	/** Keeps a place in the queue, or gives it back: for requests that have something to wait for before they are submitted. */
+	/** Reserves (1) or releases (-1) a queue place for a request that cannot be submitted yet, for example until its claim is stored. */
 	reserve(requestClass: RequestClass, count: 1 | -1): void {
 		this.#reserved[requestClass] += count;
 	}
 
-	/** Starts the request, queues it, or refuses it, at once. */
+	/** Starts, queues or refuses the request immediately. */
 	submit(ticket: Ticket): void {
 		const isOpen = !this.#isClosed && ticket.deadlineAtMs > this.#options.clock.monotonicMs();
-		// Fast path: nobody waits.
+		// Fast path: the queues are empty.
 		if (isOpen && this.#isStartable(ticket.requestClass) && this.#start(ticket)) {
 			return;
 		}
 
-		const refusal = isOpen ? this.#judge(ticket) : this.findRefusal(ticket);
+		const refusal = isOpen ? this.#findQueueRefusal(ticket) : this.findRefusal(ticket);
 		if (refusal) {
 			ticket.refuse(refusal);
 			return;
 		}
 
 		this.#queues[ticket.requestClass].push(ticket);
-		this.#wait(ticket);
+		this.#trackWaiting(ticket);
 		this.wake();
 	}
 
-	/** Queues a request whose earlier try provably did not run, before all others. */
+	/** Queues a request for another attempt, ahead of all requests that have not been attempted. */
 	resubmit(ticket: Ticket): void {
 		if (this.#isClosed) {
 			ticket.refuse({reason: RefusalReason.ShuttingDown, retryAfterMs: minRetryAfterMs});
 			return;
 		}
 
-		this.#again.add(ticket);
-		this.#wait(ticket);
+		this.#resubmitted.add(ticket);
+		this.#trackWaiting(ticket);
 		this.wake();
 	}
 
-	/** Drops a waiting request, as when its caller is gone. */
+	/** Removes a waiting request without refusing it, for example when its caller has disconnected. */
 	leave(ticket: Ticket): void {
 		if (this.#queued.has(ticket)) {
-			this.#unqueue(ticket);
-			this.#tellWaiting();
+			this.#dequeue(ticket);
+			this.#reportWaiting();
 		}
 	}
 
-	/** A started request gave its slot back after so long. */
+	/** Records that a started request released its slot after `heldMs`, and starts waiting requests. */
 	noteEnd(requestClass: RequestClass, heldMs: number): void {
-		this.#turns.noteEnd(requestClass);
-		this.#holds[requestClass].add(heldMs);
+		this.#classScheduler.noteEnd(requestClass);
+		this.#holdTimes[requestClass].add(heldMs);
 		this.wake();
 	}
 
-	/** Starts what can be started; to be called when slots or upstreams may have come. */
+	/** Starts as many waiting requests as possible; called when slots or upstreams may have become available. */
 	wake(): void {
-		if (this.#isPumping) {
+		if (this.#isStartingWaiting) {
 			return;
 		}
 
-		this.#isPumping = true;
+		this.#isStartingWaiting = true;
 		try {
 			while (this.#startNext()) {
-				// Each round starts one.
+				// Each iteration starts one request.
 			}
 		} finally {
-			this.#isPumping = false;
+			this.#isStartingWaiting = false;
 		}
 
-		this.#tellWaiting();
+		this.#reportWaiting();
 	}
 
-	/** Refuses all that wait, and all that will come. */
+	/** Refuses all waiting requests and all later ones. */
 	close(): void {
 		this.#isClosed = true;
 		this.#deadlines.stop();
 		for (const ticket of this.#queued) {
-			this.#unqueue(ticket);
+			this.#dequeue(ticket);
 			ticket.refuse({reason: RefusalReason.ShuttingDown, retryAfterMs: minRetryAfterMs});
 		}
 
-		this.#tellWaiting();
+		this.#reportWaiting();
 	}
 
-	/** Figures for the status page. */
+	/** Queue lengths, requests in flight and mean hold times for the status page. */
 	getStatus() {
 		return {
-			waiting: {check: this.#queues.check.size, long: this.#queues.long.size, again: this.#again.size},
-			inFlight: {...this.#turns.inFlight},
-			meanHoldMs: {check: this.#holds.check.meanMs, long: this.#holds.long.meanMs},
+			waiting: {check: this.#queues.check.size, long: this.#queues.long.size, again: this.#resubmitted.size},
+			inFlight: {...this.#classScheduler.inFlight},
+			meanHoldMs: {check: this.#holdTimes.check.meanMs, long: this.#holdTimes.long.meanMs},
 		};
 	}
 
-	/** Estimates how long one more request of the caller would wait. */
+	/** Estimates how long another request of the caller would wait. */
 	estimateWaitMs(requestClass: RequestClass, callerId: string): number {
-		const ahead = this.#queues[requestClass].getAhead(callerId) + this.#again.size + this.#reserved[requestClass];
-		return (ahead + 1) * this.#holds[requestClass].meanMs / this.#turns.getServingSlots(requestClass);
+		const ahead = this.#queues[requestClass].getAhead(callerId) + this.#resubmitted.size + this.#reserved[requestClass];
+		return (ahead + 1) * this.#holdTimes[requestClass].meanMs / this.#classScheduler.getServingSlots(requestClass);
 	}
 
 	#isStartable(requestClass: RequestClass): boolean {
-		return this.#queued.size === 0 && this.#turns.mayStart(requestClass);
+		return this.#queued.size === 0 && this.#classScheduler.mayStart(requestClass);
 	}
 
-	#judge(ticket: Admissible): Refusal | undefined {
+	#findQueueRefusal(ticket: Admissible): Refusal | undefined {
 		const {requestClass, callerId} = ticket;
 		const {limits} = this.#options;
 		const queueLimit = requestClass === RequestClass.Long ? limits.longQueueLimit ?? limits.queueLimit : limits.queueLimit;
@@ -223,57 +223,57 @@
 	}
 
 	#createRefusal(reason: RefusalReason, retryAfterMs: number): Refusal {
-		// Jitter: those refused together must not come back together.
+		// Jitter: requests that are refused together must not be retried together.
 		const spread = 1 + (this.#options.random.next() / 2);
 		return {reason, retryAfterMs: Math.max(minRetryAfterMs, retryAfterMs) * spread};
 	}
 
 	/**
-	Expected run of the request, but no more than a part of the time it came with. Guards against a shut door: with
-	runs that once took longer than callers now allow, every request would be refused and no shorter run ever be measured.
+	Expected run time of the request, capped at a share of the time between its arrival and its deadline. Without the cap,
+	a mean above the deadlines that callers set would refuse every request, and no shorter run would be measured to correct it.
 	*/
 	#getRunMs({requestClass, arrivedAtMs, deadlineAtMs}: Admissible): number {
-		return Math.min(this.#holds[requestClass].meanMs, maxRunShare * (deadlineAtMs - arrivedAtMs));
+		return Math.min(this.#holdTimes[requestClass].meanMs, maxRunShare * (deadlineAtMs - arrivedAtMs));
 	}
 
-	#wait(ticket: Ticket): void {
+	#trackWaiting(ticket: Ticket): void {
 		this.#queued.add(ticket);
-		// After this instant the request would be given up before its answer came.
+		// A request started after this time is expected to miss its deadline.
 		this.#deadlines.add(ticket, ticket.deadlineAtMs - this.#getRunMs(ticket), this.#queued.size);
-		this.#noteWaiting();
+		this.#updateWaiting();
 	}
 
-	#unqueue(ticket: Ticket, isServed = false): void {
+	#dequeue(ticket: Ticket, isServed = false): void {
 		this.#queued.delete(ticket);
-		if (!this.#again.delete(ticket)) {
+		if (!this.#resubmitted.delete(ticket)) {
 			this.#queues[ticket.requestClass].remove(ticket, isServed);
 		}
 
-		this.#noteWaiting();
+		this.#updateWaiting();
 	}
 
 	#expire(ticket: Ticket): void {
-		this.#unqueue(ticket);
+		this.#dequeue(ticket);
 		const waitMs = this.estimateWaitMs(ticket.requestClass, ticket.callerId);
 		ticket.refuse(this.#createRefusal(RefusalReason.DeadlinePassed, waitMs));
-		this.#tellWaiting();
+		this.#reportWaiting();
 	}
 
 	#startNext(): boolean {
-		for (const ticket of this.#again) {
+		for (const ticket of this.#resubmitted) {
 			if (this.#startQueued(ticket)) {
 				return true;
 			}
 		}
 
-		return this.#turns.getNextClasses().some(requestClass => {
+		return this.#classScheduler.getNextClasses().some(requestClass => {
 			const ticket = this.#queues[requestClass].peek();
 			return ticket !== undefined && this.#startQueued(ticket);
 		});
 	}
 
 	#startQueued(ticket: Ticket): boolean {
-		// A process that was paused may get here before the timer of the deadline fires.
+		// After a pause of the process, this may run before the timer of the deadline.
 		if (ticket.deadlineAtMs <= this.#options.clock.monotonicMs()) {
 			this.#expire(ticket);
 			return true;
@@ -283,29 +283,29 @@
 			return false;
 		}
 
-		this.#unqueue(ticket, true);
+		this.#dequeue(ticket, true);
 		return true;
 	}
 
 	#start(ticket: Ticket): boolean {
-		this.#turns.beginStart(ticket.requestClass);
+		this.#classScheduler.beginStart(ticket.requestClass);
 		if (ticket.tryStart()) {
-			this.#turns.noteStart(ticket.requestClass);
+			this.#classScheduler.noteStart(ticket.requestClass);
 			return true;
 		}
 
-		this.#turns.undoStart(ticket.requestClass);
+		this.#classScheduler.undoStart(ticket.requestClass);
 		return false;
 	}
 
-	#noteWaiting(): void {
-		this.#turns.setWaiting({check: this.#queues.check.size, long: this.#queues.long.size});
+	#updateWaiting(): void {
+		this.#classScheduler.setWaiting({check: this.#queues.check.size, long: this.#queues.long.size});
 	}
 
-	#tellWaiting(): void {
-		if (this.#toldWaiting !== this.#queued.size) {
-			this.#toldWaiting = this.#queued.size;
-			this.#options.onWaiting?.(this.#toldWaiting);
+	#reportWaiting(): void {
+		if (this.#reportedWaiting !== this.#queued.size) {
+			this.#reportedWaiting = this.#queued.size;
+			this.#options.onWaiting?.(this.#reportedWaiting);
 		}
 	}
 }
--- a/src/requests/answer-stalls.ts
+++ b/src/requests/answer-stalls.ts
@@ -1,5 +1,5 @@
 /**
-Callers that do not read their answers: found by one timer, judged by whether any byte has left since.
+Detects callers that do not read their answers, with one timer for all: a caller has stalled if no byte was sent to it within the time limit.
 */
 import {type ServerResponse} from 'node:http';
 import {type Socket} from 'node:net';
@@ -7,23 +7,23 @@
 import {type StallWatch} from './answer.ts';
 import {DeadlineHeap} from './deadline-heap.ts';
 
-type Unread = {
+type UnreadAnswer = {
 	response: ServerResponse;
 	socket: Socket;
 	sentBytes: number;
 };
 
-/** Watches over answers that are not read. */
+/** Watches answers that are not read, and reports those that have stalled. */
 export class StallBook implements StallWatch {
 	readonly #clock: Clock;
-	readonly #stalledMs: number;
-	readonly #heap: DeadlineHeap<Unread>;
+	readonly #stallTimeoutMs: number;
+	readonly #heap: DeadlineHeap<UnreadAnswer>;
 	readonly #watched = new Set<ServerResponse>();
 
-	constructor(clock: Clock, stalledMs: number, onStalled: (response: ServerResponse) => void) {
+	constructor(clock: Clock, stallTimeoutMs: number, onStalled: (response: ServerResponse) => void) {
 		this.#clock = clock;
-		this.#stalledMs = stalledMs;
-		this.#heap = new DeadlineHeap<Unread>({
+		this.#stallTimeoutMs = stallTimeoutMs;
+		this.#heap = new DeadlineHeap<UnreadAnswer>({
 			clock,
 			isWaiting: ({response}) => this.#watched.has(response),
 			onDue: ({response, socket, sentBytes}) => {
@@ -41,7 +41,7 @@
 		});
 	}
 
-	/** Watches the answer, unless all of it that was written has left already. */
+	/** Starts to watch the answer, unless its connection has no unsent bytes. */
 	add(response: ServerResponse): void {
 		const {socket} = response;
 		if (!socket || socket.writableLength === 0 || this.#watched.has(response)) {
@@ -49,7 +49,7 @@
 		}
 
 		this.#watched.add(response);
-		this.#heap.add({response, socket, sentBytes: getSentBytes(socket)}, this.#clock.monotonicMs() + this.#stalledMs, this.#watched.size);
+		this.#heap.add({response, socket, sentBytes: getSentBytes(socket)}, this.#clock.monotonicMs() + this.#stallTimeoutMs, this.#watched.size);
 	}
 
 	stop(): void {
@@ -58,5 +58,5 @@
 	}
 }
 
-/** What has left the buffers of this process. */
+/** Number of bytes that have left the buffers of this process. */
 const getSentBytes = (socket: Socket): number => socket.bytesWritten - socket.writableLength;
--- a/src/requests/answer.ts
+++ b/src/requests/answer.ts
@@ -1,33 +1,33 @@
 /**
-One answer on its way to its caller: held until it is whole when it is small, streamed with backpressure when it is not.
+Forwards one answer to its caller: a small answer is buffered until it is complete, a larger one is streamed with backpressure.
 */
 import {type IncomingHttpHeaders, type ServerResponse} from 'node:http';
 import {getPassedDown} from './headers.ts';
 
-/** A whole answer. Without a body it was streamed to the caller already. */
+/** A complete answer. Without a body it has already been streamed to the caller. */
 export type WholeAnswer = {
 	status: number;
 	headers: IncomingHttpHeaders;
 	body?: Buffer;
 };
 
-/** Where an answer goes. */
+/** Where an answer is forwarded to, and how. */
 export type AnswerTarget = {
 	response: ServerResponse;
-	/** Answers up to this size are held until they are whole. */
+	/** Answers up to this size are buffered until they are complete. */
 	bufferBytes: number;
-	/** Headers that the entry adds. */
+	/** Headers that the entry adds to the answer. */
 	ownHeaders: Record<string, string>;
-	/** Callers that leave an answer unread; each is broken when it falls due. */
+	/** Watches answers that the caller does not read. */
 	stalls: StallWatch;
 };
 
-/** Breaks the connections of callers that do not read. */
+/** Watches answers that are not read, and resets those that stay unread. */
 export type StallWatch = {
 	add(response: ServerResponse): void;
 };
 
-/** Takes the parts of one answer as they come. */
+/** Collects or streams one answer as its chunks arrive. */
 export class AnswerCollector {
 	readonly #target: AnswerTarget;
 	#chunks: Buffer[] = [];
@@ -40,7 +40,7 @@
 		this.#target = target;
 	}
 
-	/** Whether the caller has got a part of it. */
+	/** Whether streaming to the caller has started. */
 	get isStreaming(): boolean {
 		return this.#isStreaming;
 	}
@@ -50,7 +50,7 @@
 		this.#headers = headers;
 	}
 
-	/** Takes a part; with `onDrain` called later, the sender is to pause until then. */
+	/** Adds a chunk; if it returns false, the sender must pause until `onDrain` is called. */
 	add(chunk: Buffer, onDrain: () => void): boolean {
 		if (!this.#isStreaming) {
 			this.#size += chunk.length;
@@ -65,7 +65,7 @@
 		return this.#write(chunk, onDrain);
 	}
 
-	/** The answer is whole. */
+	/** Completes the answer. */
 	end(): WholeAnswer {
 		const {response} = this.#target;
 		const answer = {status: this.#status, headers: this.#headers};
@@ -78,10 +78,10 @@
 		return answer;
 	}
 
-	/** The answer will never be whole: what the caller got of it is visibly broken. */
+	/** Discards an incomplete answer; if part of it was streamed, resets the caller's connection. */
 	break(): void {
 		this.#chunks = [];
-		// An ended response is another answer, already whole; its connection may carry the caller's next request.
+		// A response that has ended carries another, complete answer; its connection may already serve the caller's next request.
 		if (this.#isStreaming && !this.#target.response.writableEnded) {
 			breakResponse(this.#target.response);
 		}
@@ -92,7 +92,7 @@
 		const chunks = this.#chunks;
 		this.#chunks = [];
 		this.#isStreaming = true;
-		// Whoever closed the answer meanwhile, as the deadline, had the last word; the rest is drained unseen.
+		// The response was answered or closed meanwhile, for example at the deadline: the rest of this answer is discarded.
 		if (response.headersSent || response.destroyed) {
 			return true;
 		}
@@ -107,7 +107,7 @@
 			return true;
 		}
 
-		// A caller that stops reading would hold memory, a slot and a connection for ever.
+		// Without the watch, a caller that stops reading would hold memory, a slot and a connection for ever.
 		stalls.add(response);
 		const resume = () => {
 			response.off('drain', resume);
@@ -122,8 +122,8 @@
 }
 
 /**
-Ends an answer so that no caller can take what it got for the whole. A plain close would look like the end of a body
-without a length to a caller of HTTP/1.0; a reset looks like what it is to all.
+Resets the connection of an incomplete answer, so that no caller takes it for a complete one. A plain close would look
+to a caller of HTTP/1.0 like the end of a body without a length.
 */
 export const breakResponse = (response: ServerResponse): void => {
 	const {socket} = response;
--- a/src/requests/choice-baselines.ts
+++ b/src/requests/choice-baselines.ts
@@ -1,14 +1,14 @@
 /**
-Simple ways of choosing an upstream, against which the product's own is measured.
+Simple load-balancing policies, used as baselines in measurements.
 */
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type ChoiceContext, type Chooser} from '../types/choice.ts';
 import {type Random} from '../types/random.ts';
 
 type Candidates = readonly UpstreamAnnouncement[];
-type Pick = (candidates: Candidates, getInFlight: (upstreamId: string) => number) => UpstreamAnnouncement | undefined;
+type PickUpstream = (candidates: Candidates, getInFlight: (upstreamId: string) => number) => UpstreamAnnouncement | undefined;
 
-const createFrom = (pick: Pick): Chooser => {
+const createBaselineChooser = (pick: PickUpstream): Chooser => {
 	const inFlight = new Map<string, number>();
 	const getInFlight = (upstreamId: string) => inFlight.get(upstreamId) ?? 0;
 	return {
@@ -28,25 +28,25 @@
 	};
 };
 
-/** Creates a chooser that takes upstreams in turn. */
+/** Creates a chooser that takes upstreams in turn (round robin). */
 export const createRoundRobinChooser = (): Chooser => {
 	let turn = 0;
-	return createFrom(candidates => candidates[turn++ % candidates.length]);
+	return createBaselineChooser(candidates => candidates[turn++ % candidates.length]);
 };
 
-/** Creates a chooser that takes any upstream. */
+/** Creates a chooser that takes an upstream at random. */
 export const createRandomChooser = (random: Random): Chooser =>
-	createFrom(candidates => candidates[random.below(candidates.length)]);
+	createBaselineChooser(candidates => candidates[random.below(candidates.length)]);
 
-/** Creates a chooser that takes an upstream with the fewest requests in flight, any of several. */
-export const createLeastInFlightChooser = (random: Random): Chooser => createFrom((candidates, getInFlight) => {
+/** Creates a chooser that takes the upstream with the fewest requests in flight; ties are broken at random. */
+export const createLeastInFlightChooser = (random: Random): Chooser => createBaselineChooser((candidates, getInFlight) => {
 	const least = Math.min(...candidates.map(({upstreamId}) => getInFlight(upstreamId)));
-	const equals = candidates.filter(({upstreamId}) => getInFlight(upstreamId) === least);
-	return equals[random.below(equals.length)];
+	const tied = candidates.filter(({upstreamId}) => getInFlight(upstreamId) === least);
+	return tied[random.below(tied.length)];
 });
 
-/** Creates the chooser of the product's first version: the first upstream with the fewest requests in flight. */
-export const createPreviousChooser = (): Chooser => createFrom((candidates, getInFlight) => {
+/** Creates a chooser that takes the upstream with the fewest requests in flight; of several, the first. */
+export const createPreviousChooser = (): Chooser => createBaselineChooser((candidates, getInFlight) => {
 	let best: UpstreamAnnouncement | undefined;
 	for (const candidate of candidates) {
 		if (!best || getInFlight(candidate.upstreamId) < getInFlight(best.upstreamId)) {
--- a/src/requests/choice-states.ts
+++ b/src/requests/choice-states.ts
@@ -1,5 +1,5 @@
 /**
-What a chooser knows of each upstream by itself: requests in flight, since when it is known, since when it is silent.
+State that a chooser keeps for each upstream: requests in flight, start of its slow start, and since when it has been unresponsive.
 */
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type Clock} from '../types/clock.ts';
@@ -9,32 +9,32 @@
 export type UpstreamState = {
 	serviceName: string;
 	incarnation: number;
-	/** Start of its slow start. */
+	/** When its slow start began. */
 	startedMs: number;
 	lastSeenMs: number;
 	inFlight: Record<RequestClass, number>;
-	/** Ends still to come of requests that an earlier incarnation took. */
+	/** Number of requests sent to an earlier incarnation whose ends have not been recorded. */
 	staleEnds: number;
-	/** When checks came to be in flight, or the last of them ended. */
+	/** When the first check in flight started or the latest check ended, whichever is later. */
 	checkSilentSinceMs: number;
 };
 
-/** Sum of both classes. */
+/** Number of requests in flight, of both classes. */
 export const getTotalInFlight = ({inFlight}: UpstreamState): number => inFlight.check + inFlight.long;
 
-/** States of all upstreams offered of late. */
+/** States of all upstreams that were candidates recently. */
 export class UpstreamStates {
 	readonly #clock: Clock;
 	readonly #forgetAfterMs: number;
 	readonly #onForget: (upstreamId: string) => void;
 	readonly #states = new Map<string, UpstreamState>();
-	#sweptAtMs: number;
+	#lastSweepAtMs: number;
 
 	constructor(clock: Clock, forgetAfterMs: number, onForget: (upstreamId: string) => void) {
 		this.#clock = clock;
 		this.#forgetAfterMs = forgetAfterMs;
 		this.#onForget = onForget;
-		this.#sweptAtMs = clock.monotonicMs();
+		this.#lastSweepAtMs = clock.monotonicMs();
 	}
 
 	get size(): number {
@@ -49,7 +49,7 @@
 		return this.#states.entries();
 	}
 
-	/** Notes that the upstream is offered; gets its state. */
+	/** Records that the upstream is a candidate and returns its state, which is new for a new incarnation. */
 	see({upstreamId, service, incarnation}: UpstreamAnnouncement): UpstreamState {
 		const nowMs = this.#clock.monotonicMs();
 		let state = this.#states.get(upstreamId);
@@ -74,7 +74,7 @@
 		state.inFlight[requestClass]++;
 	}
 
-	/** Gets the state that the end speaks of; undefined when it speaks of an earlier incarnation. */
+	/** Records the end of a request; returns the state, or undefined if the request belongs to an earlier incarnation. */
 	noteEnd(upstreamId: string, requestClass: RequestClass): UpstreamState | undefined {
 		const state = this.#states.get(upstreamId);
 		if (!state) {
@@ -86,7 +86,7 @@
 			state.checkSilentSinceMs = this.#clock.monotonicMs();
 		}
 
-		// A restart breaks the requests that the earlier incarnation held; counted against the new one they would eject it.
+		// A restart breaks the requests of the earlier incarnation. Counted against the new one, these failures would eject it.
 		if (state.staleEnds > 0) {
 			state.staleEnds--;
 			return undefined;
@@ -95,19 +95,19 @@
 		return state;
 	}
 
-	/** For how long the upstream has had checks in flight and ended none. */
+	/** For how long the upstream has had checks in flight without ending one. */
 	getSilentMs({inFlight, checkSilentSinceMs}: UpstreamState): number {
 		return inFlight.check > 0 ? this.#clock.monotonicMs() - checkSilentSinceMs : 0;
 	}
 
-	/** Forgets upstreams that are no longer offered, so that replaced hosts leave nothing behind. */
+	/** Deletes the state of upstreams that are no longer candidates, so that memory stays bounded when hosts are replaced. */
 	sweep(): void {
 		const nowMs = this.#clock.monotonicMs();
-		if (nowMs - this.#sweptAtMs < this.#forgetAfterMs) {
+		if (nowMs - this.#lastSweepAtMs < this.#forgetAfterMs) {
 			return;
 		}
 
-		this.#sweptAtMs = nowMs;
+		this.#lastSweepAtMs = nowMs;
 		for (const [upstreamId, {lastSeenMs}] of this.#states) {
 			if (nowMs - lastSeenMs >= this.#forgetAfterMs) {
 				this.#states.delete(upstreamId);
@@ -117,7 +117,7 @@
 	}
 
 	#create(upstreamId: string, serviceName: string, incarnation: number, earlier: UpstreamState | undefined): UpstreamState {
-		// What was learnt of an earlier incarnation says nothing of this one; its requests still end.
+		// Estimates of the earlier incarnation do not apply to this one, but its requests in flight still end.
 		if (earlier) {
 			this.#onForget(upstreamId);
 		}
--- a/src/requests/choice-weights.ts
+++ b/src/requests/choice-weights.ts
@@ -1,10 +1,10 @@
 /**
-Weights across failure domains, as the operators' text gives them.
+Weights that distribute requests across failure domains, parsed from the configuration text.
 */
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type Random} from '../types/random.ts';
 
-/** Weight of each failure domain; one that is not named has none. */
+/** Weight by failure domain; a failure domain that is not named has weight 0. */
 export type FailureDomainWeights = ReadonlyMap<string, number>;
 
 /** Parses `name:weight` pairs separated by commas. */
@@ -20,7 +20,7 @@
 	return weights;
 };
 
-/** Creates a lookup of the weights in force; a text is parsed once, not for each request. */
+/** Creates a lookup of the current weights; each text is parsed once, not for each request. */
 export const createWeightsLookup = (getText: (serviceName: string) => string | undefined): (serviceName: string) => FailureDomainWeights | undefined => {
 	const parsed = new Map<string, {text: string; weights: FailureDomainWeights}>();
 	return serviceName => {
@@ -30,19 +30,19 @@
 			return undefined;
 		}
 
-		let known = parsed.get(serviceName);
-		if (known?.text !== text) {
-			known = {text, weights: parseFailureDomainWeights(text)};
-			parsed.set(serviceName, known);
+		let cached = parsed.get(serviceName);
+		if (cached?.text !== text) {
+			cached = {text, weights: parseFailureDomainWeights(text)};
+			parsed.set(serviceName, cached);
 		}
 
-		return known.weights;
+		return cached.weights;
 	};
 };
 
 /**
-Draws a failure domain by weight among those with an upstream to offer; gets its upstreams. When no weighted domain has
-one, all upstreams are offered: a request rather crosses to an unweighted domain than fails.
+Draws a failure domain by weight among those with a candidate, and returns its candidates. If no domain with a weight has
+one, returns all candidates: using an unweighted domain is better than failing the request.
 */
 export const drawFailureDomain = (candidates: UpstreamAnnouncement[], weights: FailureDomainWeights, random: Random): UpstreamAnnouncement[] => {
 	const groups = new Map<string, UpstreamAnnouncement[]>();
@@ -58,10 +58,10 @@
 		}
 	}
 
-	let left = random.next() * total;
+	let remaining = random.next() * total;
 	for (const [failureDomain, group] of groups) {
-		left -= weights.get(failureDomain)!;
-		if (left < 0) {
+		remaining -= weights.get(failureDomain)!;
+		if (remaining < 0) {
 			return group;
 		}
 	}
--- a/src/requests/choice.ts
+++ b/src/requests/choice.ts
@@ -1,6 +1,6 @@
 /**
-Chooses an upstream: two random choices on own requests in flight and a decaying latency estimate, the own failure
-domain first, without outliers, and with slow start.
+Chooses an upstream: the cheaper of two drawn at random, by this process's requests in flight and a decaying latency
+estimate. Prefers the own failure domain, excludes outliers, and applies slow start.
 */
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type ChoiceContext, type Chooser, type RequestEnd} from '../types/choice.ts';
@@ -15,30 +15,30 @@
 } from './outlier.ts';
 import {defaultSlowStartTuning, getSlowStartFactor, type SlowStartTuning} from './slow-start.ts';
 
-/** Numbers of the choice. */
+/** Parameters of the choice. */
 export type ChoiceTuning = {
 	/** How many upstreams are compared in each group. */
 	choices: number;
-	/** Another failure domain is used when the own one's best costs more than this many times as much. */
+	/** Another failure domain is used when the best upstream of the own one costs more than this many times as much. */
 	spillRatio: number;
-	/** A request rather waits than goes to an upstream this many times slower than the mean. */
+	/** A check avoids an upstream that is at least this many times slower than the mean. */
 	slowRatio: number;
-	/** The same for a long request, which has time: on a host that is merely slow it leaves faster slots to checks. */
+	/** The same for a long request. Higher, because its deadline is later, and on a moderately slow host it leaves faster slots to checks. */
 	longSlowRatio: number;
-	/** An upstream that ends no check for so many times their mean counts as silent. */
+	/** An upstream with checks in flight that has ended none for this many times their mean latency counts as unresponsive. */
 	silentRatio: number;
-	/** Requests wait for a sound upstream only while at most this share of a service's upstreams is slow or silent. */
+	/** Requests wait for a healthy upstream only while at most this share of a service's upstreams is avoided. */
 	maxAvoidedShare: number;
-	/** How much more a long request in flight weighs than a check. */
+	/** Weight of a long request in flight, relative to a check. */
 	longWeight: number;
-	/** State of an upstream not offered for so long is forgotten. */
+	/** State of an upstream that has not been a candidate for this long is deleted. */
 	forgetAfterMs: number;
 	latency: LatencyTuning;
 	outlier: OutlierTuning;
 	slowStart: SlowStartTuning;
 };
 
-/** Tuning that the measurements chose. */
+/** Tuning used unless another is passed. */
 export const defaultChoiceTuning: ChoiceTuning = {
 	choices: 2,
 	spillRatio: 1.3,
@@ -53,23 +53,23 @@
 	slowStart: defaultSlowStartTuning,
 };
 
-/** What a chooser works with. */
+/** Dependencies and settings of a chooser. */
 export type ChooserOptions = {
 	clock: Clock;
 	random: Random;
 	/** Failure domain of this process. */
 	failureDomain: string;
-	/** Weights in force for the service, if its section has any. */
+	/** Current weights of the service, if its configuration section has any. */
 	getFailureDomainWeights?: (serviceName: string, requestClass: RequestClass) => FailureDomainWeights | undefined;
 	tuning?: Partial<ChoiceTuning>;
-	/** Takes a measurement to the estimates; for measurements that arrive late. */
+	/** Runs the callback that records a result; lets simulations delay results. */
 	deliver?: (record: () => void) => void;
 };
 
-/** Creates the product's chooser. */
+/** Creates the chooser that production uses. */
 export const createChooser = (options: ChooserOptions): Chooser => new LoadChooser(options);
 
-/** Upstreams that could take the request now, by standing. */
+/** Upstreams with a free slot that are not excluded, by ejection state. */
 type Groups = Record<Standing, UpstreamAnnouncement[]>;
 
 class LoadChooser implements Chooser {
@@ -99,7 +99,7 @@
 		this.#upstreamCounts.set(serviceName, candidates.length);
 		this.#states.sweep();
 		const {admitted, probing, ejected} = this.#group(candidates, context);
-		// A probe is a check: it ends soon and may be tried again elsewhere.
+		// Checks are preferred as probes: they end soon and can be retried elsewhere.
 		if (probing.length > 0 && (context.requestClass === RequestClass.Check || admitted.length === 0)) {
 			return probing[this.#random.below(probing.length)];
 		}
@@ -108,7 +108,7 @@
 			return this.#chooseAdmitted(serviceName, admitted, context);
 		}
 
-		// With every admitted upstream merely busy, waiting is better than an upstream known to fail.
+		// While admitted upstreams are only busy, waiting is better than an upstream that is known to fail.
 		const isAnyAdmitted = candidates.some(({upstreamId}) =>
 			!context.excluded.has(upstreamId) && this.#outliers.getStanding(upstreamId) === Standing.Admitted);
 		return isAnyAdmitted ? undefined : ejected[this.#random.below(ejected.length)];
@@ -146,9 +146,9 @@
 				continue;
 			}
 
-			const standing = this.#outliers.getStanding(upstreamId);
-			const isBusyProbing = standing === Standing.Probing && getTotalInFlight(state) > 0;
-			groups[isBusyProbing ? Standing.Ejected : standing].push(candidate);
+			const ejectionState = this.#outliers.getStanding(upstreamId);
+			const hasProbeInFlight = ejectionState === Standing.Probing && getTotalInFlight(state) > 0;
+			groups[hasProbeInFlight ? Standing.Ejected : ejectionState].push(candidate);
 		}
 
 		return groups;
@@ -156,8 +156,8 @@
 
 	#record(state: UpstreamState, upstreamId: string, {requestClass, latencyMs, isSuccess, isAbandoned}: RequestEnd): void {
 		const {serviceName} = state;
-		// A deadline that came while the request was young says nothing of the upstream: counted as failures, the short
-		// rests that queueing leaves under overload would eject one healthy upstream after the other.
+		// A request that was abandoned early is no evidence against the upstream: under overload, queueing leaves little time
+		// to run, and counting these timeouts as failures would eject healthy upstreams one after another.
 		if (isAbandoned) {
 			this.#latencies.recordAtLeast(serviceName, upstreamId, requestClass, latencyMs);
 			return;
@@ -177,15 +177,15 @@
 	}
 
 	#chooseAdmitted(serviceName: string, admitted: UpstreamAnnouncement[], context: ChoiceContext): UpstreamAnnouncement | undefined {
-		// Fast path: hosts to be avoided are few.
+		// Fast path: few hosts are to be avoided.
 		const best = this.#chooseAmong(serviceName, admitted, context);
 		if (!this.#isAvoided(best.upstreamId, context.requestClass)) {
 			return best;
 		}
 
-		const sound = admitted.filter(({upstreamId}) => !this.#isAvoided(upstreamId, context.requestClass));
-		if (sound.length > 0) {
-			return this.#chooseAmong(serviceName, sound, context);
+		const healthy = admitted.filter(({upstreamId}) => !this.#isAvoided(upstreamId, context.requestClass));
+		if (healthy.length > 0) {
+			return this.#chooseAmong(serviceName, healthy, context);
 		}
 
 		return this.#isWorthWaiting(serviceName, context) ? undefined : best;
@@ -214,7 +214,7 @@
 		return this.#getCost(nearest, context) > this.#tuning.spillRatio * this.#getCost(other, context) ? other : nearest;
 	}
 
-	/** Cheapest of a few upstreams drawn at random: the best of all would draw every entry to the same one. */
+	/** Returns the cheapest of a few upstreams drawn at random; if all were compared, every entry would choose the same one. */
 	#sample(group: UpstreamAnnouncement[], context: ChoiceContext): UpstreamAnnouncement {
 		const draws = Math.min(this.#tuning.choices, group.length);
 		let best: UpstreamAnnouncement | undefined;
@@ -239,12 +239,12 @@
 		return this.#latencies.getRatio(serviceName, upstreamId, requestClass) * load / (slots * factor);
 	}
 
-	/** Whether the upstream is slow or silent, or, for a long request, has just failed: a check finds out first, as it can be tried again. */
+	/** Whether the upstream is slow or unresponsive or, for a long request, failed the last one: checks test it first, because they can be retried. */
 	#isAvoided(upstreamId: string, requestClass: RequestClass): boolean {
 		const state = this.#states.get(upstreamId)!;
 		const {serviceName} = state;
 		const {slowRatio, longSlowRatio} = this.#tuning;
-		// Checks end soon, so that they show a slow host long before its first long request ends.
+		// The latency of checks is used for both classes: it shows a slow host long before its first long request ends.
 		if (this.#latencies.getRatio(serviceName, upstreamId, RequestClass.Check) >= (requestClass === RequestClass.Check ? slowRatio : longSlowRatio)) {
 			return true;
 		}
@@ -254,9 +254,9 @@
 			|| (requestClass === RequestClass.Long && this.#outliers.isSuspect(upstreamId));
 	}
 
-	// A slow host has free slots just because it is slow; a request sent there would take longer than the wait for the next
-	// slot elsewhere. Waiting is safe only while this process has requests under way elsewhere, whose slots come free, and
-	// while few hosts are avoided: when a wave slows many, the sound ones alone cannot carry the load, and all would queue.
+	// A slow host often has free slots because it is slow, and a request sent there would take longer than the wait for the
+	// next slot elsewhere. Waiting is safe only while this process has requests in flight at healthy hosts, whose slots become
+	// free, and while few hosts are avoided: when many are slow, the healthy ones cannot carry the load, and all would queue.
 	#isWorthWaiting(serviceName: string, {excluded, requestClass}: ChoiceContext): boolean {
 		let avoidedCount = 0;
 		let isBusyElsewhere = false;
--- a/src/requests/deadline-heap.ts
+++ b/src/requests/deadline-heap.ts
@@ -8,17 +8,17 @@
 	dueMs: number;
 };
 
-/** What happens to items. */
+/** Callbacks of a deadline heap. */
 export type DeadlineOptions<Item> = {
 	clock: Clock;
-	/** Tells whether an item still waits; others are dropped unseen. */
+	/** Whether an item is still waiting; others are removed without a call of `onDue`. */
 	isWaiting(item: Item): boolean;
 	onDue(item: Item): void;
 };
 
-const compactionFloor = 64;
+const minCompactionSize = 64;
 
-/** A binary heap of waiting items that calls back for each as it falls due. */
+/** Binary heap of waiting items that calls `onDue` for each at its deadline. */
 export class DeadlineHeap<Item> {
 	#heap: Array<Entry<Item>> = [];
 	#timer: Timer | undefined;
@@ -29,10 +29,10 @@
 		this.#options = options;
 	}
 
-	/** Adds an item; `waitingCount` is the number that still wait, itself included. */
+	/** Adds an item; `waitingCount` is the number of items that are still waiting, including this one. */
 	add(item: Item, dueMs: number, waitingCount: number): void {
-		// Served items stay in the heap until they fall due; without this a fast queue with long deadlines would grow.
-		if (this.#heap.length > compactionFloor + (2 * waitingCount)) {
+		// Items that no longer wait stay in the heap until they fall due; without compaction it would grow when the queue is fast and deadlines are long.
+		if (this.#heap.length > minCompactionSize + (2 * waitingCount)) {
 			this.#compact();
 		}
 
--- a/src/requests/dispatch-attempt.ts
+++ b/src/requests/dispatch-attempt.ts
@@ -1,5 +1,5 @@
 /**
-One try of a request at one upstream. It knows whether a byte of the request was written.
+One attempt to send a request to one upstream. It records whether a byte of the request was written.
 */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type Dispatcher} from 'undici';
@@ -9,7 +9,7 @@
 import {isFramed} from './headers.ts';
 import {AttemptFailure} from './retry.ts';
 
-/** What is sent. */
+/** The request as it is sent. */
 export type AttemptRequest = {
 	method: string;
 	path: string;
@@ -17,36 +17,36 @@
 	body?: Buffer;
 };
 
-/** How a try ended. */
+/** How an attempt ended. */
 export type AttemptEnd = {
 	isWritten: boolean;
 	answer?: WholeAnswer;
 	failure?: AttemptFailure;
-	/** Reason that a guard gave. */
+	/** Refusal reason reported by a guard. */
 	reason?: RefusalReason;
 	error?: Error;
 };
 
-/** What a try works with. */
+/** Dependencies and request of an attempt. */
 export type AttemptOptions = {
 	dispatcher: Pick<Dispatcher, 'dispatch'>;
 	upstreamId: string;
 	request: AttemptRequest;
 	collector: AnswerCollector;
-	/** Asked right before the first byte is written. */
+	/** Called right before the first byte is written. */
 	mayWrite(): boolean;
 	onEnd(end: AttemptEnd): void;
 };
 
 const guardRefusalStatus = 503;
 
-/** A running try. */
+/** An attempt in progress. */
 export class Attempt implements Dispatcher.DispatchHandler {
 	readonly #options: AttemptOptions;
 	#controller: Dispatcher.DispatchController | undefined;
 	#isWritten = false;
 	#isEnded = false;
-	#giveUpFailure: AttemptFailure | undefined;
+	#abortFailure: AttemptFailure | undefined;
 	#status = 0;
 	#headers: IncomingHttpHeaders = {};
 
@@ -74,25 +74,25 @@
 		}
 	}
 
-	/** Ends the try; its connection is never used again, so that a late answer meets nobody else's request. */
+	/** Ends the attempt. Its connection is not reused, so that a late answer is not taken for the answer to another request. */
 	abort(failure: AttemptFailure): void {
 		if (this.#isEnded) {
 			return;
 		}
 
-		this.#giveUpFailure = failure;
+		this.#abortFailure = failure;
 		const error = createError(ErrorCode.TimedOut, {step: 'wait for answer', peer: this.#options.upstreamId});
 		if (this.#controller) {
 			this.#controller.abort(error);
 		}
 
-		// Not sent yet: should the connection come, `onRequestStart` lets no byte out.
+		// If the request is not sent yet, `onRequestStart` stops it when the connection is made.
 		this.#fail(error);
 	}
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
-		// A client may send a request again by itself when the connection fails under it. It must not: the first
-		// sending may have run.
+		// The client library may resend a request when its connection fails. That is prevented, because the request
+		// that was sent first may have run.
 		if (this.#isWritten || this.#isEnded || !this.#options.mayWrite()) {
 			controller.abort(createError(ErrorCode.TimedOut, {step: 'start request', peer: this.#options.upstreamId}));
 			return;
@@ -112,7 +112,7 @@
 		this.#options.collector.start(status, headers);
 		if (!isFramed(this.#options.request.method, status, headers)) {
 			controller.abort(createError(ErrorCode.PeerUnavailable, {
-				step: 'read answer', peer: this.#options.upstreamId, detail: 'the answer does not say where it ends',
+				step: 'read answer', peer: this.#options.upstreamId, detail: 'the answer has neither content-length nor transfer-encoding',
 			}));
 		}
 	}
@@ -139,9 +139,9 @@
 		if (outcome === Outcome.NotRun && this.#status === guardRefusalStatus) {
 			this.#end({isWritten: false, failure: AttemptFailure.GuardRefused, reason: getGuardReason(this.#headers)});
 		} else if (outcome === Outcome.Unknown) {
-			// A whole answer, but a guard's: the upstream behind it gave none.
+			// The answer is complete, but it was created by a guard that received none from its upstream.
 			this.#fail(createError(ErrorCode.PeerUnavailable, {
-				step: 'read answer', peer: this.#options.upstreamId, detail: 'the guard got no answer',
+				step: 'read answer', peer: this.#options.upstreamId, detail: 'the guard received no answer from its upstream',
 			}));
 		} else {
 			this.#end({isWritten: true, answer: this.#options.collector.end()});
@@ -158,7 +158,7 @@
 		}
 
 		this.#options.collector.break();
-		const failure = this.#isWritten ? this.#giveUpFailure ?? AttemptFailure.Broken : this.#giveUpFailure ?? AttemptFailure.NotWritten;
+		const failure = this.#isWritten ? this.#abortFailure ?? AttemptFailure.Broken : this.#abortFailure ?? AttemptFailure.NotWritten;
 		this.#end({isWritten: this.#isWritten, failure, error});
 	}
 
--- a/src/requests/dispatch-call.ts
+++ b/src/requests/dispatch-call.ts
@@ -1,10 +1,10 @@
 /**
-One request of a caller on its way: what to send, how long there is, and whether anybody still waits for the answer.
+One request of a caller: what to send, its deadline, and whether the caller still waits for the answer.
 */
 import {type AnswerTarget} from './answer.ts';
 import {type RequestFacts} from './headers-contract.ts';
 
-/** What a call is created with. */
+/** Request, arrival time and callbacks of a call. */
 export type CallOptions = {
 	facts: RequestFacts;
 	headers: string[];
@@ -12,7 +12,7 @@
 	/** On the monotonic clock. */
 	arrivedAtMs: number;
 	target: AnswerTarget;
-	/** Asked right before the first byte is written. */
+	/** Called right before the first byte is written. */
 	mayWrite(): boolean;
 };
 
@@ -24,7 +24,7 @@
 	readonly arrivedAtMs: number;
 	readonly deadlineAtMs: number;
 	readonly target: AnswerTarget;
-	/** Upstreams that were tried. */
+	/** Ids of the upstreams to which the request was dispatched. */
 	readonly tried = new Set<string>();
 	readonly mayWrite: () => boolean;
 	#isClosed = false;
@@ -41,12 +41,12 @@
 		this.mayWrite = mayWrite;
 	}
 
-	/** Whether the caller is gone or has got its final answer. */
+	/** Whether the caller has disconnected or received its final answer. */
 	get isClosed(): boolean {
 		return this.#isClosed;
 	}
 
-	/** Nobody waits for the answer any more. */
+	/** Marks the call as closed: the caller no longer waits for the answer. */
 	close(): void {
 		if (!this.#isClosed) {
 			this.#isClosed = true;
@@ -54,7 +54,7 @@
 		}
 	}
 
-	/** Sets what a close does at the present stage of the request. */
+	/** Sets what `close` does at the current stage of the request; undefined for nothing. */
 	setOnClose(onClose: (() => void) | undefined): void {
 		this.#onClose = onClose;
 	}
--- a/src/requests/dispatch-lane.ts
+++ b/src/requests/dispatch-lane.ts
@@ -1,5 +1,5 @@
 /**
-Requests of one service: admitted, sent to a chosen upstream within its slots, and tried again when that is safe.
+Dispatches the requests of one service: admits them, sends each to a chosen upstream with a free slot, and retries when that is safe.
 */
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type Chooser} from '../types/choice.ts';
@@ -18,7 +18,7 @@
 import {type UpstreamPools} from './dispatch-pools.ts';
 import {AttemptFailure, getRetryReason, RetryBudget} from './retry.ts';
 
-/** What a lane works with. */
+/** Dependencies and settings of a lane. */
 export type LaneOptions = {
 	serviceName: string;
 	clock: Clock;
@@ -32,14 +32,14 @@
 	chooser: Chooser;
 	slots: Pick<SlotsService, 'tryTake' | 'getFree' | 'setDemand'>;
 	pools: Pick<UpstreamPools, 'get'>;
-	/** Tries in progress, to be ended when they fall due. */
+	/** Attempts in progress; each is aborted when it falls due. */
 	dueAttempts: DeadlineHeap<Attempt>;
-	/** Claimed requests in progress: they run on past the deadline at which their callers are told. */
+	/** Claimed requests in progress, by their deadline: their callers are answered then, while the requests continue to run. */
 	dueRuns: DeadlineHeap<ClaimedRun>;
 	getCandidates(): readonly UpstreamAnnouncement[];
 };
 
-/** A claimed request at an upstream. */
+/** A claimed request and its attempt in progress. */
 export type ClaimedRun = {
 	call: Call;
 	attempt: Attempt;
@@ -49,22 +49,22 @@
 export type CallEnd = {
 	answer?: WholeAnswer;
 	refusal?: Refusal & {outcome: Outcome};
-	/** A byte of it may have reached an upstream. */
+	/** Whether a byte of the request may have reached an upstream. */
 	isWritten: boolean;
 };
 
-type Grant = {
+type SlotGrant = {
 	upstream: UpstreamAnnouncement;
 	hold: SlotHold;
 	takenAtMs: number;
 	holdMs: number;
 };
 
-/** The hold ends before the bound on which the slots' sponsor counts. */
+/** An attempt falls due this long before the end of its hold, on which the sponsor of the slots relies. */
 const holdMarginMs = 50;
 const failedRetryAfterMs = 500;
-/** A deadline that comes earlier in a run says nothing of the upstream. */
-const youngShare = 0.5;
+/** A timeout counts against the upstream only after this share of the request's total time. */
+const minTimeoutShare = 0.5;
 
 /** Runs the calls of one service. */
 export class Lane {
@@ -88,37 +88,37 @@
 		});
 	}
 
-	/** Tries in progress. */
+	/** Number of attempts in progress. */
 	get running(): number {
 		return this.#running;
 	}
 
-	/** Tells why the call would be refused now, or undefined. */
+	/** Returns why the call would be refused now, or undefined. */
 	findRefusal({facts, arrivedAtMs, deadlineAtMs}: Call): Refusal | undefined {
 		return this.admission.findRefusal({
 			requestClass: facts.requestClass, callerId: facts.callerId, arrivedAtMs, deadlineAtMs,
 		});
 	}
 
-	/** Runs the call to its end. */
+	/** Runs the call, with retries, until it is answered or refused. */
 	async run(call: Call): Promise<CallEnd> {
 		this.#budget.noteFirstTry();
 		for (let attempt = 1; ; attempt++) {
-			const grant = await this.#enter(call, attempt);
+			const grant = await this.#waitForSlot(call, attempt);
 			if ('reason' in grant) {
 				return {refusal: {...grant, outcome: Outcome.NotRun}, isWritten: false};
 			}
 
 			call.tried.add(grant.upstream.upstreamId);
 			const end = await this.#attempt(call, grant, attempt);
-			if (end.failure === undefined || !this.#isRetried(call, end, attempt)) {
-				return this.#conclude(end);
+			if (end.failure === undefined || !this.#shouldRetry(call, end, attempt)) {
+				return this.#createCallEnd(end);
 			}
 		}
 	}
 
-	/** Waits for a slot. */
-	async #enter(call: Call, attempt: number): Promise<Grant | Refusal> {
+	/** Waits until admission starts the call with a slot, or refuses it. */
+	async #waitForSlot(call: Call, attempt: number): Promise<SlotGrant | Refusal> {
 		return new Promise(resolve => {
 			const {requestClass, callerId} = call.facts;
 			const ticket: Ticket = {
@@ -127,7 +127,7 @@
 				arrivedAtMs: call.arrivedAtMs,
 				deadlineAtMs: call.deadlineAtMs,
 				tryStart: () => {
-					const grant = this.#take(call);
+					const grant = this.#tryTakeSlot(call);
 					if (grant) {
 						call.setOnClose(undefined);
 						resolve(grant);
@@ -152,7 +152,7 @@
 		});
 	}
 
-	#take(call: Call): Grant | undefined {
+	#tryTakeSlot(call: Call): SlotGrant | undefined {
 		const {serviceName, chooser, slots, clock} = this.#options;
 		const candidates = this.#options.getCandidates();
 		const {requestClass} = call.facts;
@@ -179,13 +179,13 @@
 		};
 	}
 
-	/** A claimed request runs on past its caller's deadline, so that its end becomes known. */
+	/** A claimed request may run past its caller's deadline, so that its result can be recorded. */
 	#getHoldMs(call: Call, nowMs: number): number {
 		const {maxHoldMs} = this.#options;
 		return call.facts.isIdempotent ? Math.min(maxHoldMs, call.deadlineAtMs - nowMs + holdMarginMs) : maxHoldMs;
 	}
 
-	async #attempt(call: Call, grant: Grant, number: number): Promise<AttemptEnd> {
+	async #attempt(call: Call, grant: SlotGrant, number: number): Promise<AttemptEnd> {
 		const {clock, pools, dueAttempts, dueRuns} = this.#options;
 		const {facts, target} = call;
 		const {upstream, takenAtMs, holdMs} = grant;
@@ -199,12 +199,12 @@
 					method: facts.method, path: facts.path, headers: this.#getHeaders(call, number), body: call.body,
 				},
 				collector: new AnswerCollector(target),
-				// Also when this process was paused between taking the slot and getting the connection.
+				// The times are checked because the process may have been paused between taking the slot and getting the connection.
 				mayWrite: () => clock.monotonicMs() < Math.min(dueMs, call.deadlineAtMs) && !call.isClosed && call.mayWrite(),
 				onEnd: resolve,
 			});
 			call.setOnClose(() => {
-				// A non-idempotent request that may be running runs on: its end is to be recorded.
+				// A non-idempotent request that may be running is not aborted: its result is to be recorded.
 				if (facts.isIdempotent || !attempt.isWritten) {
 					attempt.abort(AttemptFailure.TimedOut);
 				}
@@ -222,11 +222,11 @@
 			attempt.start();
 		});
 		this.#running--;
-		this.#leave(call, grant, end);
+		this.#releaseSlot(call, grant, end);
 		return end;
 	}
 
-	#leave(call: Call, {upstream, hold, takenAtMs}: Grant, end: AttemptEnd): void {
+	#releaseSlot(call: Call, {upstream, hold, takenAtMs}: SlotGrant, end: AttemptEnd): void {
 		const {clock, chooser} = this.#options;
 		const {requestClass, deadlineMs} = call.facts;
 		const latencyMs = clock.monotonicMs() - takenAtMs;
@@ -236,17 +236,17 @@
 			requestClass,
 			latencyMs,
 			isSuccess: end.failure === undefined && (end.answer?.status ?? 0) < 500,
-			isAbandoned: end.failure === AttemptFailure.TimedOut && latencyMs < youngShare * deadlineMs,
+			isAbandoned: end.failure === AttemptFailure.TimedOut && latencyMs < minTimeoutShare * deadlineMs,
 		});
 		this.admission.noteEnd(requestClass, latencyMs);
 	}
 
-	#isRetried(call: Call, end: AttemptEnd, attempt: number): boolean {
+	#shouldRetry(call: Call, end: AttemptEnd, attempt: number): boolean {
 		const {maxAttempts, metrics, clock} = this.#options;
 		const {isIdempotent, isNoRetry} = call.facts;
 		const reason = getRetryReason(end.failure!, isIdempotent);
-		const isUseful = !call.isClosed && clock.monotonicMs() < call.deadlineAtMs && !call.target.response.headersSent;
-		if (!reason || !isUseful || isNoRetry || attempt >= maxAttempts) {
+		const isStillWanted = !call.isClosed && clock.monotonicMs() < call.deadlineAtMs && !call.target.response.headersSent;
+		if (!reason || !isStillWanted || isNoRetry || attempt >= maxAttempts) {
 			return false;
 		}
 
@@ -259,21 +259,21 @@
 		return true;
 	}
 
-	#conclude({answer, failure, isWritten, reason, error}: AttemptEnd): CallEnd {
+	#createCallEnd({answer, failure, isWritten, reason, error}: AttemptEnd): CallEnd {
 		if (answer) {
 			return {answer, isWritten};
 		}
 
-		const ownReason = failure === AttemptFailure.TimedOut ? RefusalReason.UpstreamTimeout : getBrokenReason(error);
+		const localReason = failure === AttemptFailure.TimedOut ? RefusalReason.UpstreamTimeout : getBrokenReason(error);
 		return {
-			refusal: {reason: reason ?? ownReason, outcome: isWritten ? Outcome.Unknown : Outcome.NotRun, retryAfterMs: failedRetryAfterMs},
+			refusal: {reason: reason ?? localReason, outcome: isWritten ? Outcome.Unknown : Outcome.NotRun, retryAfterMs: failedRetryAfterMs},
 			isWritten,
 		};
 	}
 
 	#getHeaders(call: Call, attempt: number): string[] {
 		const remainingMs = Math.max(1, Math.floor(call.deadlineAtMs - this.#options.clock.monotonicMs()));
-		// Whoever stands behind must not try again as well: retries of two layers multiply.
+		// The upstream must not retry as well: retries of two layers multiply.
 		return [...call.headers, Header.DeadlineMs, String(remainingMs), Header.Attempt, String(attempt), Header.NoRetry, '1'];
 	}
 }
--- a/src/requests/dispatch-pools.ts
+++ b/src/requests/dispatch-pools.ts
@@ -1,10 +1,10 @@
 /**
-Connections to upstreams: one bounded pool for each.
+Connections to upstreams: one bounded pool per upstream.
 */
 import {Pool} from 'undici';
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 
-type Entry = {
+type PoolEntry = {
 	address: string;
 	pool: Pool;
 };
@@ -12,9 +12,9 @@
 const keepAliveTimeoutMs = 2000;
 const keepAliveMaxTimeoutMs = 30_000;
 
-/** Pools by upstream. */
+/** Connection pools by upstream. */
 export class UpstreamPools {
-	readonly #entries = new Map<string, Entry>();
+	readonly #entries = new Map<string, PoolEntry>();
 	readonly #connectTimeoutMs: number;
 	readonly #isKnown: (upstreamId: string) => boolean;
 
@@ -23,7 +23,7 @@
 		this.#isKnown = isKnown;
 	}
 
-	/** Gets the pool of the upstream at its present address. */
+	/** Returns the pool of the upstream, replaced when its address has changed. */
 	get({upstreamId, address, slots}: UpstreamAnnouncement): Pool {
 		const entry = this.#entries.get(upstreamId);
 		if (entry?.address === address) {
@@ -31,14 +31,14 @@
 		}
 
 		void entry?.pool.close();
-		this.#dropUnknown();
+		this.#closeUnknown();
 		const pool = new Pool(`http://${address}`, {
 			// Each request in progress holds a slot, so more connections than slots are of no use.
 			connections: slots,
-			// A request queued behind another on one connection would be lost with it.
+			// A request pipelined behind another on one connection would fail with it.
 			pipelining: 1,
 			connect: {timeout: this.#connectTimeoutMs},
-			// An idle connection that its upstream closes as a request is written leaves that request unknown.
+			// Idle connections are closed early: if the upstream closes one while a request is written, the request's outcome is unknown.
 			keepAliveTimeout: keepAliveTimeoutMs,
 			keepAliveMaxTimeout: keepAliveMaxTimeoutMs,
 			// Every request has its own deadline.
@@ -53,7 +53,7 @@
 		await Promise.all([...this.#entries.values()].map(async ({pool}) => pool.destroy()));
 	}
 
-	#dropUnknown(): void {
+	#closeUnknown(): void {
 		for (const [upstreamId, {pool}] of this.#entries) {
 			if (!this.#isKnown(upstreamId)) {
 				this.#entries.delete(upstreamId);
--- a/src/requests/fair-queue.ts
+++ b/src/requests/fair-queue.ts
@@ -1,24 +1,24 @@
 /**
-A queue that serves callers in turn: each in order of arrival, and none faster than its weight allows.
+A queue with weighted round robin between callers; items of one caller are served in order of arrival.
 */
 
-/** What can be queued. */
+/** An item that can be queued. */
 export type Queued = {
 	callerId: string;
 };
 
 type CallerQueue<Item> = {
 	items: Set<Item>;
-	/** Turns left in this round. */
+	/** Items that the caller may still have served in this round. */
 	credit: number;
 };
 
-/** Turns that a caller gets in each round. */
+/** Returns the number of items of a caller that are served in each round. */
 export type GetWeight = (callerId: string) => number;
 
 const getEqualWeight: GetWeight = () => 1;
 
-/** Weighted round robin over the callers that have something queued; no others are remembered. */
+/** Weighted round robin over the callers with queued items; keeps no state of other callers. */
 export class FairQueue<Item extends Queued> {
 	// Both collections keep insertion order and delete in constant time, also from the middle.
 	readonly #callers = new Map<string, CallerQueue<Item>>();
@@ -34,18 +34,18 @@
 	}
 
 	/**
-	Tells whether the caller may queue one more within the limit.
-	A caller may hold as much as is left free, so one that floods takes half and the next always finds room.
+	Whether the caller may queue one more item within the limit.
+	A caller may hold as many places as are free, so that a flood from one takes half of the queue and leaves places to others.
 	*/
 	hasRoom(callerId: string, limit: number): boolean {
-		const held = this.#callers.get(callerId)?.items.size ?? 0;
-		return this.#size < limit && held < Math.max(1, limit - this.#size);
+		const queuedCount = this.#callers.get(callerId)?.items.size ?? 0;
+		return this.#size < limit && queuedCount < Math.max(1, limit - this.#size);
 	}
 
-	/** Estimates how many are served before one more of the caller. */
+	/** Estimates how many items are served before another item of the caller. */
 	getAhead(callerId: string): number {
-		const held = this.#callers.get(callerId)?.items.size ?? 0;
-		return Math.min(this.#size, ((held + 1) * this.#callers.size));
+		const queuedCount = this.#callers.get(callerId)?.items.size ?? 0;
+		return Math.min(this.#size, ((queuedCount + 1) * this.#callers.size));
 	}
 
 	push(item: Item): void {
@@ -59,13 +59,13 @@
 		this.#size++;
 	}
 
-	/** The item whose turn it is, left in the queue. */
+	/** Returns the next item without removing it. */
 	peek(): Item | undefined {
 		const caller = this.#callers.values().next().value;
 		return caller?.items.values().next().value;
 	}
 
-	/** Removes the item; false when it was not queued. With `isServed` it uses up one of its caller's turns. */
+	/** Removes the item; false when it was not queued. With `isServed` it counts against its caller's credit. */
 	remove(item: Item, isServed = false): boolean {
 		const caller = this.#callers.get(item.callerId);
 		if (!caller?.items.delete(item)) {
@@ -84,7 +84,7 @@
 		return true;
 	}
 
-	/** Removes and gives all items. */
+	/** Removes and returns all items. */
 	clear(): Item[] {
 		const items = [...this.#callers.values()].flatMap(caller => [...caller.items]);
 		this.#callers.clear();
--- a/src/requests/limit.ts
+++ b/src/requests/limit.ts
@@ -1,20 +1,20 @@
 /**
-Concurrency limits that adapt to measured latency: an upstream that slows down under its load gets fewer at a time.
+Concurrency limits that adapt to measured latency: an upstream that slows down under load gets fewer requests at a time.
 */
 import {type RequestClass} from '../types/requests.ts';
 
 /** How limits follow latency. */
 export type LimitTuning = {
 	minLimit: number;
-	/** Latency may be this many times the long-run latency before the limit falls. */
+	/** The limit falls when the recent latency exceeds this many times the long-run latency. */
 	tolerance: number;
-	/** Share of the difference by which one sample moves the recent latency. */
+	/** Weight of one sample in the recent latency. */
 	recentGain: number;
-	/** Share by which one sample moves the long-run latency. */
+	/** Weight of one sample in the long-run latency. */
 	longRunGain: number;
-	/** Share of the way to the newly computed limit taken by one sample. */
+	/** Share of the difference to the newly computed limit that one sample applies. */
 	smoothing: number;
-	/** Factor on a failure. */
+	/** Factor by which a failure reduces the limit. */
 	failureFactor: number;
 };
 
@@ -28,7 +28,7 @@
 	longRunMs: number;
 };
 
-/** Limit of one upstream, between the least limit and its slots. */
+/** Limit of one upstream, between `minLimit` and its slots. */
 export class ConcurrencyLimit {
 	readonly #slots: number;
 	readonly #tuning: LimitTuning;
@@ -46,16 +46,16 @@
 		return Math.max(this.#tuning.minLimit, Math.floor(this.#limit));
 	}
 
-	/** Takes the latency of a whole answer, and how many were in flight with it. */
+	/** Records the time until an answer was complete, and how many requests were in flight. */
 	recordSuccess(requestClass: RequestClass, latencyMs: number, inFlight: number): void {
 		const {tolerance, recentGain, longRunGain, smoothing, minLimit} = this.#tuning;
 		const latency = this.#latencies[requestClass] ?? {recentMs: latencyMs, longRunMs: latencyMs};
 		this.#latencies[requestClass] = latency;
 		latency.recentMs += recentGain * (latencyMs - latency.recentMs);
 		latency.longRunMs += longRunGain * (latencyMs - latency.longRunMs);
-		// A burst at the start must not stand as the long-run latency: coming down is quick.
+		// Bounded, so that a burst of slow answers at the start does not stay the baseline.
 		latency.longRunMs = Math.min(latency.longRunMs, 2 * latency.recentMs);
-		// Few in flight say nothing of what more would do.
+		// With less than half of the limit in flight, latency does not show whether the limit is too high.
 		if (inFlight * 2 < this.#limit) {
 			return;
 		}
@@ -65,7 +65,7 @@
 		this.#limit = Math.max(minLimit, Math.min(this.#slots, this.#limit + (smoothing * (target - this.#limit))));
 	}
 
-	/** Takes a failure or timeout. */
+	/** Records a failure or timeout. */
 	recordFailure(): void {
 		this.#limit = Math.max(this.#tuning.minLimit, this.#limit * this.#tuning.failureFactor);
 	}
@@ -80,12 +80,12 @@
 		this.#tuning = tuning;
 	}
 
-	/** Limit of the upstream; its slots while nothing is known. */
+	/** Limit of the upstream; its slots if nothing was recorded. */
 	getLimit(upstreamId: string, slots: number): number {
 		return this.#limits.get(upstreamId)?.getLimit() ?? slots;
 	}
 
-	/** Gets the limit that learns for the upstream. */
+	/** Returns the limit to which results of the upstream are recorded; creates it if there is none. */
 	getOrCreate(upstreamId: string, slots: number): ConcurrencyLimit {
 		let limit = this.#limits.get(upstreamId);
 		if (!limit) {
@@ -96,7 +96,7 @@
 		return limit;
 	}
 
-	/** Forgets an upstream that is gone. */
+	/** Deletes the limit of an upstream. */
 	forget(upstreamId: string): void {
 		this.#limits.delete(upstreamId);
 	}
--- a/src/requests/outlier.ts
+++ b/src/requests/outlier.ts
@@ -1,25 +1,25 @@
 /**
-Outlier ejection: upstreams that fail far more than their neighbours get no requests for a while, then single probes.
+Outlier ejection: upstreams that fail often get no requests for a while, then single probes.
 */
 import {type Clock} from '../types/clock.ts';
 import {type Random} from '../types/random.ts';
 
 /** When to eject, for how long, and how many at most. */
 export type OutlierTuning = {
-	/** Failures in a row that eject. */
+	/** Number of consecutive failures that ejects. */
 	failuresInRow: number;
-	/** Decaying failure rate that ejects. */
+	/** Share of failures, weighted by age, that ejects. */
 	failureRate: number;
-	/** Least decaying count of requests for which a rate means anything. */
+	/** Minimum number of requests, weighted by age, for which the failure rate is evaluated. */
 	minRequests: number;
-	/** Time in which an old result loses two thirds of its weight. */
+	/** Time constant of the weights: a result loses about two thirds of its weight in this time. */
 	windowMs: number;
-	/** First time out; it doubles with each repetition. */
+	/** Duration of the first ejection; it doubles with each repetition. */
 	baseEjectionMs: number;
 	maxEjectionMs: number;
-	/** Largest share of a service's upstreams that may be out at once. */
+	/** Maximum share of a service's upstreams that may be ejected or probing at once. */
 	maxEjectedShare: number;
-	/** Successful probes in a row that bring an upstream back. */
+	/** Number of consecutive successful probes after which an upstream is admitted again. */
 	probesToReturn: number;
 };
 
@@ -35,7 +35,7 @@
 	probesToReturn: 3,
 };
 
-/** What may be sent to an upstream. */
+/** Which requests an upstream may receive. */
 export enum Standing {
 	Admitted = 'admitted',
 	/** One check at a time. */
@@ -45,7 +45,7 @@
 
 type OutlierRecord = {
 	serviceName: string;
-	standing: Standing;
+	ejectionState: Standing;
 	failuresInRow: number;
 	requests: number;
 	failures: number;
@@ -55,13 +55,13 @@
 	probeSuccesses: number;
 };
 
-/** Standing of each upstream. */
+/** Detects outliers and keeps the ejection state of each upstream. */
 export class OutlierBook {
 	readonly #clock: Clock;
 	readonly #random: Random;
 	readonly #tuning: OutlierTuning;
 	readonly #records = new Map<string, OutlierRecord>();
-	readonly #outByService = new Map<string, number>();
+	readonly #unadmittedByService = new Map<string, number>();
 
 	constructor(clock: Clock, random: Random, tuning: OutlierTuning = defaultOutlierTuning) {
 		this.#clock = clock;
@@ -69,19 +69,19 @@
 		this.#tuning = tuning;
 	}
 
-	/** Standing now; an ejection that has run out turns into probing. */
+	/** Current state; an ejection that has expired changes to probing. */
 	getStanding(upstreamId: string): Standing {
 		const record = this.#records.get(upstreamId);
-		if (!record || record.standing === Standing.Admitted) {
+		if (!record || record.ejectionState === Standing.Admitted) {
 			return Standing.Admitted;
 		}
 
-		if (record.standing === Standing.Ejected && this.#clock.monotonicMs() >= record.ejectedUntilMs) {
-			record.standing = Standing.Probing;
+		if (record.ejectionState === Standing.Ejected && this.#clock.monotonicMs() >= record.ejectedUntilMs) {
+			record.ejectionState = Standing.Probing;
 			record.probeSuccesses = 0;
 		}
 
-		return record.standing;
+		return record.ejectionState;
 	}
 
 	/** Whether its last result was a failure. */
@@ -91,26 +91,26 @@
 
 	/** Upstreams of the service that are ejected or probing. */
 	getOutCount(serviceName: string): number {
-		return this.#outByService.get(serviceName) ?? 0;
+		return this.#unadmittedByService.get(serviceName) ?? 0;
 	}
 
-	/** Takes how a request ended; `upstreamCount` is the size of the service, for the floor. */
+	/** Records how a request ended; `upstreamCount` is the number of the service's upstreams, which limits how many may be ejected. */
 	record(serviceName: string, upstreamId: string, isSuccess: boolean, upstreamCount: number): void {
 		const record = this.#getRecord(serviceName, upstreamId);
-		this.#count(record, isSuccess);
+		this.#updateCounts(record, isSuccess);
 		if (this.getStanding(upstreamId) === Standing.Probing) {
-			this.#judgeProbe(record, isSuccess);
-		} else if (record.standing === Standing.Admitted && this.#isOutlier(record) && this.#mayEject(serviceName, upstreamCount)) {
+			this.#recordProbe(record, isSuccess);
+		} else if (record.ejectionState === Standing.Admitted && this.#isOutlier(record) && this.#mayEject(serviceName, upstreamCount)) {
 			this.#eject(record);
-			this.#addOut(serviceName, 1);
+			this.#addUnadmitted(serviceName, 1);
 		}
 	}
 
-	/** Forgets an upstream. */
+	/** Deletes the record of an upstream. */
 	forget(upstreamId: string): void {
 		const record = this.#records.get(upstreamId);
-		if (record && record.standing !== Standing.Admitted) {
-			this.#addOut(record.serviceName, -1);
+		if (record && record.ejectionState !== Standing.Admitted) {
+			this.#addUnadmitted(record.serviceName, -1);
 		}
 
 		this.#records.delete(upstreamId);
@@ -121,7 +121,7 @@
 		if (!record) {
 			record = {
 				serviceName,
-				standing: Standing.Admitted,
+				ejectionState: Standing.Admitted,
 				failuresInRow: 0,
 				requests: 0,
 				failures: 0,
@@ -136,11 +136,11 @@
 		return record;
 	}
 
-	#count(record: OutlierRecord, isSuccess: boolean): void {
+	#updateCounts(record: OutlierRecord, isSuccess: boolean): void {
 		const nowMs = this.#clock.monotonicMs();
-		const kept = Math.exp((record.updatedAtMs - nowMs) / this.#tuning.windowMs);
-		record.requests = (record.requests * kept) + 1;
-		record.failures = (record.failures * kept) + (isSuccess ? 0 : 1);
+		const decay = Math.exp((record.updatedAtMs - nowMs) / this.#tuning.windowMs);
+		record.requests = (record.requests * decay) + 1;
+		record.failures = (record.failures * decay) + (isSuccess ? 0 : 1);
 		record.failuresInRow = isSuccess ? 0 : record.failuresInRow + 1;
 		record.updatedAtMs = nowMs;
 	}
@@ -150,12 +150,12 @@
 		return failuresInRow >= maxInRow || (requests >= minRequests && failures >= failureRate * requests);
 	}
 
-	// The floor: when most upstreams fail, the cause is not theirs alone, and those left would drown in the whole load.
+	// When most upstreams fail, the cause is probably a common one, and ejecting them would overload the remaining ones.
 	#mayEject(serviceName: string, upstreamCount: number): boolean {
 		return this.getOutCount(serviceName) + 1 <= this.#tuning.maxEjectedShare * upstreamCount;
 	}
 
-	#judgeProbe(record: OutlierRecord, isSuccess: boolean): void {
+	#recordProbe(record: OutlierRecord, isSuccess: boolean): void {
 		if (!isSuccess) {
 			this.#eject(record);
 			return;
@@ -163,31 +163,31 @@
 
 		record.probeSuccesses++;
 		if (record.probeSuccesses >= this.#tuning.probesToReturn) {
-			record.standing = Standing.Admitted;
+			record.ejectionState = Standing.Admitted;
 			record.requests = 0;
 			record.failures = 0;
-			this.#addOut(record.serviceName, -1);
+			this.#addUnadmitted(record.serviceName, -1);
 		}
 	}
 
 	#eject(record: OutlierRecord): void {
 		const {baseEjectionMs, maxEjectionMs} = this.#tuning;
 		const nowMs = this.#clock.monotonicMs();
-		// A host that stayed well for long after its last ejection starts again from the base.
-		const wasLongAgo = nowMs - record.ejectedUntilMs > maxEjectionMs;
-		record.ejections = wasLongAgo ? 1 : record.ejections + 1;
+		// A host that was healthy for long after its last ejection starts again with the base duration.
+		const isBackoffReset = nowMs - record.ejectedUntilMs > maxEjectionMs;
+		record.ejections = isBackoffReset ? 1 : record.ejections + 1;
 		const ejectionMs = Math.min(maxEjectionMs, baseEjectionMs * (2 ** (record.ejections - 1)));
 		// Jitter keeps entries from probing the same host at the same moment.
 		record.ejectedUntilMs = nowMs + (ejectionMs * (0.75 + (0.5 * this.#random.next())));
-		record.standing = Standing.Ejected;
+		record.ejectionState = Standing.Ejected;
 	}
 
-	#addOut(serviceName: string, amount: number): void {
+	#addUnadmitted(serviceName: string, amount: number): void {
 		const count = this.getOutCount(serviceName) + amount;
 		if (count > 0) {
-			this.#outByService.set(serviceName, count);
+			this.#unadmittedByService.set(serviceName, count);
 		} else {
-			this.#outByService.delete(serviceName);
+			this.#unadmittedByService.delete(serviceName);
 		}
 	}
 }
--- a/src/requests/retry.ts
+++ b/src/requests/retry.ts
@@ -1,21 +1,21 @@
 /**
-When a request is tried again: only when that cannot run it twice, and only within a budget.
+Decides whether a failed request is retried: only if it was not run or is idempotent, and only within a budget.
 */
 import {RetryReason} from '../types/requests.ts';
 
-/** How a try failed. */
+/** How an attempt failed. */
 export enum AttemptFailure {
 	/** No byte of the request was written. */
 	NotWritten = 'not-written',
 	/** A guard answered that the request was not run. */
 	GuardRefused = 'guard-refused',
-	/** The connection failed, or the answer was cut short or made no sense. */
+	/** The connection failed, or the answer was truncated or invalid. */
 	Broken = 'broken',
-	/** No whole answer within the time. */
+	/** The answer was not complete in time. */
 	TimedOut = 'timed-out',
 }
 
-/** Tells why the request may be tried again, or undefined when it may not. */
+/** Returns the reason for a retry, or undefined if the request must not be retried. */
 export const getRetryReason = (failure: AttemptFailure, isIdempotent: boolean): RetryReason | undefined => {
 	switch (failure) {
 		case AttemptFailure.NotWritten: {
@@ -37,8 +37,8 @@
 };
 
 /**
-Retries as a share of first tries. Guards against a retry storm: when upstreams fail, retries would multiply the load
-that makes them fail. With the share spent, failures go to the callers as they are.
+Limits retries to a share of the first attempts, plus a burst. Prevents retry storms: when upstreams fail, retries would
+multiply the load that makes them fail. When the budget is spent, failures are returned to the callers.
 */
 export class RetryBudget {
 	readonly #share: number;
--- a/test/admission.test.ts
+++ b/test/admission.test.ts
@@ -22,8 +22,8 @@
 	ticket: Ticket;
 };
 
-/** A service with some slots, whose requests run as long as they say. */
-const createWorld = (slots: number, {queueLimit}: {queueLimit?: number} = {}) => {
+/** Simulates a service with some slots, in which each request runs for its `runMs`. */
+const createSimulatedService = (slots: number, {queueLimit}: {queueLimit?: number} = {}) => {
 	const clock = new ManualClock();
 	let free = slots;
 	let peak = 0;
@@ -81,7 +81,7 @@
 const long = {requestClass: RequestClass.Long, runMs: 100, deadlineMs: 60_000};
 
 test('a request starts at once while slots are free, and waits in order of arrival when none is', () => {
-	const {clock, sendMany, started, getPeak} = createWorld(2);
+	const {clock, sendMany, started, getPeak} = createSimulatedService(2);
 	sendMany(5, 'c');
 	expect(started).toEqual(['c0', 'c1']);
 	clock.advanceSync(100);
@@ -90,20 +90,19 @@
 });
 
 test('checks go before long requests that use more than their reserve', () => {
-	const {clock, send, sendMany, started} = createWorld(8);
+	const {clock, send, sendMany, started} = createSimulatedService(8);
 	sendMany(8, 'c', {runMs: 5});
 	sendMany(3, 'l', long);
 	send('late');
 	clock.advanceSync(5);
-	// Two of eight slots are the reserve: they go to long requests, the next to the check that came last.
+	// Two of eight slots are reserved: they go to long requests, and the next one to the check that arrived last.
 	expect(started.slice(8)).toEqual(['l0', 'l1', 'late', 'l2']);
 });
 
 test('every accepted long request completes while checks keep coming', () => {
-	// A forwarder's wave of checks keeps the queue full for seconds. Titles queued behind it must still be issued.
-	// Cause to guard against: strict priority of checks would leave long requests waiting for ever.
+	// A burst of checks keeps their queue full for seconds. With strict priority of checks, long requests would wait for ever.
 	for (const slots of [1, 2, 3, 4, 8]) {
-		const {clock, send, sendMany} = createWorld(slots);
+		const {clock, send, sendMany} = createSimulatedService(slots);
 		sendMany(slots, 'first');
 		const longs = [send('l0', long), send('l1', long), send('l2', {...long, callerId: 'bank'})];
 		for (let round = 0; round < 400; round++) {
@@ -115,14 +114,14 @@
 	}
 });
 
-test('the reserve of long requests is lent to checks while no long request waits', () => {
-	const {sendMany, started} = createWorld(8);
+test('checks use the slots reserved for long requests while no long request waits', () => {
+	const {sendMany, started} = createSimulatedService(8);
 	sendMany(8, 'c');
 	expect(started).toHaveLength(8);
 });
 
-test('long requests leave slots to the checks that usually come', () => {
-	const {clock, sendMany, send} = createWorld(16);
+test('long requests leave slots free for the usual load of checks', () => {
+	const {clock, sendMany, send} = createSimulatedService(16);
 	for (let round = 0; round < 1000; round++) {
 		sendMany(2, 'c', {runMs: 10});
 		clock.advanceSync(10);
@@ -133,10 +132,10 @@
 	expect(check.startedAtMs).toBe(clock.monotonicMs());
 });
 
-test('a request that cannot be answered in time is refused at the door, at once, with when to come back', () => {
-	// A clerk's check arrives behind a queue that takes longer than the check may wait.
-	// Holding it until its deadline would waste the clerk's time and a place in the queue.
-	const {clock, sendMany, send} = createWorld(1, {queueLimit: 1000});
+test('a request that cannot be answered in time is refused on arrival, with a time after which to retry', () => {
+	// A check arrives behind a queue that takes longer than the check may wait.
+	// Queueing it until its deadline would waste the caller's time and a place in the queue.
+	const {clock, sendMany, send} = createSimulatedService(1, {queueLimit: 1000});
 	sendMany(1, 'warm', {runMs: 50});
 	clock.advanceSync(50);
 	sendMany(10, 'c', {runMs: 50, deadlineMs: 10_000});
@@ -149,7 +148,7 @@
 });
 
 test('a queued request whose deadline can no longer be met is refused then, not at its deadline', () => {
-	const {clock, sendMany, send} = createWorld(1);
+	const {clock, sendMany, send} = createSimulatedService(1);
 	sendMany(1, 'warm', {runMs: 20});
 	clock.advanceSync(20);
 	// The run in progress takes far longer than those before it.
@@ -162,10 +161,10 @@
 	expect(waiting.startedAtMs).toBeUndefined();
 });
 
-test('one caller cannot take the whole queue, and the others get their turns', () => {
-	// One forwarder's script sends a thousand checks in a second. Another's clerk sends one.
-	// The clerk must neither find the queue full nor wait behind the thousand.
-	const {clock, sendMany, send, started} = createWorld(1, {queueLimit: 64});
+test('one caller cannot take the whole queue, and other callers are served in turn', () => {
+	// The script of one caller sends a thousand checks in a second, and another caller sends one.
+	// The second caller must neither find the queue full nor wait behind the thousand.
+	const {clock, sendMany, send, started} = createSimulatedService(1, {queueLimit: 64});
 	const flood = sendMany(1000, 'flood', {callerId: 'script', deadlineMs: 60_000});
 	const clerk = send('clerk', {callerId: 'clerk', deadlineMs: 60_000});
 	expect(flood.filter(({refusal}) => refusal === undefined)).toHaveLength(1 + 32);
@@ -177,30 +176,30 @@
 });
 
 test('the queue is bounded whatever the number of callers', () => {
-	const {send} = createWorld(1, {queueLimit: 8});
+	const {send} = createSimulatedService(1, {queueLimit: 8});
 	const sent = Array.from({length: 50}, (_, index) => send(`c${index}`, {callerId: `caller-${index}`}));
 	expect(sent.filter(({refusal}) => refusal === undefined)).toHaveLength(1 + 8);
 	expect(sent.at(-1)!.refusal?.reason).toBe(RefusalReason.QueueFull);
 });
 
-test('runs that were once slower than callers now allow do not shut the door for ever', () => {
-	const {clock, send} = createWorld(1);
+test('earlier runs that took longer than current deadlines do not cause every request to be refused', () => {
+	const {clock, send} = createSimulatedService(1);
 	send('slow', {runMs: 5000, deadlineMs: 10_000});
 	clock.advanceSync(5000);
 	expect(send('quick', {deadlineMs: 100}).startedAtMs).toBeDefined();
-	// Also when it has to wait a little.
+	// The same for a request that has to wait.
 	const waiting = send('next', {deadlineMs: 100_000});
 	clock.advanceSync(10);
 	expect(waiting.startedAtMs).toBeDefined();
 });
 
 test('a request that arrives past its deadline is refused although slots are free', () => {
-	const {send} = createWorld(1);
+	const {send} = createSimulatedService(1);
 	expect(send('late', {deadlineMs: 0}).refusal?.reason).toBe(RefusalReason.DeadlinePassed);
 });
 
 test('places reserved for requests that are being claimed count as queued', () => {
-	const {admission, sendMany, send} = createWorld(1, {queueLimit: 4});
+	const {admission, sendMany, send} = createSimulatedService(1, {queueLimit: 4});
 	sendMany(1, 'running');
 	for (let index = 0; index < 4; index++) {
 		expect(admission.findRefusal(send('x', {callerId: `c${index}`, deadlineMs: 0}).ticket)?.reason).toBe(RefusalReason.DeadlinePassed);
@@ -212,8 +211,8 @@
 	expect(send('next').refusal).toBeUndefined();
 });
 
-test('long requests go on while no upstream that is free will do for the checks that wait', () => {
-	// Only a slow upstream has slots left. Checks rather wait; the titles behind them need not.
+test('long requests start while no free upstream is acceptable for the waiting checks', () => {
+	// Only a slow upstream has free slots. Checks wait for a faster one; the long requests behind them need not.
 	const clock = new ManualClock();
 	const admission = new Admission({
 		clock, random: createRandom(1), limits: createLimits(), getFreeSlots: () => 8,
@@ -239,8 +238,8 @@
 	expect(started).toHaveLength(3);
 });
 
-test('at a close all that wait are refused as shutting down', () => {
-	const {clock, admission, sendMany, send} = createWorld(1);
+test('closing refuses all waiting requests as shutting down', () => {
+	const {clock, admission, sendMany, send} = createSimulatedService(1);
 	const [running, waiting] = sendMany(2, 'c');
 	admission.close();
 	expect(waiting!.refusal?.reason).toBe(RefusalReason.ShuttingDown);
@@ -249,8 +248,8 @@
 	expect(running!.endedAtMs).toBe(10);
 });
 
-test('a request to be tried again goes before the queue', () => {
-	const {clock, admission, sendMany, started} = createWorld(1);
+test('a request that waits for another attempt starts before the queue', () => {
+	const {clock, admission, sendMany, started} = createSimulatedService(1);
 	const [, waiting] = sendMany(2, 'c');
 	admission.leave(waiting!.ticket);
 	sendMany(3, 'd');
@@ -259,8 +258,8 @@
 	expect(started).toEqual(['c0', 'c1']);
 });
 
-test('slots that come back wake the queue', () => {
-	const {admission, sendMany, started, setFree, clock} = createWorld(0);
+test('waiting requests start when slots become available', () => {
+	const {admission, sendMany, started, setFree, clock} = createSimulatedService(0);
 	sendMany(2, 'c');
 	expect(started).toEqual([]);
 	setFree(2);
@@ -269,7 +268,7 @@
 	expect(started).toEqual(['c0', 'c1']);
 });
 
-test('the fair queue serves weights, and forgets callers with nothing queued', () => {
+test('the fair queue serves callers by weight and keeps no state of callers with nothing queued', () => {
 	const queue = new FairQueue<{callerId: string; name: string}>(callerId => callerId === 'a' ? 2 : 1);
 	for (const name of ['a1', 'a2', 'a3', 'a4', 'b1', 'b2', 'c1']) {
 		queue.push({callerId: name[0]!, name});
@@ -286,36 +285,36 @@
 	expect(queue.hasRoom('a', 1)).toBe(true);
 });
 
-test('whatever comes: each request starts once or is refused once, slots hold, and the deadline bounds every wait', () => {
+test('for any sequence of requests: each starts once or is refused once, slots are not exceeded, and no wait outlasts the deadline', () => {
 	const event = fc.record({
 		afterMs: fc.integer({min: 0, max: 60}),
 		runMs: fc.integer({min: 1, max: 300}),
 		deadlineMs: fc.integer({min: 1, max: 800}),
 		isLong: fc.boolean(),
 		callerId: fc.constantFrom('a', 'b', 'c'),
-		isLeaving: fc.boolean(),
+		isCancelling: fc.boolean(),
 	});
 	fc.assert(fc.property(fc.integer({min: 1, max: 9}), fc.array(event, {maxLength: 80}), (slots, events) => {
-		const {clock, admission, send, getPeak} = createWorld(slots);
-		const all: Array<{sent: Sent; deadlineAtMs: number; hasLeft: boolean}> = [];
-		for (const {afterMs, runMs, deadlineMs, isLong, callerId, isLeaving} of events) {
+		const {clock, admission, send, getPeak} = createSimulatedService(slots);
+		const all: Array<{sent: Sent; deadlineAtMs: number; isCancelled: boolean}> = [];
+		for (const {afterMs, runMs, deadlineMs, isLong, callerId, isCancelling} of events) {
 			clock.advanceSync(afterMs);
 			const sent = send('x', {
 				requestClass: isLong ? RequestClass.Long : RequestClass.Check, runMs, deadlineMs, callerId,
 			});
-			const hasLeft = isLeaving && sent.startedAtMs === undefined && sent.refusal === undefined;
-			if (isLeaving) {
+			const isCancelled = isCancelling && sent.startedAtMs === undefined && sent.refusal === undefined;
+			if (isCancelling) {
 				admission.leave(sent.ticket);
 			}
 
-			all.push({sent, deadlineAtMs: sent.ticket.deadlineAtMs, hasLeft});
+			all.push({sent, deadlineAtMs: sent.ticket.deadlineAtMs, isCancelled});
 		}
 
 		clock.advanceSync(100_000);
 		expect(getPeak()).toBeLessThanOrEqual(slots);
-		for (const {sent, deadlineAtMs, hasLeft} of all) {
-			const ways = [sent.startedAtMs !== undefined, sent.refusal !== undefined, hasLeft].filter(Boolean);
-			expect(ways).toHaveLength(1);
+		for (const {sent, deadlineAtMs, isCancelled} of all) {
+			const outcomes = [sent.startedAtMs !== undefined, sent.refusal !== undefined, isCancelled].filter(Boolean);
+			expect(outcomes).toHaveLength(1);
 			expect(sent.startedAtMs ?? sent.refusedAtMs ?? 0).toBeLessThanOrEqual(deadlineAtMs);
 		}
 
--- a/test/choice-weights.test.ts
+++ b/test/choice-weights.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {createWeightsLookup} from '../src/requests/choice-weights.ts';
 
-test('weights follow the text in force and are parsed once for each text', () => {
+test('weights follow the current text and are parsed once for each text', () => {
 	let text: string | undefined = 'leith-hall:2, govan-hall:1';
 	const lookUp = createWeightsLookup(service => service === 'desk' ? text : undefined);
 	const first = lookUp('desk');
--- a/test/choice.test.ts
+++ b/test/choice.test.ts
@@ -36,7 +36,7 @@
 
 const context = {requestClass: RequestClass.Check, excluded: new Set<string>(), hasSlot: () => true};
 
-/** Sends one request at a time; the latency of each upstream is given, undefined fails at once. */
+/** Sends one request and waits for its end; `getLatencyMs` gives the latency of an upstream, undefined means an immediate failure. */
 const send = (chooser: Chooser, clock: ManualClock, upstreams: UpstreamAnnouncement[], getLatencyMs: (id: string) => number | undefined): string | undefined => {
 	const chosen = chooser.choose(service, upstreams, context);
 	if (!chosen) {
@@ -51,7 +51,7 @@
 	return upstreamId;
 };
 
-/** Lets an upstream fail often enough to be ejected. */
+/** Records enough failures of an upstream to eject it. */
 const eject = (chooser: Chooser, upstreams: UpstreamAnnouncement[], upstreamId: string) => {
 	chooser.choose(service, upstreams, context);
 	for (let index = 0; index < 5; index++) {
@@ -70,7 +70,7 @@
 	return counts;
 };
 
-test('never an excluded upstream nor one without a slot', () => {
+test('never chooses an excluded upstream or one without a free slot', () => {
 	fc.assert(fc.property(fc.integer({min: 1, max: 12}), fc.array(fc.integer({min: 0, max: 11})), fc.array(fc.integer({min: 0, max: 11})), fc.integer(), (size, excludedIndexes, busyIndexes, seed) => {
 		const {chooser} = createFixture({random: createRandom(Math.abs(seed))});
 		const upstreams = createUpstreams(size);
@@ -83,7 +83,7 @@
 	}));
 });
 
-test('stays in its failure domain at rest and spills when its domain is loaded', () => {
+test('chooses within its failure domain at low load and spills over when that domain is loaded', () => {
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(9);
 	const isNear = (id: string | undefined) => upstreams.find(({upstreamId}) => upstreamId === id)?.failureDomain === 'leith-hall';
@@ -100,8 +100,8 @@
 	expect(isNear(chooser.choose(service, upstreams, context)?.upstreamId)).toBe(false);
 });
 
-test('a slow host keeps almost no checks', () => {
-	// Checks sent to one host came back ten times later than the others, and one caller in eleven saw it.
+test('a slow host gets almost no checks', () => {
+	// One of eleven hosts takes ten times as long as the others. Without avoidance, one caller in eleven is affected.
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(11).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	const counts = count(3000, () => send(chooser, clock, upstreams, id => id === 'desk-3' ? 100 : 10));
@@ -109,9 +109,9 @@
 	expect(counts.get(undefined)).toBeUndefined();
 });
 
-test('checks do not queue for the few sound hosts while most are slow', () => {
-	// A wave of batch work slowed most hosts. Checks waited for the sound ones, which could not carry the load, until their
-	// deadlines passed, though the slow hosts had slots free.
+test('checks do not wait for the few healthy hosts while most are slow', () => {
+	// Batch work slows most hosts. If checks waited for the healthy ones, which cannot carry the load, they would miss their
+	// deadlines although the slow hosts have free slots.
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(10).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	count(100, () => send(chooser, clock, upstreams, () => 10));
@@ -135,8 +135,8 @@
 	expect(chooser.choose(service, fewer, {...context, hasSlot: id => id === 'desk-0'})).toBeUndefined();
 });
 
-test('a host that was slow gets its load back without being measured', () => {
-	// A host was slow for a while; nothing was sent there any more, so nothing showed that it had become fast again.
+test('a host that was slow gets its share of the load back without new samples', () => {
+	// A host that was slow for a while gets no more requests, so no sample shows that it has become fast again.
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(4).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	count(400, () => send(chooser, clock, upstreams, id => id === 'desk-1' ? 100 : 10));
@@ -145,21 +145,21 @@
 	expect(counts.get('desk-1') ?? 0).toBeGreaterThan(300);
 });
 
-test('an upstream that fails everything at once does not draw the traffic', () => {
-	// One upstream refused every request within a millisecond. It had the fewest requests in flight and the best latency,
-	// so that each policy by load alone sent it nearly everything.
+test('an upstream that fails every request immediately does not attract the traffic', () => {
+	// An upstream that refuses every request within a millisecond has the fewest requests in flight and the best latency,
+	// so a policy that considers only load would send it nearly all requests.
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(11).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	const counts = count(5000, () => send(chooser, clock, upstreams, id => id === 'desk-5' ? undefined : 10));
 	expect(counts.get('desk-5') ?? 0).toBeLessThan(50);
 });
 
-test('comes back by probes and slow start after failing', () => {
+test('an ejected upstream is admitted again by probes and slow start', () => {
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(4).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	eject(chooser, upstreams, 'desk-2');
-	const out = count(50, () => send(chooser, clock, upstreams, () => 10));
-	expect(out.get('desk-2')).toBeUndefined();
+	const ejectedCounts = count(50, () => send(chooser, clock, upstreams, () => 10));
+	expect(ejectedCounts.get('desk-2')).toBeUndefined();
 	clock.advanceSync(40_000);
 	const early = count(40, () => send(chooser, clock, upstreams, () => 10));
 	expect(early.get('desk-2') ?? 0).toBeGreaterThanOrEqual(3);
@@ -169,8 +169,8 @@
 	expect(late.get('desk-2') ?? 0).toBeGreaterThan(300);
 });
 
-test('when every upstream fails, all stay in use but the share that may be ejected', () => {
-	// A bad release failed on every host. Ejecting them all would have left nobody to answer.
+test('when every upstream fails, no more than the allowed share is ejected', () => {
+	// A faulty release fails on every host. Ejecting all of them would leave none to answer.
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(10).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	const counts = count(2000, () => send(chooser, clock, upstreams, () => undefined));
@@ -178,7 +178,7 @@
 	expect([...counts.values()].filter(times => times > 200).length).toBeGreaterThanOrEqual(5);
 });
 
-test('a long request is not sent as a probe while another upstream is there', () => {
+test('a long request is not sent as a probe while another upstream is available', () => {
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(4).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	eject(chooser, upstreams, 'desk-2');
@@ -189,7 +189,7 @@
 });
 
 test('requests broken by a restart do not count against the new incarnation', () => {
-	// An upstream restarted with eight requests in progress. All eight broke, and the fresh process was ejected for it.
+	// An upstream restarts with eight requests in progress. All eight fail, and must not eject the new process.
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(2).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	chooser.choose(service, upstreams, context);
@@ -208,7 +208,7 @@
 	expect(counts.get('desk-0') ?? 0).toBeGreaterThan(50);
 });
 
-test('a new host starts slowly', () => {
+test('a new host gets its load gradually', () => {
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(4).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	count(10, () => send(chooser, clock, upstreams, () => 10));
@@ -221,7 +221,7 @@
 	expect(later.get('desk-9') ?? 0).toBeGreaterThan(100);
 });
 
-test('weights across failure domains are kept, and an unweighted domain is the last resort', () => {
+test('requests follow the weights of failure domains, and an unweighted domain is the last resort', () => {
 	const weights = parseFailureDomainWeights('leith-hall:1, govan-hall:3');
 	const {clock, chooser} = createFixture({getFailureDomainWeights: () => weights});
 	const upstreams = createUpstreams(9);
@@ -246,8 +246,8 @@
 	expect(run()).toEqual(run());
 });
 
-test('replaced hosts leave nothing behind', () => {
-	// Hosts were replaced all day under new names, and the entry kept a little of each until it was killed for its memory.
+test('the state of replaced hosts is deleted', () => {
+	// Hosts are replaced all day under new names. If the entry kept state of each, it would run out of memory.
 	const clock = new ManualClock();
 	const forgotten: string[] = [];
 	const states = new UpstreamStates(clock, 60_000, id => forgotten.push(id));
@@ -264,7 +264,7 @@
 });
 
 test('a host that hangs is avoided before any request to it has ended', () => {
-	// A host accepted requests and never answered. Nothing had failed yet, so that long requests were sent there as well.
+	// A host accepts requests and never answers. No request has failed yet, but long requests must not be sent there either.
 	const {clock, chooser} = createFixture();
 	const upstreams = createUpstreams(4).map(upstream => ({...upstream, failureDomain: 'leith-hall'}));
 	count(100, () => send(chooser, clock, upstreams, () => 10));
--- a/test/limit.test.ts
+++ b/test/limit.test.ts
@@ -9,7 +9,7 @@
 	}
 };
 
-test('the limit falls while full requests get slower, and comes back', () => {
+test('the limit falls while requests at full concurrency get slower, and recovers', () => {
 	const limit = new ConcurrencyLimit(8);
 	repeat(200, () => {
 		limit.recordSuccess(RequestClass.Check, 20, 8);
@@ -25,7 +25,7 @@
 	expect(limit.getLimit()).toBe(8);
 });
 
-test('latency with little in flight says nothing of the limit', () => {
+test('latency with few requests in flight does not change the limit', () => {
 	const limit = new ConcurrencyLimit(8);
 	repeat(50, () => {
 		limit.recordSuccess(RequestClass.Check, 20, 1);
@@ -36,7 +36,7 @@
 	expect(limit.getLimit()).toBe(8);
 });
 
-test('failures bring the limit down to one, never to none', () => {
+test('failures reduce the limit to one, never to zero', () => {
 	const limit = new ConcurrencyLimit(8);
 	repeat(500, () => {
 		limit.recordFailure();
@@ -44,18 +44,18 @@
 	expect(limit.getLimit()).toBe(1);
 });
 
-test('a limit never exceeds the slots, whatever is measured', () => {
-	const book = new LimitBook();
-	expect(book.getLimit('desk-1', 8)).toBe(8);
-	const limit = book.getOrCreate('desk-1', 8);
+test('a limit never exceeds the slots, whatever the latencies', () => {
+	const registry = new LimitBook();
+	expect(registry.getLimit('desk-1', 8)).toBe(8);
+	const limit = registry.getOrCreate('desk-1', 8);
 	for (let index = 0; index < 1000; index++) {
 		limit.recordSuccess(index % 7 === 0 ? RequestClass.Long : RequestClass.Check, 1 + ((index * 37) % 500), index % 9);
 		expect(limit.getLimit()).toBeGreaterThanOrEqual(1);
 		expect(limit.getLimit()).toBeLessThanOrEqual(8);
 	}
 
-	book.forget('desk-1');
-	expect(book.getLimit('desk-1', 8)).toBe(8);
+	registry.forget('desk-1');
+	expect(registry.getLimit('desk-1', 8)).toBe(8);
 });
 
 const candidate = {
@@ -76,9 +76,9 @@
 
 test('only idempotent checks before their deadline are hedged, on spare slots elsewhere, and within the budget', () => {
 	const hedges = new HedgePolicy();
-	let asked = 0;
+	let callCount = 0;
 	const count = () => {
-		asked++;
+		callCount++;
 		return true;
 	};
 
@@ -87,7 +87,7 @@
 	expect(hedges.mayHedge({...candidate, nowMs: 1000}, count)).toBe(false);
 	expect(hedges.mayHedge({...candidate, hasOtherSlot: false}, count)).toBe(false);
 	expect(hedges.mayHedge({...candidate, freeShare: 0.1}, count)).toBe(false);
-	expect(asked).toBe(0);
+	expect(callCount).toBe(0);
 	expect(hedges.mayHedge(candidate, () => false)).toBe(false);
 	expect(hedges.mayHedge(candidate, allow)).toBe(true);
 });
--- a/test/outlier.test.ts
+++ b/test/outlier.test.ts
@@ -9,80 +9,80 @@
 const service = 'tariff-relief';
 const createFixture = () => {
 	const clock = new ManualClock();
-	return {clock, book: new OutlierBook(clock, createRandom(3))};
+	return {clock, detector: new OutlierBook(clock, createRandom(3))};
 };
 
-const fail = (book: OutlierBook, id: string, times: number, size = 11) => {
+const fail = (detector: OutlierBook, id: string, times: number, size = 11) => {
 	for (let index = 0; index < times; index++) {
-		book.record(service, id, false, size);
+		detector.record(service, id, false, size);
 	}
 };
 
-test('failures in a row eject, for longer each time', () => {
-	const {clock, book} = createFixture();
-	fail(book, 'relief-1', 5);
-	expect(book.getStanding('relief-1')).toBe(Standing.Ejected);
+test('consecutive failures eject, for longer each time', () => {
+	const {clock, detector} = createFixture();
+	fail(detector, 'relief-1', 5);
+	expect(detector.getStanding('relief-1')).toBe(Standing.Ejected);
 	clock.advanceSync(1250);
-	expect(book.getStanding('relief-1')).toBe(Standing.Probing);
-	fail(book, 'relief-1', 1);
+	expect(detector.getStanding('relief-1')).toBe(Standing.Probing);
+	fail(detector, 'relief-1', 1);
 	clock.advanceSync(1250);
-	expect(book.getStanding('relief-1')).toBe(Standing.Ejected);
+	expect(detector.getStanding('relief-1')).toBe(Standing.Ejected);
 	clock.advanceSync(1250);
-	expect(book.getStanding('relief-1')).toBe(Standing.Probing);
+	expect(detector.getStanding('relief-1')).toBe(Standing.Probing);
 });
 
-test('half of the requests failing ejects even with no long row of failures', () => {
-	const {book} = createFixture();
+test('a failure rate of one half ejects without consecutive failures', () => {
+	const {detector} = createFixture();
 	for (let index = 0; index < 12; index++) {
-		book.record(service, 'relief-1', index % 2 === 0, 11);
+		detector.record(service, 'relief-1', index % 2 === 0, 11);
 	}
 
-	expect(book.getStanding('relief-1')).toBe(Standing.Ejected);
+	expect(detector.getStanding('relief-1')).toBe(Standing.Ejected);
 });
 
-test('a few failures among many answers do not eject', () => {
-	const {clock, book} = createFixture();
+test('a low failure rate does not eject', () => {
+	const {clock, detector} = createFixture();
 	for (let index = 0; index < 1000; index++) {
-		book.record(service, 'relief-1', index % 10 !== 0, 11);
+		detector.record(service, 'relief-1', index % 10 !== 0, 11);
 		clock.advanceSync(10);
 	}
 
-	expect(book.getStanding('relief-1')).toBe(Standing.Admitted);
+	expect(detector.getStanding('relief-1')).toBe(Standing.Admitted);
 });
 
-test('probes that succeed bring it back', () => {
-	const {clock, book} = createFixture();
-	fail(book, 'relief-1', 5);
+test('successful probes admit the upstream again', () => {
+	const {clock, detector} = createFixture();
+	fail(detector, 'relief-1', 5);
 	clock.advanceSync(1250);
 	for (let probe = 0; probe < 3; probe++) {
-		expect(book.getStanding('relief-1')).toBe(Standing.Probing);
-		book.record(service, 'relief-1', true, 11);
+		expect(detector.getStanding('relief-1')).toBe(Standing.Probing);
+		detector.record(service, 'relief-1', true, 11);
 	}
 
-	expect(book.getStanding('relief-1')).toBe(Standing.Admitted);
-	expect(book.getOutCount(service)).toBe(0);
+	expect(detector.getStanding('relief-1')).toBe(Standing.Admitted);
+	expect(detector.getOutCount(service)).toBe(0);
 });
 
-test('never more out than the share allows, in any order of results', () => {
+test('never more upstreams ejected or probing than the share allows, for any order of results', () => {
 	const results = fc.array(fc.record({
 		index: fc.integer({min: 0, max: 9}), isSuccess: fc.boolean(), waitMs: fc.integer({min: 0, max: 3000}), isForgotten: fc.boolean(),
 	}), {maxLength: 300});
 	fc.assert(fc.property(results, steps => {
-		const {clock, book} = createFixture();
+		const {clock, detector} = createFixture();
 		const ids = Array.from({length: 10}, (_, index) => `relief-${index}`);
 		for (const {index, isSuccess, waitMs, isForgotten} of steps) {
 			clock.advanceSync(waitMs);
 			if (isForgotten) {
-				book.forget(ids[index]!);
+				detector.forget(ids[index]!);
 			}
 
 			for (let repeat = 0; repeat < 5; repeat++) {
-				book.record(service, ids[index]!, isSuccess, ids.length);
+				detector.record(service, ids[index]!, isSuccess, ids.length);
 			}
 
-			const outCount = ids.filter(id => book.getStanding(id) !== Standing.Admitted).length;
-			expect(outCount).toBeLessThanOrEqual(defaultOutlierTuning.maxEjectedShare * ids.length);
-			expect(book.getOutCount(service)).toBe(outCount);
+			const unadmittedCount = ids.filter(id => detector.getStanding(id) !== Standing.Admitted).length;
+			expect(unadmittedCount).toBeLessThanOrEqual(defaultOutlierTuning.maxEjectedShare * ids.length);
+			expect(detector.getOutCount(service)).toBe(unadmittedCount);
 		}
 	}));
 });
--- a/test/perf/measure-admission.ts
+++ b/test/perf/measure-admission.ts
@@ -1,6 +1,6 @@
 /**
-Measures admission of one service on manual time: `npx tsx test/perf/measure-admission.ts [seed]`.
-Checks of 5 ms and long requests of 60 ms (a fifth of all) on 88 slots, exponential runs.
+Measures admission of one service on a simulated clock: `npx tsx test/perf/measure-admission.ts [seed]`.
+Checks of 5 ms and long requests of 60 ms (a fifth of all, unless a condition differs) on 88 slots, with exponentially distributed run times.
 */
 import process from 'node:process';
 import {build as createHistogram} from 'hdr-histogram-js';
@@ -24,20 +24,20 @@
 type Tally = {
 	sent: number;
 	answered: number;
-	refusedAtDoor: number;
+	refusedOnArrival: number;
 	refusedLater: number;
 };
 
 type Condition = {
 	load: number;
-	/** Part of the requests that are long. */
-	longPart: number;
+	/** Share of the requests that are long. */
+	longRequestShare: number;
 	isWavy?: boolean;
 };
 
-const measure = ({load, longPart, isWavy = false}: Condition, limits: AdmissionLimits, seed: number) => {
-	// Work of one request on average, in slot milliseconds.
-	const meanMs = ((1 - longPart) * checkMs) + (longPart * longMs);
+const measure = ({load, longRequestShare, isWavy = false}: Condition, limits: AdmissionLimits, seed: number) => {
+	// Mean work of one request, in slot milliseconds.
+	const meanMs = ((1 - longRequestShare) * checkMs) + (longRequestShare * longMs);
 	const clock = new ManualClock();
 	const random = createRandom(seed);
 	let free = slots;
@@ -47,16 +47,16 @@
 	const histogram = createHistogram();
 	const tallies: Record<RequestClass, Tally> = {
 		[RequestClass.Check]: {
-			sent: 0, answered: 0, refusedAtDoor: 0, refusedLater: 0,
+			sent: 0, answered: 0, refusedOnArrival: 0, refusedLater: 0,
 		},
 		[RequestClass.Long]: {
-			sent: 0, answered: 0, refusedAtDoor: 0, refusedLater: 0,
+			sent: 0, answered: 0, refusedOnArrival: 0, refusedLater: 0,
 		},
 	};
 	const draw = (mean: number) => -Math.log(1 - random.next()) * mean;
 
 	const send = () => {
-		const requestClass = random.next() < longPart ? RequestClass.Long : RequestClass.Check;
+		const requestClass = random.next() < longRequestShare ? RequestClass.Long : RequestClass.Check;
 		const isLong = requestClass === RequestClass.Long;
 		const tally = tallies[requestClass];
 		const arrivedAtMs = clock.monotonicMs();
@@ -86,7 +86,7 @@
 			},
 			refuse() {
 				if (clock.monotonicMs() === arrivedAtMs) {
-					tally.refusedAtDoor++;
+					tally.refusedOnArrival++;
 				} else {
 					tally.refusedLater++;
 				}
@@ -97,7 +97,7 @@
 
 	const arrive = () => {
 		send();
-		// A wave: three times the load in one quarter of the time, a third in the rest.
+		// Waves: three times the load in one quarter of the time, a third of it in the rest.
 		const factor = isWavy ? (clock.monotonicMs() % waveMs < waveMs / 4 ? 3 : 1 / 3) : 1;
 		clock.setTimer(arrive, draw(meanMs / (slots * load * factor)));
 	};
@@ -108,24 +108,24 @@
 	const goodput = ((check.answered * checkMs) + (long.answered * longMs)) / (slots * seconds * msPerSecond);
 	const getMs = (percentile: number) => (histogram.getValueAtPercentile(percentile) / 1000).toFixed(0);
 	return [
-		`${load}${isWavy ? ' wavy' : ''}, ${longPart} long`,
+		`${load}${isWavy ? ' wavy' : ''}, ${longRequestShare} long`,
 		getMs(50),
 		getMs(99),
 		getMs(99.9),
 		goodput.toFixed(3),
-		check.refusedAtDoor,
+		check.refusedOnArrival,
 		check.refusedLater,
-		long.refusedAtDoor,
+		long.refusedOnArrival,
 		long.refusedLater,
 		`${long.answered}/${long.sent}`,
 	].join(' | ');
 };
 
 const conditions: Condition[] = [
-	...[0.5, 0.8, 0.95, 1, 1.3, 2].map(load => ({load, longPart: 0.2})),
-	{load: 0.8, longPart: 0.2, isWavy: true},
-	{load: 1.3, longPart: 0.02},
-	{load: 0.8, longPart: 0.02, isWavy: true},
+	...[0.5, 0.8, 0.95, 1, 1.3, 2].map(load => ({load, longRequestShare: 0.2})),
+	{load: 0.8, longRequestShare: 0.2, isWavy: true},
+	{load: 1.3, longRequestShare: 0.02},
+	{load: 0.8, longRequestShare: 0.02, isWavy: true},
 ];
 
 const main = () => {
@@ -139,7 +139,7 @@
 		['reserve of half', createLimits(512, 4096, 0.5)],
 	];
 	for (const [name, limits] of sets) {
-		console.log(`${name}: load | check p50 ms | p99 | p99.9 | goodput | checks refused at the door, later | long refused at the door, later | long answered`);
+		console.log(`${name}: load | check p50 ms | p99 | p99.9 | goodput | checks refused on arrival, later | long refused on arrival, later | long answered`);
 		for (const condition of conditions) {
 			console.log(measure(condition, limits, seed));
 		}
--- a/test/retry.test.ts
+++ b/test/retry.test.ts
@@ -9,21 +9,21 @@
 import {ClaimState, ServiceName} from '../src/types/services.ts';
 import {createRequestsWorld, describe, send} from './requests-world.ts';
 
-let world: ReturnType<typeof createRequestsWorld>;
+let simulation: ReturnType<typeof createRequestsWorld>;
 
 beforeEach(() => {
-	world = createRequestsWorld();
+	simulation = createRequestsWorld();
 });
 
 afterEach(async () => {
-	await world.close();
+	await simulation.close();
 });
 
 const post = (requestId: string, headers: Record<string, string> = {}) => ({
 	method: 'POST', body: 'issue', headers: {[Header.RequestId]: requestId, ...headers},
 });
 
-test('only what cannot run twice by it is tried again', () => {
+test('only requests that were not run or are idempotent are retried', () => {
 	expect(getRetryReason(AttemptFailure.NotWritten, false)).toBe(RetryReason.ConnectFailed);
 	expect(getRetryReason(AttemptFailure.GuardRefused, false)).toBe(RetryReason.GuardRefused);
 	expect(getRetryReason(AttemptFailure.Broken, false)).toBeUndefined();
@@ -31,7 +31,7 @@
 	expect(getRetryReason(AttemptFailure.Broken, true)).toBe(RetryReason.IdempotentFailed);
 });
 
-test('the budget allows a burst, and then a share of the first tries', () => {
+test('the budget allows a burst, and then a share of the first attempts', () => {
 	const budget = new RetryBudget(0.1, 5);
 	let allowed = 0;
 	for (let index = 0; index < 1000; index++) {
@@ -43,14 +43,14 @@
 	expect(allowed).toBeLessThanOrEqual(105);
 });
 
-test('a request whose connection is refused is tried elsewhere, also one with an id, and runs once', async () => {
-	world.announceClosedPort();
-	const upstream = await world.startUpstream((_request, response) => {
+test('a request whose connection is refused is retried on another upstream, also one with an id, and runs once', async () => {
+	simulation.announceClosedPort();
+	const upstream = await simulation.startUpstream((_request, response) => {
 		response.end('ok');
 	});
-	const entry = await world.startEntry();
+	const entry = await simulation.startEntry();
 	for (let index = 0; index < 10; index++) {
-		expect(await send(entry.address, post(world.createId()))).toMatchObject({status: 200});
+		expect(await send(entry.address, post(simulation.createId()))).toMatchObject({status: 200});
 		expect(await send(entry.address)).toMatchObject({status: 200});
 	}
 
@@ -59,46 +59,46 @@
 });
 
 test('with every connection refused the request was not run, and its id may be used again', async () => {
-	world.announceClosedPort();
-	const entry = await world.startEntry();
-	const requestId = world.createId();
+	simulation.announceClosedPort();
+	const entry = await simulation.startEntry();
+	const requestId = simulation.createId();
 	const answer = await send(entry.address, post(requestId));
 	expect(describe(answer)).toEqual({status: 502, reason: RefusalReason.UpstreamFailed, outcome: Outcome.NotRun});
 	expect(Number(answer.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
-	world.announcements.pop();
-	await world.startUpstream((_request, response) => {
+	simulation.announcements.pop();
+	await simulation.startUpstream((_request, response) => {
 		response.end('ok');
 	});
-	await world.waitUntil(() => entry.kernel.get(ServiceName.Claims).lookup(requestId)?.state === ClaimState.NotRun);
+	await simulation.waitUntil(() => entry.kernel.get(ServiceName.Claims).lookup(requestId)?.state === ClaimState.NotRun);
 	expect(await send(entry.address, post(requestId))).toMatchObject({status: 200});
 });
 
-test('a guard that refuses sends the request elsewhere', async () => {
-	const guarded = await world.startUpstream((_request, response) => {
+test('a request that a guard refuses is retried on another upstream', async () => {
+	const guarded = await simulation.startUpstream((_request, response) => {
 		response.writeHead(503, {[Header.Outcome]: Outcome.NotRun, [Header.RefusalReason]: RefusalReason.QueueFull}).end();
 	}, true);
-	await world.startUpstream((_request, response) => {
+	await simulation.startUpstream((_request, response) => {
 		response.end('ok');
 	});
-	const entry = await world.startEntry();
+	const entry = await simulation.startEntry();
 	for (let index = 0; index < 10; index++) {
-		expect(await send(entry.address, post(world.createId()))).toMatchObject({status: 200});
+		expect(await send(entry.address, post(simulation.createId()))).toMatchObject({status: 200});
 	}
 
 	expect(entry.getCounts()[`retries.${RetryReason.GuardRefused}`] ?? 0).toBe(guarded.requests.length);
 });
 
-test('with every guard full the caller is told so, as not run, and its id may be used again', async () => {
+test('with every guard full the request is refused as not run, and its id may be used again', async () => {
 	let isFull = true;
-	await world.startUpstream((_request, response) => {
+	await simulation.startUpstream((_request, response) => {
 		if (isFull) {
 			response.writeHead(503, {[Header.Outcome]: Outcome.NotRun, [Header.RefusalReason]: RefusalReason.GuardFull}).end();
 		} else {
 			response.end('ok');
 		}
 	}, true);
-	const entry = await world.startEntry();
-	const requestId = world.createId();
+	const entry = await simulation.startEntry();
+	const requestId = simulation.createId();
 	const answer = await send(entry.address, post(requestId));
 	expect(describe(answer)).toEqual({status: 503, reason: RefusalReason.GuardFull, outcome: Outcome.NotRun});
 	expect(Number(answer.headers[Header.RetryAfterMs])).toBeGreaterThan(0);
@@ -106,24 +106,24 @@
 	expect(await send(entry.address, post(requestId))).toMatchObject({status: 200});
 });
 
-test('a guard that got no answer from its upstream makes the request unknown, not done', async () => {
-	// The guard answers whole, so the connection tells nothing. Kept as the answer of the request, the guard's error
-	// would be replayed for ever, and an issue request that may have run would look refused.
-	const upstream = await world.startUpstream((_request, response) => {
+test('a guard that received no answer from its upstream makes the outcome unknown, not done', async () => {
+	// The guard's answer is complete, so the connection shows no error. If the guard's error were recorded as the answer of
+	// the request, it would be replayed on every retry, and a request that may have run would look refused.
+	const upstream = await simulation.startUpstream((_request, response) => {
 		response.writeHead(502, {[Header.Outcome]: Outcome.Unknown, [Header.RefusalReason]: RefusalReason.UpstreamFailed}).end();
 	}, true);
-	const entry = await world.startEntry();
-	const requestId = world.createId();
+	const entry = await simulation.startEntry();
+	const requestId = simulation.createId();
 	expect(describe(await send(entry.address, post(requestId)))).toEqual({status: 502, reason: RefusalReason.UpstreamFailed, outcome: Outcome.Unknown});
-	await world.waitUntil(() => entry.kernel.get(ServiceName.Claims).lookup(requestId)?.state === ClaimState.Unknown);
+	await simulation.waitUntil(() => entry.kernel.get(ServiceName.Claims).lookup(requestId)?.state === ClaimState.Unknown);
 	expect(upstream.requests).toHaveLength(1);
 	await send(entry.address);
 	expect(upstream.requests.length).toBeGreaterThan(2);
 });
 
-test('a check that breaks is tried again, an issue request that breaks is not', async () => {
+test('a check whose connection fails is retried, a non-idempotent request is not', async () => {
 	let count = 0;
-	await world.startRawUpstream(socket => {
+	await simulation.startRawUpstream(socket => {
 		count++;
 		if (count % 2 === 1) {
 			socket.destroy();
@@ -131,31 +131,31 @@
 			socket.end('HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok');
 		}
 	});
-	const entry = await world.startEntry();
+	const entry = await simulation.startEntry();
 	const check = await send(entry.address);
 	expect(check).toMatchObject({status: 200, body: 'ok'});
 	expect(count).toBe(2);
-	const issue = await send(entry.address, post(world.createId()));
+	const issue = await send(entry.address, post(simulation.createId()));
 	expect(describe(issue)).toMatchObject({status: 502, outcome: Outcome.Unknown});
 	expect(count).toBe(3);
 });
 
-test('one layer retries: a request from another of ours is tried once, and says so to whoever is behind', async () => {
+test('only one layer retries: a request with no-retry is attempted once and forwards the header', async () => {
 	let count = 0;
-	await world.startRawUpstream((socket, text) => {
+	await simulation.startRawUpstream((socket, text) => {
 		count++;
 		expect(text).toContain('no-retry: 1');
 		expect(text).toContain('request-attempt: 1');
 		socket.destroy();
 	});
-	const entry = await world.startEntry();
+	const entry = await simulation.startEntry();
 	const answer = await send(entry.address, {headers: {[Header.NoRetry]: '1'}});
 	expect(answer.status).toBe(502);
 	expect(count).toBe(1);
 });
 
-test('a retry storm is bounded: failing upstreams see little more than the first tries', async () => {
-	// All upstreams fail every connection after it was made. Retries of retries would multiply the load on them.
+test('retry storms are bounded: failing upstreams get few requests beyond the first attempts', async () => {
+	// All upstreams drop every connection after accepting it. Unbounded retries would multiply the load on them.
 	let count = 0;
 	const fail = (socket: Socket) => {
 		count++;
@@ -163,10 +163,10 @@
 	};
 
 	for (let index = 0; index < 3; index++) {
-		await world.startRawUpstream(fail);
+		await simulation.startRawUpstream(fail);
 	}
 
-	const entry = await world.startEntry({retries: {budgetBurst: 10, budgetShare: 0.1, maxAttempts: 3}});
+	const entry = await simulation.startEntry({retries: {budgetBurst: 10, budgetShare: 0.1, maxAttempts: 3}});
 	const requests = 300;
 	for (let index = 0; index < requests; index += 10) {
 		await Promise.all(Array.from({length: 10}, async () => send(entry.address)));
@@ -177,30 +177,30 @@
 	expect(entry.getCounts()[`retries_denied.${RetryReason.IdempotentFailed}`]).toBeGreaterThan(0);
 });
 
-test('no try is made past the deadline', async () => {
+test('no attempt is started after the deadline', async () => {
 	let count = 0;
-	await world.startRawUpstream(() => {
+	await simulation.startRawUpstream(() => {
 		count++;
 	});
-	const entry = await world.startEntry();
+	const entry = await simulation.startEntry();
 	const answer = await send(entry.address, {headers: {[Header.DeadlineMs]: '150'}});
 	expect(describe(answer)).toEqual({status: 504, reason: RefusalReason.UpstreamTimeout, outcome: Outcome.Unknown});
 	expect(count).toBe(1);
-	await world.waitUntil(() => entry.slots.getHeld() === 0);
+	await simulation.waitUntil(() => entry.slots.getHeld() === 0);
 });
 
-test('an upstream that fails everything fast does not draw all traffic', async () => {
-	// It answers an error within a millisecond, so by in-flight and latency alone it would look the best of all.
-	const failing = await world.startUpstream((_request, response) => {
+test('an upstream that fails every request quickly does not attract all traffic', async () => {
+	// It answers with an error within a millisecond, so by requests in flight and latency alone it would look best.
+	const failing = await simulation.startUpstream((_request, response) => {
 		response.writeHead(500).end();
 	});
 	for (let index = 0; index < 3; index++) {
-		await world.startUpstream((_request, response) => {
+		await simulation.startUpstream((_request, response) => {
 			setTimeout(() => response.end('ok'), 5);
 		});
 	}
 
-	const entry = await world.startEntry();
+	const entry = await simulation.startEntry();
 	const statuses: number[] = [];
 	for (let index = 0; index < 40; index++) {
 		const answers = await Promise.all(Array.from({length: 8}, async () => send(entry.address)));
