--- a/src/requests/choice-states.ts
+++ b/src/requests/choice-states.ts
@@ -16,7 +16,7 @@
 	/** Number of requests sent to an earlier incarnation whose ends have not been recorded. */
 	staleEnds: number;
 	/** When the first check in flight started or the latest check ended, whichever is later. */
-	checkSilentSinceMs: number;
+	checksUnresponsiveSinceMs: number;
 };
 
 /** Number of requests in flight, of both classes. */
@@ -68,13 +68,13 @@
 		}
 
 		if (requestClass === RequestClass.Check && state.inFlight.check === 0) {
-			state.checkSilentSinceMs = this.#clock.monotonicMs();
+			state.checksUnresponsiveSinceMs = this.#clock.monotonicMs();
 		}
 
 		state.inFlight[requestClass]++;
 	}
 
-	/** Records the end of a request; returns the state, or undefined if the request belongs to an earlier incarnation. */
+	/** Records the end of a request; returns the state, or undefined if there is none or the end is attributed to an earlier incarnation. */
 	noteEnd(upstreamId: string, requestClass: RequestClass): UpstreamState | undefined {
 		const state = this.#states.get(upstreamId);
 		if (!state) {
@@ -83,7 +83,7 @@
 
 		state.inFlight[requestClass] = Math.max(0, state.inFlight[requestClass] - 1);
 		if (requestClass === RequestClass.Check) {
-			state.checkSilentSinceMs = this.#clock.monotonicMs();
+			state.checksUnresponsiveSinceMs = this.#clock.monotonicMs();
 		}
 
 		// A restart breaks the requests of the earlier incarnation. Counted against the new one, these failures would eject it.
@@ -96,8 +96,8 @@
 	}
 
 	/** For how long the upstream has had checks in flight without ending one. */
-	getSilentMs({inFlight, checkSilentSinceMs}: UpstreamState): number {
-		return inFlight.check > 0 ? this.#clock.monotonicMs() - checkSilentSinceMs : 0;
+	getSilentMs({inFlight, checksUnresponsiveSinceMs}: UpstreamState): number {
+		return inFlight.check > 0 ? this.#clock.monotonicMs() - checksUnresponsiveSinceMs : 0;
 	}
 
 	/** Deletes the state of upstreams that are no longer candidates, so that memory stays bounded when hosts are replaced. */
@@ -130,7 +130,7 @@
 			lastSeenMs: nowMs,
 			inFlight: earlier?.inFlight ?? {[RequestClass.Check]: 0, [RequestClass.Long]: 0},
 			staleEnds: earlier ? getTotalInFlight(earlier) : 0,
-			checkSilentSinceMs: nowMs,
+			checksUnresponsiveSinceMs: nowMs,
 		};
 		this.#states.set(upstreamId, state);
 		return state;
--- a/src/requests/dispatch-lane.ts
+++ b/src/requests/dispatch-lane.ts
@@ -34,7 +34,7 @@
 	pools: Pick<UpstreamPools, 'get'>;
 	/** Attempts in progress; each is aborted when it falls due. */
 	dueAttempts: DeadlineHeap<Attempt>;
-	/** Claimed requests in progress, by their deadline: their callers are answered then, while the requests continue to run. */
+	/** Claimed requests in progress, by their deadline: their callers are answered then, while requests that were sent continue to run. */
 	dueRuns: DeadlineHeap<ClaimedRun>;
 	getCandidates(): readonly UpstreamAnnouncement[];
 };
