--- a/src/jobs/job-decisions.ts
+++ b/src/jobs/job-decisions.ts
@@ -6,7 +6,7 @@
 import {Metric, type Metrics} from '../types/metrics.ts';
 import {DecisionType, type Decision, type PlacementEngine} from '../types/placement.ts';
 import {createLogger, Part} from '../utils/logger.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
+import {type LeaseManager} from './lease-keeper.ts';
 import {type ShardOwner} from './shard-owner.ts';
 import {type LiveTask} from './shard-task.ts';
 
@@ -22,7 +22,7 @@
 	getOwner(shard: number): ShardOwner | undefined;
 	/** Shard of a job that is known. */
 	getShard(jobId: string): number | undefined;
-	getKeeper(workerId: string): LeaseKeeper | undefined;
+	getLeaseManager(workerId: string): LeaseManager | undefined;
 };
 
 /** Decisions of one entry. */
@@ -39,7 +39,7 @@
 	decide(): void {
 		const {clock, engine, maxDecisions} = this.#options;
 		for (const decision of engine.decide(clock.monotonicMs(), maxDecisions)) {
-			this.#carryOut(decision);
+			this.#execute(decision);
 		}
 	}
 
@@ -49,14 +49,14 @@
 			const shard = this.#options.getShard(jobId);
 			this.#unplaceable.delete(jobId);
 			if (shard !== undefined) {
-				this.#options.getOwner(shard)?.enqueueAgain(jobId);
+				this.#options.getOwner(shard)?.offerAgain(jobId);
 			}
 		}
 	}
 
-	#carryOut(decision: Decision): void {
+	#execute(decision: Decision): void {
 		if (decision.type === DecisionType.Unplaceable) {
-			this.#refuse(decision);
+			this.#handleUnplaceable(decision);
 			return;
 		}
 
@@ -80,14 +80,14 @@
 			}
 
 			case DecisionType.Throttle: {
-				void this.#options.getKeeper(decision.workerId)?.throttle(task, decision.share).catch((error: unknown) => {
+				void this.#options.getLeaseManager(decision.workerId)?.throttle(task, decision.share).catch((error: unknown) => {
 					log('Throttle of %s failed: %s', task.taskId, getMessage(error));
 				});
 			}
 		}
 	}
 
-	#refuse({jobId, missing, isFinal}: Decision & {type: DecisionType.Unplaceable}): void {
+	#handleUnplaceable({jobId, missing, isFinal}: Decision & {type: DecisionType.Unplaceable}): void {
 		this.#options.metrics.count(Metric.JobsRefused, isFinal ? 'fails-everywhere' : 'unplaceable');
 		log('Job %s can run nowhere now: %s', jobId, missing);
 		const shard = this.#options.getShard(jobId);
--- a/src/jobs/job-fleet.ts
+++ b/src/jobs/job-fleet.ts
@@ -1,26 +1,26 @@
 /**
-The workers of the fleet as placement and leases need them: one keeper for each, and what others' tasks take of its capacity.
+The workers of the fleet as placement and leases need them: one leaseManager for each, and what others' tasks take of its capacity.
 */
 import {type WorkerAnnouncement} from '../types/announcements.ts';
 import {type Clock} from '../types/clock.ts';
 import {type PlacementEngine} from '../types/placement.ts';
 import {type Resources, type WorkerSnapshot, TaskState} from '../types/platform.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
+import {type LeaseManager} from './lease-keeper.ts';
 
 /** How often a worker that others use is listed while tasks wait for room. */
-const listEveryMs = 2000;
+const listIntervalMs = 2000;
 /** Such workers listed in one pass, at most. */
-const maxListed = 200;
+const maxListedPerUpdate = 200;
 const noResources: Resources = {processors: 0, memoryMb: 0, accelerators: 0};
 
 type Member = {
 	announcement: WorkerAnnouncement;
-	keeper: LeaseKeeper;
+	leaseManager: LeaseManager;
 	aborter: AbortController;
 	/** Taken by tasks of shards that other entries own. */
-	foreign: Resources;
-	isOpen: boolean;
-	seenAtMs: number;
+	usedByOthers: Resources;
+	isSchedulable: boolean;
+	announcedAtMs: number;
 	listedAtMs: number;
 };
 
@@ -29,16 +29,16 @@
 	clock: Clock;
 	engine: PlacementEngine;
 	/** How long a silent worker without tasks is kept. */
-	keepSilentMs: number;
+	missingRetentionMs: number;
 	/** Workers that are alive and take tasks. */
 	listWorkers(): WorkerAnnouncement[];
-	createKeeper(workerId: string): LeaseKeeper;
+	createLeaseManager(workerId: string): LeaseManager;
 	isOwned(shard: number): boolean;
 	/** Tells whether tasks wait for room: then it matters what others have given back. */
-	isRoomWanted(): boolean;
+	hasWaitingTasks(): boolean;
 };
 
-/** Workers with their keepers. */
+/** Workers with their leaseManagers. */
 export class JobFleet {
 	readonly #options: JobFleetOptions;
 	readonly #members = new Map<string, Member>();
@@ -49,19 +49,19 @@
 	}
 
 	/** Keepers of all workers known. */
-	getKeepers(): LeaseKeeper[] {
-		return [...this.#members.values()].map(({keeper}) => keeper);
+	getLeaseManagers(): LeaseManager[] {
+		return [...this.#members.values()].map(({leaseManager}) => leaseManager);
 	}
 
 	/** Keeper of one worker. */
-	getKeeper(workerId: string): LeaseKeeper | undefined {
-		return this.#members.get(workerId)?.keeper;
+	getLeaseManager(workerId: string): LeaseManager | undefined {
+		return this.#members.get(workerId)?.leaseManager;
 	}
 
 	/** Capacities of the workers that are open. */
 	* getCapacities(): Iterable<Resources> {
-		for (const {announcement, isOpen} of this.#members.values()) {
-			if (isOpen) {
+		for (const {announcement, isSchedulable} of this.#members.values()) {
+			if (isSchedulable) {
 				yield announcement.capacity;
 			}
 		}
@@ -80,40 +80,40 @@
 		}
 
 		for (const member of this.#members.values()) {
-			if (member.seenAtMs !== nowMs) {
-				this.#miss(member, nowMs);
+			if (member.announcedAtMs !== nowMs) {
+				this.#markMissing(member, nowMs);
 			}
 		}
 
-		if (this.#options.isRoomWanted()) {
-			this.#listForeign(nowMs);
+		if (this.#options.hasWaitingTasks()) {
+			this.#requestUsedByOthers(nowMs);
 		}
 	}
 
 	/** Takes what a worker listed: what shards of others hold there is not ours to give. */
-	noteSnapshot({workerId, tasks}: WorkerSnapshot): void {
+	applySnapshot({workerId, tasks}: WorkerSnapshot): void {
 		const member = this.#members.get(workerId);
 		if (!member) {
 			return;
 		}
 
-		const foreign = {...noResources};
+		const usedByOthers = {...noResources};
 		for (const {state, shard, resources} of tasks) {
 			if (state === TaskState.Running && !this.#options.isOwned(shard)) {
-				foreign.processors += resources.processors;
-				foreign.memoryMb += resources.memoryMb;
-				foreign.accelerators += resources.accelerators;
+				usedByOthers.processors += resources.processors;
+				usedByOthers.memoryMb += resources.memoryMb;
+				usedByOthers.accelerators += resources.accelerators;
 			}
 		}
 
 		member.listedAtMs = this.#options.clock.monotonicMs();
-		if (!isSame(foreign, member.foreign)) {
-			member.foreign = foreign;
+		if (!isSame(usedByOthers, member.usedByOthers)) {
+			member.usedByOthers = usedByOthers;
 			this.#setWorker(member);
 		}
 	}
 
-	/** Ends all keepers. */
+	/** Ends all leaseManagers. */
 	async stop(): Promise<void> {
 		for (const {aborter} of this.#members.values()) {
 			aborter.abort();
@@ -123,13 +123,13 @@
 	}
 
 	#addMember(announcement: WorkerAnnouncement, nowMs: number): void {
-		const keeper = this.#options.createKeeper(announcement.workerId);
+		const leaseManager = this.#options.createLeaseManager(announcement.workerId);
 		const member: Member = {
-			announcement, keeper, aborter: new AbortController(), foreign: noResources, isOpen: true, seenAtMs: nowMs, listedAtMs: nowMs,
+			announcement, leaseManager, aborter: new AbortController(), usedByOthers: noResources, isSchedulable: true, announcedAtMs: nowMs, listedAtMs: nowMs,
 		};
 		this.#members.set(announcement.workerId, member);
 		this.#setWorker(member);
-		const running = keeper.run(member.aborter.signal);
+		const running = leaseManager.run(member.aborter.signal);
 		this.#running.add(running);
 		void running.finally(() => {
 			this.#running.delete(running);
@@ -139,51 +139,51 @@
 	#updateMember(member: Member, announcement: WorkerAnnouncement, nowMs: number): void {
 		const known = member.announcement;
 		member.announcement = announcement;
-		member.seenAtMs = nowMs;
+		member.announcedAtMs = nowMs;
 		if (known.incarnation !== announcement.incarnation) {
 			// Restarted under the same address: its list tells that the old tasks are gone.
-			member.keeper.wantSnapshot();
-			member.keeper.wake();
+			member.leaseManager.requestSnapshot();
+			member.leaseManager.wake();
 		}
 
 		// A worker that announces itself and does not answer takes no tasks: each start would wait for a whole lease.
-		const {isAnswering} = member.keeper;
-		if (member.isOpen !== isAnswering || !isSame(known.capacity, announcement.capacity)) {
-			member.isOpen = isAnswering;
+		const {isAnswering} = member.leaseManager;
+		if (member.isSchedulable !== isAnswering || !isSame(known.capacity, announcement.capacity)) {
+			member.isSchedulable = isAnswering;
 			this.#setWorker(member);
 		}
 	}
 
-	#listForeign(nowMs: number): void {
+	#requestUsedByOthers(nowMs: number): void {
 		let count = 0;
-		for (const {foreign, keeper, listedAtMs} of this.#members.values()) {
-			if (count >= maxListed) {
+		for (const {usedByOthers, leaseManager, listedAtMs} of this.#members.values()) {
+			if (count >= maxListedPerUpdate) {
 				return;
 			}
 
-			if (nowMs - listedAtMs >= listEveryMs && !isSame(foreign, noResources)) {
+			if (nowMs - listedAtMs >= listIntervalMs && !isSame(usedByOthers, noResources)) {
 				count++;
-				keeper.wantSnapshot();
-				keeper.wake();
+				leaseManager.requestSnapshot();
+				leaseManager.wake();
 			}
 		}
 	}
 
-	#miss(member: Member, nowMs: number): void {
-		const {keeper, announcement: {workerId}} = member;
-		if (member.isOpen) {
-			member.isOpen = false;
+	#markMissing(member: Member, nowMs: number): void {
+		const {leaseManager, announcement: {workerId}} = member;
+		if (member.isSchedulable) {
+			member.isSchedulable = false;
 			this.#setWorker(member);
 		}
 
-		if (keeper.tasks.size === 0 && nowMs - member.seenAtMs > this.#options.keepSilentMs) {
+		if (leaseManager.tasks.size === 0 && nowMs - member.announcedAtMs > this.#options.missingRetentionMs) {
 			member.aborter.abort();
 			this.#members.delete(workerId);
 			this.#options.engine.removeWorker(workerId);
 		}
 	}
 
-	#setWorker({announcement, foreign, isOpen}: Member): void {
+	#setWorker({announcement, usedByOthers, isSchedulable}: Member): void {
 		const {workerId, region, failureDomain, rack, capacity} = announcement;
 		this.#options.engine.setWorker({
 			workerId,
@@ -191,8 +191,8 @@
 			failureDomain,
 			rack,
 			capacity,
-			foreign,
-			isOpen,
+			foreign: usedByOthers,
+			isOpen: isSchedulable,
 		});
 	}
 }
--- a/src/jobs/job-fold.ts
+++ b/src/jobs/job-fold.ts
@@ -41,7 +41,7 @@
 	readonly #previousTokens = new Map<number, number>();
 
 	/** Jobs of one shard. */
-	getShard(shard: number): ReadonlyMap<string, FoldedJob> {
+	getShardJobs(shard: number): ReadonlyMap<string, FoldedJob> {
 		return this.#byShard.get(shard) ?? new Map<string, FoldedJob>();
 	}
 
@@ -116,7 +116,7 @@
 			case JobEntryType.End:
 			case JobEntryType.Dispatch:
 			case JobEntryType.Forget: {
-				return this.#applyOwned(entry, writtenAtMs);
+				return this.#applyOwnerEntry(entry, writtenAtMs);
 			}
 		}
 	}
@@ -127,11 +127,11 @@
 			return undefined;
 		}
 
-		const job = this.#add(spec, shard, writtenAtMs, offset);
+		const job = this.#addJob(spec, shard, writtenAtMs, offset);
 		return {type: JobEntryType.Accept, shard, job};
 	}
 
-	#applyOwned(entry: JobEntry & {type: JobEntryType.End | JobEntryType.Dispatch | JobEntryType.Forget}, writtenAtMs: number): JobChange | undefined {
+	#applyOwnerEntry(entry: JobEntry & {type: JobEntryType.End | JobEntryType.Dispatch | JobEntryType.Forget}, writtenAtMs: number): JobChange | undefined {
 		const job = this.jobs.get(entry.jobId);
 		if (!job || this.#isStale(job.shard, entry.fencingToken)) {
 			return undefined;
@@ -153,7 +153,7 @@
 			return undefined;
 		}
 
-		this.#end(job, entry.end, writtenAtMs);
+		this.#recordEnd(job, entry.end, writtenAtMs);
 		return {
 			type: entry.type, shard, job, end: entry.end,
 		};
@@ -167,12 +167,12 @@
 		// The seal itself may have lapsed from the log before this reader came.
 		this.#tokens.set(entry.shard, entry.fencingToken);
 		const known = this.jobs.get(entry.spec.jobId);
-		const job = known ?? this.#add(entry.spec, entry.shard, writtenAtMs, offset);
+		const job = known ?? this.#addJob(entry.spec, entry.shard, writtenAtMs, offset);
 		job.publishedAtMs = Math.max(job.publishedAtMs, writtenAtMs);
 		// Merged, never replaced: a snapshot taken before a later end or cancellation cannot undo it.
 		for (const end of entry.ends) {
 			if (!job.ends.has(end.index)) {
-				this.#end(job, end, writtenAtMs);
+				this.#recordEnd(job, end, writtenAtMs);
 			}
 		}
 
@@ -198,7 +198,7 @@
 		return fencingToken < this.getToken(shard);
 	}
 
-	#end(job: FoldedJob, end: TaskEnd, writtenAtMs: number): void {
+	#recordEnd(job: FoldedJob, end: TaskEnd, writtenAtMs: number): void {
 		job.ends.set(end.index, end);
 		job.dispatches.delete(end.index);
 		if (job.ends.size === job.spec.taskCount) {
@@ -206,7 +206,7 @@
 		}
 	}
 
-	#add(spec: JobSpec, shard: number, publishedAtMs: number, offset: number): FoldedJob {
+	#addJob(spec: JobSpec, shard: number, publishedAtMs: number, offset: number): FoldedJob {
 		const job: FoldedJob = {
 			spec, shard, offset, publishedAtMs, isCancelled: false, ends: new Map(), dispatches: new Map(),
 		};
--- a/src/jobs/job-limiter.ts
+++ b/src/jobs/job-limiter.ts
@@ -3,18 +3,18 @@
 */
 
 /** Runs actions, at most so many at a time, in order of arrival. */
-export class JobLimiter {
-	readonly #max: number;
+export class CallLimiter {
+	readonly #maxConcurrent: number;
 	readonly #waiting: Array<() => void> = [];
 	#running = 0;
 
 	constructor(max: number) {
-		this.#max = max;
+		this.#maxConcurrent = max;
 	}
 
 	/** Runs the action once its turn has come. */
 	async run<Result>(action: () => Promise<Result>): Promise<Result> {
-		if (this.#running >= this.#max) {
+		if (this.#running >= this.#maxConcurrent) {
 			// The place is handed over by who leaves, so the count stays.
 			await new Promise<void>(resolve => {
 				this.#waiting.push(resolve);
--- a/src/jobs/job-scheduler.ts
+++ b/src/jobs/job-scheduler.ts
@@ -13,33 +13,33 @@
 import {JobDecisions} from './job-decisions.ts';
 import {JobFleet} from './job-fleet.ts';
 import {JobFold, type FoldedJob} from './job-fold.ts';
-import {JobLimiter} from './job-limiter.ts';
+import {CallLimiter} from './job-limiter.ts';
 import {jobRecordSchema} from './job-records.ts';
 import {getJobStatus, getMissing} from './job-status.ts';
 import {type JobSchedulerOptions} from './job-scheduler-options.ts';
 import {JobSubmissions} from './job-submissions.ts';
-import {keepUp} from './job-upkeep.ts';
+import {maintainJobs} from './job-upkeep.ts';
 import {JobWriter} from './job-writer.ts';
-import {LeaseKeeper} from './lease-keeper.ts';
+import {LeaseManager} from './lease-keeper.ts';
 import {LeaseProof} from './lease-proof.ts';
-import {OwnershipKeeper} from './ownership-keeper.ts';
+import {OwnershipManager} from './ownership-keeper.ts';
 import {recoverShard, sealStream} from './recovery.ts';
 import {ShardOwner} from './shard-owner.ts';
 import {type LiveTask} from './shard-task.ts';
 
 const log = createLogger(Part.Jobs);
 const parseRecord = createParser('read job record', jobRecordSchema);
-const fleetEveryMs = 500;
-const reconsiderEveryMs = 5000;
-const keepSilentMs = 600_000;
-const minUpkeepMs = 1000;
-const maxUpkeepMs = 60_000;
-const upkeepsPerRetention = 100;
+const fleetUpdateIntervalMs = 500;
+const reconsiderIntervalMs = 5000;
+const missingRetentionMs = 600_000;
+const minMaintenanceIntervalMs = 1000;
+const maxMaintenanceIntervalMs = 60_000;
+const maintenanceRunsPerRetention = 100;
 
 /** Schedules the jobs of the shards that this entry owns. */
 export class JobScheduler {
 	readonly fold = new JobFold();
-	readonly ownership: OwnershipKeeper;
+	readonly ownership: OwnershipManager;
 	readonly fleet: JobFleet;
 	readonly tasks = new Map<string, LiveTask>();
 	readonly #waitingTasks = new Set<LiveTask>();
@@ -48,9 +48,9 @@
 	readonly #submissions: JobSubmissions;
 	readonly #proof: LeaseProof;
 	readonly #decisions: JobDecisions;
-	readonly #limiter: JobLimiter;
+	readonly #limiter: CallLimiter;
 	readonly #owners = new Map<number, ShardOwner>();
-	readonly #open = new Set<ShardOwner>();
+	readonly #sealedOwners = new Set<ShardOwner>();
 	readonly #startedAtMs: number;
 	#isCaughtUp = false;
 	#isTruncated = false;
@@ -59,9 +59,9 @@
 		const {clock, random, metrics, settings: {jobs, ownership, log: {timeoutMs}}} = options;
 		this.#options = options;
 		this.#startedAtMs = clock.monotonicMs();
-		this.#limiter = new JobLimiter(jobs.maxCalls);
+		this.#limiter = new CallLimiter(jobs.maxCalls);
 		this.#writer = new JobWriter({
-			log: options.log, clock, random, metrics, getGatherMs: options.getGatherMs ?? (() => jobs.gatherMs), maxEntries: jobs.maxBatch, maxQueued: jobs.maxQueued,
+			log: options.log, clock, random, metrics, getLingerMs: options.getGatherMs ?? (() => jobs.gatherMs), maxEntries: jobs.maxBatch, maxQueued: jobs.maxQueued,
 		});
 		this.#submissions = new JobSubmissions({
 			clock, metrics, fold: this.fold, writer: this.#writer, shards: jobs.shards, submitTimeoutMs: jobs.submitTimeoutMs,
@@ -74,12 +74,12 @@
 			getTask: taskId => this.tasks.get(taskId),
 			getOwner: shard => this.#owners.get(shard),
 			getShard: jobId => this.fold.jobs.get(jobId)?.shard,
-			getKeeper: workerId => this.fleet.getKeeper(workerId),
+			getLeaseManager: workerId => this.fleet.getLeaseManager(workerId),
 		});
 		this.#proof = new LeaseProof({
-			clock, validMs: ownership.leaseMs, getKeepers: () => this.fleet.getKeepers(), getLeaseEndMs: () => this.ownership.leaseEndMs,
+			clock, validMs: ownership.leaseMs, getLeaseManagers: () => this.fleet.getLeaseManagers(), getLeaseEndMs: () => this.ownership.leaseEndMs,
 		});
-		this.ownership = new OwnershipKeeper({
+		this.ownership = new OwnershipManager({
 			log: options.log,
 			clock,
 			random,
@@ -89,21 +89,21 @@
 			logTimeoutMs: timeoutMs,
 			getShards: () => this.#getShards(),
 			onOwned: (shard, fencingToken) => {
-				this.#own(shard, fencingToken);
+				this.#startOwner(shard, fencingToken);
 			},
 			onLost: shard => {
-				this.#lose(shard);
+				this.#closeOwner(shard);
 			},
-			onRelease: async shard => this.#owners.get(shard)?.settle(),
+			onRelease: async shard => this.#owners.get(shard)?.waitForStarts(),
 		});
 		this.fleet = new JobFleet({
 			clock,
 			engine: options.engine,
-			keepSilentMs,
+			missingRetentionMs,
 			listWorkers: () => options.workers.list(),
-			createKeeper: workerId => this.#createKeeper(workerId),
+			createLeaseManager: workerId => this.#createLeaseManager(workerId),
 			isOwned: shard => this.#owners.has(shard),
-			isRoomWanted: () => this.#waitingTasks.size > 0,
+			hasWaitingTasks: () => this.#waitingTasks.size > 0,
 		});
 	}
 
@@ -148,27 +148,27 @@
 	/** Runs until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		const {settings} = this.#options;
-		const upkeepMs = Math.min(maxUpkeepMs, Math.max(minUpkeepMs, settings.log.retentionMs / upkeepsPerRetention));
+		const maintenanceIntervalMs = Math.min(maxMaintenanceIntervalMs, Math.max(minMaintenanceIntervalMs, settings.log.retentionMs / maintenanceRunsPerRetention));
 		await Promise.all([
-			this.#follow(signal),
+			this.#followStream(signal),
 			this.#writer.run(signal),
 			this.ownership.run(signal),
-			this.#repeat(fleetEveryMs, signal, () => {
+			this.#repeat(fleetUpdateIntervalMs, signal, () => {
 				this.fleet.update();
 			}),
-			this.#repeat(reconsiderEveryMs, signal, () => {
+			this.#repeat(reconsiderIntervalMs, signal, () => {
 				this.#decisions.reconsider();
 			}),
 			this.#repeat(settings.jobs.roundMs, signal, () => {
-				if (this.#open.size > 0) {
+				if (this.#sealedOwners.size > 0) {
 					this.#decisions.decide();
 				}
 			}),
-			this.#repeat(upkeepMs, signal, async () => this.#keepUp()),
+			this.#repeat(maintenanceIntervalMs, signal, async () => this.#maintainJobs()),
 		]);
 		// Stopped for good or not, running tasks stay with their workers: the next owner finds them there.
 		for (const shard of this.#owners.keys()) {
-			this.#lose(shard);
+			this.#closeOwner(shard);
 		}
 
 		await this.fleet.stop();
@@ -196,11 +196,11 @@
 		}
 	}
 
-	async #follow(signal: AbortSignal): Promise<void> {
+	async #followStream(signal: AbortSignal): Promise<void> {
 		const {log: platformLog, clock, random, metrics} = this.#options;
 		await followLog({
 			onRecord: ({offset, value}) => {
-				this.#take(offset, value);
+				this.#applyRecord(offset, value);
 			},
 			onGap: () => {
 				this.#onGap();
@@ -221,10 +221,10 @@
 		});
 	}
 
-	#take(offset: number, value: unknown): void {
+	#applyRecord(offset: number, value: unknown): void {
 		for (const change of this.fold.apply(parseRecord(value), offset)) {
 			const owner = this.#owners.get(change.shard);
-			if (owner && this.#open.has(owner)) {
+			if (owner && this.#sealedOwners.has(owner)) {
 				owner.onChange(change);
 			}
 
@@ -242,13 +242,13 @@
 		}
 
 		for (const shard of this.#owners.keys()) {
-			this.ownership.noteDeposed(shard);
+			this.ownership.markSuperseded(shard);
 		}
 
 		this.fold.clear();
 	}
 
-	#own(shard: number, fencingToken: number): void {
+	#startOwner(shard: number, fencingToken: number): void {
 		const {clock, metrics, engine, settings: {jobs}} = this.#options;
 		// What workers accepted under an earlier token of this entry proves nothing for this one.
 		this.#proof.clear(shard);
@@ -262,11 +262,11 @@
 			waiting: this.#waitingTasks,
 			times: jobs,
 			maxFailures: jobs.maxFailures,
-			getKeeper: workerId => this.fleet.getKeeper(workerId),
+			getLeaseManager: workerId => this.fleet.getLeaseManager(workerId),
 			mayStart: () => this.mayAct(shard) && !this.ownership.isReleasing(shard),
 			getRegion: service => service === undefined ? undefined : this.#options.getRegion(service),
-			onDeposed: (deposed, token) => {
-				this.#depose(deposed, token);
+			onSuperseded: (deposed, token) => {
+				this.#handleNewerOwner(deposed, token);
 			},
 		});
 		this.#owners.set(shard, owner);
@@ -284,9 +284,9 @@
 
 		// Every owner seals the stream before it starts anything: without an earlier seal nothing can be running.
 		const isHeld = this.#isTruncated || this.fold.getPreviousToken(shard) >= 0;
-		this.#open.add(owner);
-		for (const job of this.fold.getShard(shard).values()) {
-			owner.takeJob(job, isHeld);
+		this.#sealedOwners.add(owner);
+		for (const job of this.fold.getShardJobs(shard).values()) {
+			owner.addJob(job, isHeld);
 		}
 
 		if (isHeld) {
@@ -296,7 +296,7 @@
 				random,
 				metrics,
 				limiter: this.#limiter,
-				getKeepers: () => this.fleet.getKeepers(),
+				getLeaseManagers: () => this.fleet.getLeaseManagers(),
 				isFleetKnown: () => clock.monotonicMs() - this.#startedAtMs >= waitMs,
 				waitMs,
 				retryMs: jobs.renewEveryMs,
@@ -304,25 +304,25 @@
 		}
 	}
 
-	#lose(shard: number): void {
+	#closeOwner(shard: number): void {
 		const owner = this.#owners.get(shard);
 		if (owner) {
 			this.#owners.delete(shard);
-			this.#open.delete(owner);
+			this.#sealedOwners.delete(owner);
 			owner.close();
 		}
 	}
 
-	#depose(shard: number, fencingToken: number): void {
+	#handleNewerOwner(shard: number, fencingToken: number): void {
 		if (this.ownership.owned.get(shard) === fencingToken) {
 			log('A worker knows a newer owner of shard %d.', shard);
-			this.ownership.noteDeposed(shard);
+			this.ownership.markSuperseded(shard);
 		}
 	}
 
-	#createKeeper(workerId: string): LeaseKeeper {
+	#createLeaseManager(workerId: string): LeaseManager {
 		const {clock, random, metrics, workers, settings: {jobs}} = this.#options;
-		const keeper: LeaseKeeper = new LeaseKeeper({
+		const leaseManager: LeaseManager = new LeaseManager({
 			workerId,
 			clock,
 			random,
@@ -334,36 +334,36 @@
 			onReply: (task, attempt, reply, report) => {
 				this.#owners.get(task.job.shard)?.runner.onReply(task, attempt, reply, report);
 			},
-			onLapsed: task => {
-				this.#owners.get(task.job.shard)?.runner.onLapsed(task);
+			onLeaseExpired: task => {
+				this.#owners.get(task.job.shard)?.runner.onLeaseExpired(task);
 			},
 			onStaleToken: (shard, fencingToken) => {
-				this.#depose(shard, fencingToken);
+				this.#handleNewerOwner(shard, fencingToken);
 			},
 			onSnapshot: (snapshot, sentAtMs, sealedShard) => {
-				this.#takeSnapshot(keeper, snapshot, sentAtMs, sealedShard);
+				this.#handleSnapshot(leaseManager, snapshot, sentAtMs, sealedShard);
 			},
 		});
-		return keeper;
+		return leaseManager;
 	}
 
-	#takeSnapshot(keeper: LeaseKeeper, snapshot: WorkerSnapshot, sentAtMs: number, sealedShard?: number): void {
+	#handleSnapshot(leaseManager: LeaseManager, snapshot: WorkerSnapshot, sentAtMs: number, sealedShard?: number): void {
 		const attempts = new Map<string, number>();
 		for (const report of snapshot.tasks) {
 			attempts.set(report.taskId, report.attempt);
 			const owner = this.#owners.get(report.shard);
-			if (owner && this.#open.has(owner)) {
-				owner.onReport(keeper, report, report.shard === sealedShard);
+			if (owner && this.#sealedOwners.has(owner)) {
+				owner.onReport(leaseManager, report, report.shard === sealedShard);
 			}
 		}
 
-		for (const task of keeper.tasks) {
+		for (const task of leaseManager.tasks) {
 			if (attempts.get(task.taskId) !== task.attempt) {
-				this.#owners.get(task.job.shard)?.runner.onAbsent(task, keeper, sentAtMs);
+				this.#owners.get(task.job.shard)?.runner.onAbsent(task, leaseManager, sentAtMs);
 			}
 		}
 
-		this.fleet.noteSnapshot(snapshot);
+		this.fleet.applySnapshot(snapshot);
 	}
 
 	/** While the log cannot be read, each worker is asked whether it knows a newer owner of any of our shards. */
@@ -377,10 +377,10 @@
 		}));
 	}
 
-	async #keepUp(): Promise<void> {
+	async #maintainJobs(): Promise<void> {
 		const {clock, settings: {jobs, log: {retentionMs}}} = this.#options;
-		for (const owner of this.#open) {
-			await keepUp(owner, clock.now().getTime(), {
+		for (const owner of this.#sealedOwners) {
+			await maintainJobs(owner, clock.now().getTime(), {
 				fold: this.fold, writer: this.#writer, retentionMs, keepFinishedMs: jobs.keepFinishedMs, maxEntries: jobs.maxBatch,
 			});
 		}
--- a/src/jobs/job-upkeep.ts
+++ b/src/jobs/job-upkeep.ts
@@ -7,7 +7,7 @@
 import {type ShardOwner} from './shard-owner.ts';
 
 /** What upkeep needs. */
-export type UpkeepOptions = {
+export type JobMaintenanceOptions = {
 	fold: JobFold;
 	writer: JobWriter;
 	retentionMs: number;
@@ -17,11 +17,11 @@
 };
 
 /** Publishes and forgets for one owned shard; gives how many entries were written. */
-export const keepUp = async (owner: ShardOwner, nowMs: number, options: UpkeepOptions): Promise<number> => {
+export const maintainJobs = async (owner: ShardOwner, nowMs: number, options: JobMaintenanceOptions): Promise<number> => {
 	const {fold, writer, retentionMs, keepFinishedMs, maxEntries} = options;
 	const writes: Array<Promise<boolean>> = [];
 	const isWanted = () => !owner.isClosed;
-	for (const job of fold.getShard(owner.shard).values()) {
+	for (const job of fold.getShardJobs(owner.shard).values()) {
 		if (writes.length >= maxEntries) {
 			break;
 		}
--- a/src/jobs/job-writer.ts
+++ b/src/jobs/job-writer.ts
@@ -10,8 +10,8 @@
 import {type JobEntry, type JobRecord} from './job-records.ts';
 
 const log = createLogger(Part.Jobs);
-const minPauseMs = 50;
-const maxPauseMs = 2000;
+const minBackoffMs = 50;
+const maxBackoffMs = 2000;
 
 /** What the writer needs. */
 export type JobWriterOptions = {
@@ -23,10 +23,10 @@
 	/** Entries held at most while the log is away. */
 	maxQueued: number;
 	/** How long entries gather before they are appended together, as it is now. */
-	getGatherMs(): number;
+	getLingerMs(): number;
 };
 
-type Queued = {
+type QueuedEntry = {
 	entry: JobEntry;
 	/** Asked just before the append: an entry decided by an owner that was deposed meanwhile is dropped. */
 	isWanted?: () => boolean;
@@ -36,7 +36,7 @@
 /** Gathers entries and appends them, each batch until the log has taken it. */
 export class JobWriter {
 	readonly #options: JobWriterOptions;
-	readonly #queue: Queued[] = [];
+	readonly #queue: QueuedEntry[] = [];
 	#wake?: () => void;
 
 	constructor(options: JobWriterOptions) {
@@ -63,7 +63,7 @@
 
 	/** Appends what is queued until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
-		const {clock, getGatherMs} = this.#options;
+		const {clock, getLingerMs: getGatherMs} = this.#options;
 		while (!signal.aborted) {
 			if (this.#queue.length === 0) {
 				await this.#waitForEntry(signal);
@@ -81,8 +81,8 @@
 		}
 	}
 
-	#takeBatch(): Queued[] {
-		const batch: Queued[] = [];
+	#takeBatch(): QueuedEntry[] {
+		const batch: QueuedEntry[] = [];
 		for (const queued of this.#queue.splice(0, this.#options.maxEntries)) {
 			if (queued.isWanted?.() ?? true) {
 				batch.push(queued);
@@ -94,11 +94,11 @@
 		return batch;
 	}
 
-	async #append(batch: Queued[], signal: AbortSignal): Promise<void> {
+	async #append(batch: QueuedEntry[], signal: AbortSignal): Promise<void> {
 		const {clock, random, metrics} = this.#options;
 		const id = random.id();
 		const entries = batch.map(({entry}) => entry);
-		let pauseMs = minPauseMs;
+		let backoffMs = minBackoffMs;
 		while (!signal.aborted) {
 			try {
 				// Written now, even when it was decided before a long outage: the age of a job counts from when others can know.
@@ -114,8 +114,8 @@
 				// The append may have taken effect. The same record again changes nothing: every entry folds idempotently.
 				metrics.count(Metric.LogErrors, Stream.Jobs);
 				log('Append failed: %s', getMessage(error));
-				await clock.sleep(pauseMs * (0.5 + random.next()), signal);
-				pauseMs = Math.min(maxPauseMs, pauseMs * 2);
+				await clock.sleep(backoffMs * (0.5 + random.next()), signal);
+				backoffMs = Math.min(maxBackoffMs, backoffMs * 2);
 			}
 		}
 
--- a/src/jobs/lease-keeper.ts
+++ b/src/jobs/lease-keeper.ts
@@ -13,7 +13,7 @@
 
 const log = createLogger(Part.Jobs);
 /** A worker with nothing to renew is looked at so many times less often. */
-const idleFactor = 10;
+const idlePeriodFactor = 10;
 
 /** Times that leases need. */
 export type LeaseTimes = {
@@ -23,8 +23,8 @@
 	clockErrorMs: number;
 };
 
-/** What a keeper needs. */
-export type LeaseKeeperOptions = {
+/** What a leaseManager needs. */
+export type LeaseManagerOptions = {
 	workerId: string;
 	clock: Clock;
 	random: Random;
@@ -38,7 +38,7 @@
 	/** The worker has answered for one attempt. */
 	onReply(task: LiveTask, attempt: number, reply: WorkerReply, report?: TaskReport): void;
 	/** No lease of the attempt can be running any more, and no end was learned. */
-	onLapsed(task: LiveTask): void;
+	onLeaseExpired(task: LiveTask): void;
 	/** The worker knows a newer owner of the shard. */
 	onStaleToken(shard: number, fencingToken: number): void;
 	/** All that the worker has, when the question was sent, and which shard it sealed in doing so. */
@@ -52,22 +52,22 @@
 };
 
 /** Speaks to one worker; one task for each. */
-export class LeaseKeeper {
+export class LeaseManager {
 	/** Tasks that may run at the worker. */
 	readonly tasks = new Set<LiveTask>();
 	/** When the last message was sent that the worker answered without naming a newer token, by shard. */
 	readonly acceptedAtMs = new Map<number, number>();
 	/** Since when the worker's present incarnation is known. */
 	knownSinceMs = Number.POSITIVE_INFINITY;
-	readonly #options: LeaseKeeperOptions;
-	#forgets: TaskRef[] = [];
+	readonly #options: LeaseManagerOptions;
+	#refsToForget: TaskRef[] = [];
 	#calibration?: Calibration;
-	#preparing?: Promise<unknown>;
+	#calibrating?: Promise<unknown>;
 	#isAnswering = true;
-	#isSnapshotWanted = false;
+	#isSnapshotRequested = false;
 	#wake?: () => void;
 
-	constructor(options: LeaseKeeperOptions) {
+	constructor(options: LeaseManagerOptions) {
 		this.#options = options;
 	}
 
@@ -86,34 +86,34 @@
 	}
 
 	/** Tells whether the worker refuses orders that come late. */
-	get isExpiring(): boolean {
+	get isDeadlineEnforced(): boolean {
 		return Number.isFinite(this.#calibration?.offsetMs);
 	}
 
 	/** Until when an order or renewal sent now may keep a task running. */
-	getRunsUntilMs(): number {
+	getLatestLeaseEndMs(): number {
 		const {clock, times: {leaseMs, callTimeoutMs, clockErrorMs}} = this.#options;
 		return clock.monotonicMs() + callTimeoutMs + leaseMs + clockErrorMs;
 	}
 
 	/** Learns the worker's incarnation and clock, unless they are known. */
-	async prepare(): Promise<void> {
+	async ensureCalibrated(): Promise<void> {
 		if (this.#calibration) {
 			return;
 		}
 
 		// Shared: the first wave of starts at a worker would otherwise ask once for each task.
-		this.#preparing ??= this.list();
+		this.#calibrating ??= this.list();
 		try {
-			await this.#preparing;
+			await this.#calibrating;
 		} finally {
-			this.#preparing = undefined;
+			this.#calibrating = undefined;
 		}
 	}
 
 	/** Orders a start as of the moment given. Throws without an answer: the task may run. */
 	async start(order: StartOrder, asOfMs: number): Promise<WorkerReply> {
-		return this.#call(async client => client.start({...order, ...this.#getExpiry(asOfMs)}));
+		return this.#call(async client => client.start({...order, ...this.#getOrderDeadline(asOfMs)}));
 	}
 
 	/** Orders a stop. Throws without an answer: the task may run. */
@@ -122,7 +122,7 @@
 	}
 
 	/** Stops an attempt that no task of ours stands for, and drops it. */
-	async drop(ref: TaskRef): Promise<void> {
+	async stopAndForget(ref: TaskRef): Promise<void> {
 		const reply = await this.#call(async client => client.stop(ref, {isCheckpoint: false}));
 		if (reply.isAccepted) {
 			this.forget(ref);
@@ -136,7 +136,7 @@
 
 	/** Has an ended attempt dropped with the next message. */
 	forget(ref: TaskRef): void {
-		this.#forgets.push(ref);
+		this.#refsToForget.push(ref);
 	}
 
 	/** Refuses older owners at the worker and learns what it has. */
@@ -144,7 +144,7 @@
 		const sentAtMs = this.#options.clock.monotonicMs();
 		const snapshot = await this.#call(async client => client.seal(shard, fencingToken));
 		this.acceptedAtMs.set(shard, sentAtMs);
-		this.#noteSnapshot(snapshot, sentAtMs, shard);
+		this.#handleSnapshot(snapshot, sentAtMs, shard);
 		return snapshot;
 	}
 
@@ -152,13 +152,13 @@
 	async list(): Promise<WorkerSnapshot> {
 		const sentAtMs = this.#options.clock.monotonicMs();
 		const snapshot = await this.#call(async client => client.list());
-		this.#noteSnapshot(snapshot, sentAtMs);
+		this.#handleSnapshot(snapshot, sentAtMs);
 		return snapshot;
 	}
 
 	/** Has the worker listed in the next round. */
-	wantSnapshot(): void {
-		this.#isSnapshotWanted = true;
+	requestSnapshot(): void {
+		this.#isSnapshotRequested = true;
 	}
 
 	/** Has the next round begin now. */
@@ -179,10 +179,10 @@
 			};
 
 			// Jitter: the workers of a fleet are not all spoken to in the same instant.
-			const periodMs = this.#isIdle() ? times.renewEveryMs * idleFactor : times.renewEveryMs;
+			const periodMs = this.#isIdle() ? times.renewEveryMs * idlePeriodFactor : times.renewEveryMs;
 			await clock.sleep(periodMs * (0.75 + (random.next() / 2)), aborter.signal);
 			if (!signal.aborted) {
-				await this.runRound();
+				await this.runCycle();
 			}
 		}
 	}
@@ -197,29 +197,29 @@
 	}
 
 	/** One round: resolves what is unresolved, renews, forgets. */
-	async runRound(): Promise<void> {
+	async runCycle(): Promise<void> {
 		try {
-			await this.#resolve();
+			await this.#resolveUnanswered();
 			await this.#renew();
-			await this.#sendForgets();
+			await this.#sendForget();
 		} catch (error) {
 			log('Worker %s: %s', this.workerId, getMessage(error));
 		}
 
-		this.#dropLapsed();
+		this.#reportExpiredLeases();
 	}
 
 	#isIdle(): boolean {
-		return this.#isAnswering && this.tasks.size === 0 && this.#forgets.length === 0 && !this.#isSnapshotWanted && this.#options.getProbes().length === 0;
+		return this.#isAnswering && this.tasks.size === 0 && this.#refsToForget.length === 0 && !this.#isSnapshotRequested && this.#options.getProbes().length === 0;
 	}
 
 	/** After silence the worker is asked what it has before leases are renewed: an unanswered renewal prolongs what may run. */
-	async #resolve(): Promise<void> {
-		if (this.#isAnswering && !this.#isSnapshotWanted && ![...this.tasks].some(task => task.isUnresolved)) {
+	async #resolveUnanswered(): Promise<void> {
+		if (this.#isAnswering && !this.#isSnapshotRequested && ![...this.tasks].some(task => task.isUnresolved)) {
 			return;
 		}
 
-		this.#isSnapshotWanted = false;
+		this.#isSnapshotRequested = false;
 		await this.list();
 	}
 
@@ -227,7 +227,7 @@
 		const {clock, metrics, times, mayRenew, getProbes, onStaleToken} = this.#options;
 		const tasks = [...this.tasks].filter(task => task.phase === TaskPhase.Running && mayRenew(task.job.shard));
 		const sentAtMs = clock.monotonicMs();
-		const expiry = this.#getExpiry(sentAtMs);
+		const expiry = this.#getOrderDeadline(sentAtMs);
 		const probes = getProbes();
 		const refs = [...tasks.map(task => getTaskRef(task)), ...probes].map(ref => ({...ref, ...expiry}));
 		if (refs.length === 0) {
@@ -236,7 +236,7 @@
 
 		const attempts = tasks.map(({attempt}) => attempt);
 		for (const task of tasks) {
-			task.runsUntilMs = this.getRunsUntilMs();
+			task.latestLeaseEndMs = this.getLatestLeaseEndMs();
 		}
 
 		metrics.count(Metric.LeaseRenewals);
@@ -250,10 +250,10 @@
 			}
 		}
 
-		await this.#takeReplies(tasks, attempts, replies);
+		await this.#handleReplies(tasks, attempts, replies);
 	}
 
-	async #takeReplies(tasks: LiveTask[], attempts: number[], replies: WorkerReply[]): Promise<void> {
+	async #handleReplies(tasks: LiveTask[], attempts: number[], replies: WorkerReply[]): Promise<void> {
 		const isEnded = (reply?: WorkerReply) => reply?.isAccepted && reply.state !== undefined && reply.state !== TaskState.Running;
 		// Renewals do not bring results; one listing brings those of all tasks that have ended since.
 		const snapshot = replies.some(reply => isEnded(reply)) ? await this.list() : undefined;
@@ -266,7 +266,7 @@
 
 			if (reply.refusal === WorkerRefusal.Expired) {
 				// Came late or to a later incarnation: the listing of the next round tells which.
-				this.#isSnapshotWanted = true;
+				this.#isSnapshotRequested = true;
 				continue;
 			}
 
@@ -275,31 +275,31 @@
 		}
 	}
 
-	async #sendForgets(): Promise<void> {
-		const refs = this.#forgets;
+	async #sendForget(): Promise<void> {
+		const refs = this.#refsToForget;
 		if (refs.length === 0) {
 			return;
 		}
 
-		this.#forgets = [];
+		this.#refsToForget = [];
 		try {
 			await this.#call(async client => client.forget(refs));
 		} catch (error) {
-			this.#forgets.push(...refs);
+			this.#refsToForget.push(...refs);
 			throw error;
 		}
 	}
 
-	#dropLapsed(): void {
+	#reportExpiredLeases(): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const task of this.tasks) {
-			if (nowMs > task.runsUntilMs) {
-				this.#options.onLapsed(task);
+			if (nowMs > task.latestLeaseEndMs) {
+				this.#options.onLeaseExpired(task);
 			}
 		}
 	}
 
-	#noteSnapshot(snapshot: WorkerSnapshot, sentAtMs: number, sealedShard?: number): void {
+	#handleSnapshot(snapshot: WorkerSnapshot, sentAtMs: number, sealedShard?: number): void {
 		const {clock, onSnapshot} = this.#options;
 		const nowMs = clock.monotonicMs();
 		if (this.#calibration?.incarnation !== snapshot.incarnation) {
@@ -314,7 +314,7 @@
 		onSnapshot(snapshot, sentAtMs, sealedShard);
 	}
 
-	#getExpiry(asOfMs: number): Pick<StartOrder, 'notAfterMs' | 'workerIncarnation'> {
+	#getOrderDeadline(asOfMs: number): Pick<StartOrder, 'notAfterMs' | 'workerIncarnation'> {
 		const {times} = this.#options;
 		const {offsetMs, incarnation} = this.#calibration ?? {offsetMs: Number.POSITIVE_INFINITY};
 		return {
--- a/src/jobs/lease-proof.ts
+++ b/src/jobs/lease-proof.ts
@@ -2,12 +2,12 @@
 Proof, by the workers, that no newer owner of a shard can have begun: what an owner goes by while the log is away.
 */
 import {type Clock} from '../types/clock.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
+import {type LeaseManager} from './lease-keeper.ts';
 
-const proofEveryMs = 100;
+const proofValidityMs = 100;
 
 /** Moment up to which more than half of the workers have not known a newer token, or undefined when they did not tell. */
-export const getMajorityMs = (acceptedAtMs: Array<number | undefined>): number | undefined => {
+export const getMajorityAcceptedMs = (acceptedAtMs: Array<number | undefined>): number | undefined => {
 	const needed = Math.floor(acceptedAtMs.length / 2) + 1;
 	const known = acceptedAtMs.filter(atMs => atMs !== undefined).toSorted((a, b) => b - a);
 	return known[needed - 1];
@@ -21,7 +21,7 @@
 	clock: Clock;
 	/** How long an answer of a worker counts; no longer than an entry's lease on its shards. */
 	validMs: number;
-	getKeepers(): LeaseKeeper[];
+	getLeaseManagers(): LeaseManager[];
 	/** Until when this entry's lease by the log lasted. */
 	getLeaseEndMs(): number;
 };
@@ -41,8 +41,8 @@
 	/** Forgets what was proved under an earlier token. */
 	clear(shard: number): void {
 		this.#proofs.delete(shard);
-		for (const keeper of this.#options.getKeepers()) {
-			keeper.acceptedAtMs.delete(shard);
+		for (const leaseManager of this.#options.getLeaseManagers()) {
+			leaseManager.acceptedAtMs.delete(shard);
 		}
 	}
 
@@ -51,18 +51,18 @@
 		const {clock, validMs} = this.#options;
 		const nowMs = clock.monotonicMs();
 		let proof = this.#proofs.get(shard);
-		if (!proof || nowMs - proof.atMs >= proofEveryMs) {
-			proof = {atMs: nowMs, endMs: (this.#getMajorityMs(shard) ?? Number.NEGATIVE_INFINITY) + validMs};
+		if (!proof || nowMs - proof.atMs >= proofValidityMs) {
+			proof = {atMs: nowMs, endMs: (this.#getMajorityAcceptedMs(shard) ?? Number.NEGATIVE_INFINITY) + validMs};
 			this.#proofs.set(shard, proof);
 		}
 
 		return nowMs < proof.endMs;
 	}
 
-	#getMajorityMs(shard: number): number | undefined {
+	#getMajorityAcceptedMs(shard: number): number | undefined {
 		const leaseEndMs = this.#options.getLeaseEndMs();
 		// A worker that restarted since has forgotten whom it was sealed for: its word proves nothing.
-		return getMajorityMs(this.#options.getKeepers().map(keeper =>
-			keeper.knownSinceMs <= leaseEndMs ? keeper.acceptedAtMs.get(shard) : undefined));
+		return getMajorityAcceptedMs(this.#options.getLeaseManagers().map(leaseManager =>
+			leaseManager.knownSinceMs <= leaseEndMs ? leaseManager.acceptedAtMs.get(shard) : undefined));
 	}
 }
--- a/src/jobs/ownership-fold.ts
+++ b/src/jobs/ownership-fold.ts
@@ -32,13 +32,13 @@
 	caughtUpAtMs?: number;
 	readonly #holdings = new Map<number, Holding>();
 	readonly #presences = new Map<string, Presence>();
-	readonly #lapseMs: number;
+	readonly #expireAfterMs: number;
 	#lastPageAtMs?: number;
 	#isTruncated = false;
 
-	/** `lapseMs`: how long after the reading of its last record an entry counts as gone. */
-	constructor(lapseMs: number) {
-		this.#lapseMs = lapseMs;
+	/** `expireAfterMs`: how long after the reading of its last record an entry counts as gone. */
+	constructor(expireAfterMs: number) {
+		this.#expireAfterMs = expireAfterMs;
 	}
 
 	/** Token of the shard's last valid claim, or -1. */
@@ -52,13 +52,13 @@
 	}
 
 	/** Shards that the entry holds. */
-	getHeld(owner: OwnerId): number[] {
+	getHeldShards(owner: OwnerId): number[] {
 		return [...this.#holdings].filter(([, holding]) => isSameOwner(holding.owner, owner)).map(([shard]) => shard);
 	}
 
 	/** Entries whose last record was read within the lapse time. */
 	getLive(nowMs: number): string[] {
-		return [...this.#presences].filter(([, {lastReadAtMs}]) => nowMs - lastReadAtMs <= this.#lapseMs).map(([processId]) => processId);
+		return [...this.#presences].filter(([, {lastReadAtMs}]) => nowMs - lastReadAtMs <= this.#expireAfterMs).map(([processId]) => processId);
 	}
 
 	/** How long the entry has been there without a lapse. */
@@ -68,31 +68,31 @@
 	}
 
 	/** Tells whether the owner's lease has lapsed for this reader. */
-	isLapsed(shard: number, nowMs: number): boolean {
+	isLeaseExpired(shard: number, nowMs: number): boolean {
 		const owner = this.getOwner(shard);
 		if (!owner) {
 			return true;
 		}
 
 		const presence = this.#presences.get(owner.processId);
-		return !presence || presence.incarnation > owner.incarnation || nowMs - presence.lastReadAtMs > this.#lapseMs;
+		return !presence || presence.incarnation > owner.incarnation || nowMs - presence.lastReadAtMs > this.#expireAfterMs;
 	}
 
 	/** Tells whether the stream was read to its end so lately that a judgement on others may be made. */
 	isFresh(nowMs: number): boolean {
-		return this.#lastPageAtMs !== undefined && nowMs - this.#lastPageAtMs <= this.#lapseMs / 2;
+		return this.#lastPageAtMs !== undefined && nowMs - this.#lastPageAtMs <= this.#expireAfterMs / 2;
 	}
 
 	/** Records before the offset are gone. */
-	noteGap(oldestOffset: number): void {
+	markGap(oldestOffset: number): void {
 		this.#isTruncated = true;
 		this.offset = Math.max(this.offset, oldestOffset - 1);
 	}
 
 	/** A page was read. */
-	notePage(endOffset: number, nowMs: number): void {
+	recordPage(endOffset: number, nowMs: number): void {
 		// While the log was away nobody could renew: all get a whole lease again, else every entry would take over from every other.
-		if (this.#lastPageAtMs !== undefined && nowMs - this.#lastPageAtMs > this.#lapseMs / 2) {
+		if (this.#lastPageAtMs !== undefined && nowMs - this.#lastPageAtMs > this.#expireAfterMs / 2) {
 			for (const presence of this.#presences.values()) {
 				presence.lastReadAtMs = nowMs;
 			}
@@ -114,13 +114,13 @@
 			return [];
 		}
 
-		this.#notePresence(processId, incarnation, nowMs);
+		this.#recordPresence(processId, incarnation, nowMs);
 		return record.shards.filter(({shard, fencingToken}) => this.#applyShard(record, shard, fencingToken)).map(({shard}) => shard);
 	}
 
-	#notePresence(processId: string, incarnation: number, nowMs: number): void {
+	#recordPresence(processId: string, incarnation: number, nowMs: number): void {
 		const known = this.#presences.get(processId);
-		const isContinued = known?.incarnation === incarnation && nowMs - known.lastReadAtMs <= this.#lapseMs;
+		const isContinued = known?.incarnation === incarnation && nowMs - known.lastReadAtMs <= this.#expireAfterMs;
 		this.#presences.set(processId, {incarnation, firstReadAtMs: isContinued ? known.firstReadAtMs : nowMs, lastReadAtMs: nowMs});
 	}
 
--- a/src/jobs/ownership-keeper.ts
+++ b/src/jobs/ownership-keeper.ts
@@ -16,8 +16,8 @@
 const log = createLogger(Part.Ownership);
 const parseRecord = createParser('read ownership record', ownershipRecordSchema);
 /** Part of a lease that an owner does not use, for the drift between its clock and its reader's. */
-const unusedShare = 0.1;
-const stepsPerRenewal = 4;
+const leaseSafetyMargin = 0.1;
+const balanceStepsPerRenewal = 4;
 
 /** What ownership needs. */
 export type OwnershipOptions = {
@@ -42,7 +42,7 @@
 };
 
 /** Ownership of shards by this entry. */
-export class OwnershipKeeper {
+export class OwnershipManager {
 	readonly fold: OwnershipFold;
 	readonly #options: OwnershipOptions;
 	readonly #sentAtMs = new Map<number, number>();
@@ -78,8 +78,8 @@
 	}
 
 	/** A worker knows a newer token of the shard: this entry was deposed before it could read so. */
-	noteDeposed(shard: number): void {
-		this.#lose(shard);
+	markSuperseded(shard: number): void {
+		this.#dropShard(shard);
 	}
 
 	/** Follows the stream, and renews, claims and gives back until the signal aborts. */
@@ -87,13 +87,13 @@
 		const {log: platformLog, clock, random} = this.#options;
 		const following = followLog({
 			onRecord: ({offset, value}) => {
-				this.#take(parseRecord(value), offset);
+				this.#applyRecord(parseRecord(value), offset);
 			},
 			onGap: (_, oldestOffset) => {
-				this.fold.noteGap(oldestOffset);
+				this.fold.markGap(oldestOffset);
 			},
 			onPage: ({endOffset}) => {
-				this.fold.notePage(endOffset, clock.monotonicMs());
+				this.fold.recordPage(endOffset, clock.monotonicMs());
 			},
 			onBadRecord: (record, error) => {
 				this.#options.metrics.count(Metric.BadRecords, Stream.Ownership);
@@ -114,29 +114,29 @@
 		await this.#release([...this.#owned.keys()]);
 	}
 
-	#take(record: OwnershipRecord, offset: number): void {
+	#applyRecord(record: OwnershipRecord, offset: number): void {
 		const {clock, self, leaseMs} = this.#options;
 		const changed = this.fold.apply(record, offset, clock.monotonicMs());
 		if (isSameOwner(record, self)) {
 			// Only a record read back counts: one whose answer was lost counts as well, one behind another's claim does not help.
 			const sentAtMs = this.#sentAtMs.get(record.sequence);
 			if (sentAtMs !== undefined) {
-				this.#leaseEndMs = Math.max(this.#leaseEndMs, sentAtMs + (leaseMs * (1 - unusedShare)));
+				this.#leaseEndMs = Math.max(this.#leaseEndMs, sentAtMs + (leaseMs * (1 - leaseSafetyMargin)));
 				this.#sentAtMs.delete(record.sequence);
 			}
 		}
 
 		for (const shard of changed) {
-			this.#takeChange(shard);
+			this.#applyChange(shard);
 		}
 	}
 
-	#takeChange(shard: number): void {
+	#applyChange(shard: number): void {
 		const {self, metrics, onOwned} = this.#options;
 		this.#unownedSince.delete(shard);
 		const token = this.fold.getToken(shard);
 		if (this.#owned.has(shard) && (this.#owned.get(shard) !== token || !isSameOwner(this.fold.getOwner(shard), self))) {
-			this.#lose(shard);
+			this.#dropShard(shard);
 		}
 
 		if (!this.#owned.has(shard) && isSameOwner(this.fold.getOwner(shard), self)) {
@@ -147,7 +147,7 @@
 		}
 	}
 
-	#lose(shard: number): void {
+	#dropShard(shard: number): void {
 		if (this.#owned.delete(shard)) {
 			this.#releasing.delete(shard);
 			this.#options.metrics.count(Metric.ShardsLost);
@@ -167,16 +167,16 @@
 	async #balance(signal: AbortSignal): Promise<void> {
 		const {clock, random, renewEveryMs} = this.#options;
 		while (!signal.aborted) {
-			await clock.sleep((renewEveryMs / stepsPerRenewal) * (0.75 + (random.next() / 2)), signal);
-			if (this.#mayJudge() && !signal.aborted) {
-				await this.#claimWanted(signal);
-				await this.#release(this.#getUnwanted());
+			await clock.sleep((renewEveryMs / balanceStepsPerRenewal) * (0.75 + (random.next() / 2)), signal);
+			if (this.#isLivenessKnown() && !signal.aborted) {
+				await this.#claimShards(signal);
+				await this.#release(this.#getShardsToRelease());
 			}
 		}
 	}
 
 	/** A reader judges others only once it has followed the stream for a whole lease: whoever lives has renewed by then. */
-	#mayJudge(): boolean {
+	#isLivenessKnown(): boolean {
 		const nowMs = this.#options.clock.monotonicMs();
 		const {caughtUpAtMs} = this.fold;
 		const isEmpty = this.fold.offset < 0 || this.fold.getLive(nowMs).length <= 1;
@@ -184,13 +184,13 @@
 		return caughtUpAtMs !== undefined && this.fold.isFresh(nowMs) && this.hasLease() && nowMs - caughtUpAtMs >= waitMs;
 	}
 
-	async #claimWanted(signal: AbortSignal): Promise<void> {
+	async #claimShards(signal: AbortSignal): Promise<void> {
 		const {clock, self, renewEveryMs, getShards} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const live = this.fold.getLive(nowMs);
 		const wanted: Array<{shard: number; fencingToken: number}> = [];
 		for (const shard of getShards()) {
-			if (this.#owned.has(shard) || !this.fold.isLapsed(shard, nowMs)) {
+			if (this.#owned.has(shard) || !this.fold.isLeaseExpired(shard, nowMs)) {
 				continue;
 			}
 
@@ -209,7 +209,7 @@
 	}
 
 	/** Shards that belong to an entry which has been there long enough: an entry that comes and goes moves nothing. */
-	#getUnwanted(): number[] {
+	#getShardsToRelease(): number[] {
 		const {clock, self, settleMs} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const settled = this.fold.getLive(nowMs).filter(processId => processId === self.processId || this.fold.getPresenceMs(processId, nowMs) >= settleMs);
--- a/src/jobs/recovery.ts
+++ b/src/jobs/recovery.ts
@@ -7,10 +7,10 @@
 import {type Random} from '../types/random.ts';
 import {createLogger, Part} from '../utils/logger.ts';
 import {type JobFold} from './job-fold.ts';
-import {type JobLimiter} from './job-limiter.ts';
+import {type CallLimiter} from './job-limiter.ts';
 import {JobEntryType} from './job-records.ts';
 import {type JobWriter} from './job-writer.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
+import {type LeaseManager} from './lease-keeper.ts';
 import {isMajority} from './lease-proof.ts';
 import {type ShardOwner} from './shard-owner.ts';
 import {TaskPhase} from './shard-task.ts';
@@ -22,12 +22,12 @@
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
-	limiter: JobLimiter;
+	limiter: CallLimiter;
 	/** Longest time for which an earlier owner may keep tasks running at workers that this owner has not reached. */
 	waitMs: number;
 	retryMs: number;
 	/** Workers of the fleet as known now. */
-	getKeepers(): LeaseKeeper[];
+	getLeaseManagers(): LeaseManager[];
 	/** Tells whether this process has known the fleet for so long that no worker with a running lease can be unknown to it. */
 	isFleetKnown(): boolean;
 };
@@ -55,25 +55,25 @@
 export const recoverShard = async (owner: ShardOwner, options: RecoveryOptions): Promise<void> => {
 	const {clock, random, metrics, retryMs, waitMs} = options;
 	const startedAtMs = clock.monotonicMs();
-	const sealed = new Set<LeaseKeeper>();
+	const sealed = new Set<LeaseManager>();
 	let quorumAtMs: number | undefined;
 	let isReleased = false;
 	while (!owner.isClosed) {
-		const keepers = options.getKeepers();
-		await sealAll(owner, keepers.filter(keeper => !sealed.has(keeper)), sealed, options);
-		const reached = keepers.filter(keeper => sealed.has(keeper)).length;
-		if (isMajority(reached, keepers.length)) {
+		const leaseManagers = options.getLeaseManagers();
+		await sealAll(owner, leaseManagers.filter(leaseManager => !sealed.has(leaseManager)), sealed, options);
+		const reached = leaseManagers.filter(leaseManager => sealed.has(leaseManager)).length;
+		if (isMajority(reached, leaseManagers.length)) {
 			quorumAtMs ??= clock.monotonicMs();
 		}
 
-		const isAllReached = reached === keepers.length;
+		const isAllReached = reached === leaseManagers.length;
 		// Counted from the majority: from then on an owner without the log can prove itself to no majority and renews nothing.
 		const isWaitedOut = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;
 		if (!isReleased && ((isAllReached && options.isFleetKnown()) || isWaitedOut)) {
 			isReleased = true;
 			releaseHeld(owner);
 			metrics.timing(Metric.RecoveryMs, clock.monotonicMs() - startedAtMs);
-			log('Shard %d recovered from %d of %d workers.', owner.shard, reached, keepers.length);
+			log('Shard %d recovered from %d of %d workers.', owner.shard, reached, leaseManagers.length);
 		}
 
 		if (isReleased && isAllReached) {
@@ -84,17 +84,17 @@
 	}
 };
 
-const sealAll = async (owner: ShardOwner, keepers: LeaseKeeper[], sealed: Set<LeaseKeeper>, options: RecoveryOptions): Promise<void> => {
-	await Promise.all(keepers.map(async keeper => {
+const sealAll = async (owner: ShardOwner, leaseManagers: LeaseManager[], sealed: Set<LeaseManager>, options: RecoveryOptions): Promise<void> => {
+	await Promise.all(leaseManagers.map(async leaseManager => {
 		try {
 			// Limited: a fleet is not sealed in one instant, and several shards taken over at once share the limit.
-			await options.limiter.run(async () => owner.isClosed ? undefined : keeper.seal(owner.shard, owner.fencingToken));
+			await options.limiter.run(async () => owner.isClosed ? undefined : leaseManager.seal(owner.shard, owner.fencingToken));
 			if (!owner.isClosed) {
-				owner.onSealed(keeper.workerId, keeper.incarnation!);
-				sealed.add(keeper);
+				owner.onSealed(leaseManager.workerId, leaseManager.incarnation!);
+				sealed.add(leaseManager);
 			}
 		} catch (error) {
-			log('Worker %s not sealed for shard %d: %s', keeper.workerId, owner.shard, getMessage(error));
+			log('Worker %s not sealed for shard %d: %s', leaseManager.workerId, owner.shard, getMessage(error));
 		}
 	}));
 };
--- a/src/jobs/shard-ends.ts
+++ b/src/jobs/shard-ends.ts
@@ -19,9 +19,9 @@
 	}
 
 	/** Frees what the task holds here, without a word to its worker: it runs on under the next owner. */
-	letGo(task: LiveTask): void {
+	detach(task: LiveTask): void {
 		const {engine, tasks, waiting} = this.#context;
-		this.leaveWorker(task);
+		this.releaseWorker(task);
 		engine.cancel(task.taskId);
 		tasks.delete(task.taskId);
 		waiting.delete(task);
@@ -29,14 +29,14 @@
 	}
 
 	/** Frees the task's room; its present attempt is not running any more. Without `isSuccess` its end tells nothing of its worker. */
-	leaveWorker(task: LiveTask, isSuccess?: boolean): void {
-		const {clock, engine, getKeeper} = this.#context;
+	releaseWorker(task: LiveTask, isSuccess?: boolean): void {
+		const {clock, engine, getLeaseManager} = this.#context;
 		task.isUnresolved = false;
 		if (task.workerId === undefined) {
 			return;
 		}
 
-		getKeeper(task.workerId)?.tasks.delete(task);
+		getLeaseManager(task.workerId)?.tasks.delete(task);
 		if (isSuccess === undefined) {
 			engine.cancel(task.taskId);
 		}
@@ -46,7 +46,7 @@
 
 	/** Records the task's end; asked again until the log has it or the shard is lost. */
 	finish(task: LiveTask, end: Pick<TaskEnd, 'state' | 'result' | 'reason'>): void {
-		this.leaveWorker(task, end.state === TaskState.Stopped ? undefined : end.state === TaskState.Succeeded);
+		this.releaseWorker(task, end.state === TaskState.Stopped ? undefined : end.state === TaskState.Succeeded);
 		task.phase = TaskPhase.Ending;
 		task.end = {
 			index: task.index, attempt: Math.max(0, task.attempt), evictions: task.evictions, ...end,
@@ -57,7 +57,7 @@
 	/** The log has the task's end. */
 	closeRecorded(task: LiveTask): void {
 		if (task.workerId !== undefined && task.phase === TaskPhase.Ending) {
-			this.#context.getKeeper(task.workerId)?.forget(getTaskRef(task));
+			this.#context.getLeaseManager(task.workerId)?.forget(getTaskRef(task));
 		}
 
 		this.close(task);
@@ -65,7 +65,7 @@
 
 	/** Drops a task that is no longer ours. */
 	close(task: LiveTask): void {
-		this.forgetKept(task);
+		this.forgetRetained(task);
 		task.phase = TaskPhase.Closed;
 		this.#context.waiting.delete(task);
 		this.#context.tasks.delete(task.taskId);
@@ -75,15 +75,15 @@
 	/** Has the present attempt dropped at its worker. */
 	forget(task: LiveTask): void {
 		if (task.workerId !== undefined) {
-			this.#context.getKeeper(task.workerId)?.forget(getTaskRef(task));
+			this.#context.getLeaseManager(task.workerId)?.forget(getTaskRef(task));
 		}
 	}
 
 	/** Has the kept attempt dropped at its worker. */
-	forgetKept(task: LiveTask): void {
-		if (task.kept) {
-			this.#context.getKeeper(task.kept.workerId)?.forget(task.kept.ref);
-			task.kept = undefined;
+	forgetRetained(task: LiveTask): void {
+		if (task.retainedAttempt) {
+			this.#context.getLeaseManager(task.retainedAttempt.workerId)?.forget(task.retainedAttempt.ref);
+			task.retainedAttempt = undefined;
 		}
 	}
 
--- a/src/jobs/shard-owner.ts
+++ b/src/jobs/shard-owner.ts
@@ -7,7 +7,7 @@
 import {createLogger, Part} from '../utils/logger.ts';
 import {type FoldedJob, type JobChange} from './job-fold.ts';
 import {JobEntryType, type Dispatch} from './job-records.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
+import {type LeaseManager} from './lease-keeper.ts';
 import {type ShardContext} from './shard-context.ts';
 import {ShardRunner} from './shard-runner.ts';
 import {
@@ -24,7 +24,7 @@
 	readonly runner: ShardRunner;
 	readonly #context: ShardContext;
 	/** Incarnations of the workers that have been sealed under this token, and whose tasks are known therefore. */
-	readonly #sealed = new Map<string, number>();
+	readonly #sealedIncarnations = new Map<string, number>();
 	readonly #jobs = new Map<string, Map<number, LiveTask>>();
 	#isClosed = false;
 
@@ -66,7 +66,7 @@
 	}
 
 	/** Takes a job's tasks that have not ended; held ones wait for what the workers tell. */
-	takeJob(job: FoldedJob, isHeld: boolean): void {
+	addJob(job: FoldedJob, isHeld: boolean): void {
 		if (this.#isClosed || this.#jobs.has(job.spec.jobId) || (job.isCancelled && !isHeld)) {
 			return;
 		}
@@ -100,7 +100,7 @@
 		switch (type) {
 			case JobEntryType.Accept:
 			case JobEntryType.Snapshot: {
-				this.takeJob(job, false);
+				this.addJob(job, false);
 				break;
 			}
 
@@ -130,7 +130,7 @@
 	}
 
 	/** Puts the waiting tasks of a job before the engine once more. */
-	enqueueAgain(jobId: string): void {
+	offerAgain(jobId: string): void {
 		for (const task of this.#jobs.get(jobId)?.values() ?? []) {
 			if (task.phase === TaskPhase.Waiting) {
 				this.runner.queue.offer(task);
@@ -158,54 +158,54 @@
 		const dispatch = task.job.dispatches.get(task.index);
 		if (task.isCancelled) {
 			this.runner.ends.close(task);
-		} else if (dispatch && !this.#isSettled(task, dispatch)) {
+		} else if (dispatch && !this.#isDispatchResolved(task, dispatch)) {
 			// It was about to be started, and what became of it cannot be learned: to run it again might run it twice.
 			this.runner.ends.finish(task, {state: TaskState.Failed, reason: 'unknown: its end was lost with its worker or owner'});
 		} else {
 			this.runner.queue.enqueue(task);
 			if (task.job.spec.isGang) {
-				this.runner.breakGang(task);
+				this.runner.restartGang(task);
 			}
 		}
 	}
 
 	/** The worker refuses earlier owners, and has listed its tasks since. */
 	onSealed(workerId: string, incarnation: number): void {
-		this.#sealed.set(workerId, incarnation);
+		this.#sealedIncarnations.set(workerId, incarnation);
 	}
 
 	/** Takes what a worker lists of an attempt of this shard; `isSeal`: in answer to the seal. */
-	onReport(keeper: LeaseKeeper, report: TaskReport, isSeal: boolean): void {
+	onReport(leaseManager: LeaseManager, report: TaskReport, isSeal: boolean): void {
 		if (this.#isClosed) {
 			return;
 		}
 
 		const task = this.#context.tasks.get(report.taskId);
 		if (task?.job.shard !== this.shard) {
-			this.#dropStray(keeper, report);
+			this.#dropOrphan(leaseManager, report);
 			return;
 		}
 
 		if (task.phase === TaskPhase.Held) {
 			// Another list may have been on its way while the earlier owner could still change what runs.
 			if (isSeal) {
-				this.#learn(task, keeper, report);
+				this.#adopt(task, leaseManager, report);
 			}
 
 			return;
 		}
 
-		if (task.workerId === keeper.workerId && task.attempt === report.attempt) {
-			this.runner.takeReport(task, report);
+		if (task.workerId === leaseManager.workerId && task.attempt === report.attempt) {
+			this.runner.handleReport(task, report);
 			return;
 		}
 
-		if (task.kept?.workerId === keeper.workerId && task.kept.ref.attempt === report.attempt) {
+		if (task.retainedAttempt?.workerId === leaseManager.workerId && task.retainedAttempt.ref.attempt === report.attempt) {
 			return;
 		}
 
 		if (report.attempt < task.attempt) {
-			this.#dropStray(keeper, report);
+			this.#dropOrphan(leaseManager, report);
 		}
 	}
 
@@ -213,14 +213,14 @@
 	close(): void {
 		this.#isClosed = true;
 		for (const task of this.list()) {
-			this.runner.ends.letGo(task);
+			this.runner.ends.detach(task);
 		}
 
 		this.#jobs.clear();
 	}
 
 	/** Waits until no start is on its way, at most for the time of a call. */
-	async settle(): Promise<void> {
+	async waitForStarts(): Promise<void> {
 		const {clock, times: {callTimeoutMs}} = this.#context;
 		const endMs = clock.monotonicMs() + callTimeoutMs;
 		while (clock.monotonicMs() < endMs && [...this.list()].some(({phase}) => phase === TaskPhase.Starting)) {
@@ -229,31 +229,31 @@
 	}
 
 	/** Tells whether what was about to start is known to have stopped after a checkpoint, or never to have started. */
-	#isSettled(task: LiveTask, {attempt, workerId, incarnation}: Dispatch): boolean {
-		if ((task.kept?.ref.attempt ?? -1) >= attempt) {
+	#isDispatchResolved(task: LiveTask, {attempt, workerId, incarnation}: Dispatch): boolean {
+		if ((task.retainedAttempt?.ref.attempt ?? -1) >= attempt) {
 			return true;
 		}
 
 		// The order never reached the worker when the same incarnation was sealed since and does not know it.
-		return task.learnedAttempt < attempt && this.#sealed.get(workerId) === incarnation;
+		return task.highestReportedAttempt < attempt && this.#sealedIncarnations.get(workerId) === incarnation;
 	}
 
 	/** Adopts what an earlier owner left at a worker; the highest attempt stands for the task. */
-	#learn(task: LiveTask, keeper: LeaseKeeper, report: TaskReport): void {
+	#adopt(task: LiveTask, leaseManager: LeaseManager, report: TaskReport): void {
 		const {clock, engine} = this.#context;
 		const ref = {...getTaskRef(task), attempt: report.attempt};
-		task.learnedAttempt = Math.max(task.learnedAttempt, report.attempt);
+		task.highestReportedAttempt = Math.max(task.highestReportedAttempt, report.attempt);
 		if (report.state === TaskState.Running) {
 			task.phase = TaskPhase.Running;
 			task.attempt = report.attempt;
-			task.workerId = keeper.workerId;
+			task.workerId = leaseManager.workerId;
 			task.reserved = report.resources;
 			task.startedAtMs = clock.monotonicMs();
 			task.confirmedAtMs = task.startedAtMs;
-			task.runsUntilMs = keeper.getRunsUntilMs();
-			keeper.add(task);
-			engine.noteRunning(this.runner.queue.getPending(task), keeper.workerId, task.startedAtMs);
-			keeper.wake();
+			task.latestLeaseEndMs = leaseManager.getLatestLeaseEndMs();
+			leaseManager.add(task);
+			engine.noteRunning(this.runner.queue.getPending(task), leaseManager.workerId, task.startedAtMs);
+			leaseManager.wake();
 			if (task.isCancelled) {
 				void this.runner.stop(task, false);
 			}
@@ -262,19 +262,19 @@
 		}
 
 		if (report.state === TaskState.Succeeded || (report.state === TaskState.Failed && !task.job.spec.isIdempotent)) {
-			task.workerId = keeper.workerId;
+			task.workerId = leaseManager.workerId;
 			task.attempt = report.attempt;
 			this.runner.ends.finish(task, {state: report.state, result: report.result});
 			return;
 		}
 
-		if (report.checkpointId !== undefined && report.attempt > (task.kept?.ref.attempt ?? -1)) {
+		if (report.checkpointId !== undefined && report.attempt > (task.retainedAttempt?.ref.attempt ?? -1)) {
 			// Stopped for an eviction that the earlier owner did not finish: resumed once, when nothing newer can be running.
-			this.runner.ends.forgetKept(task);
+			this.runner.ends.forgetRetained(task);
 			task.checkpointId = report.checkpointId;
-			task.kept = {workerId: keeper.workerId, ref};
+			task.retainedAttempt = {workerId: leaseManager.workerId, ref};
 		} else if (task.job.spec.isIdempotent) {
-			keeper.forget(ref);
+			leaseManager.forget(ref);
 		}
 	}
 
@@ -300,19 +300,19 @@
 	}
 
 	/** An attempt that nothing stands for: of an ended, cancelled or forgotten task, or overtaken by a newer attempt. */
-	#dropStray(keeper: LeaseKeeper, report: TaskReport): void {
+	#dropOrphan(leaseManager: LeaseManager, report: TaskReport): void {
 		const {taskId, attempt} = report;
 		const ref = {
 			taskId, attempt, shard: this.shard, fencingToken: this.fencingToken,
 		};
 		if (report.state !== TaskState.Running) {
-			keeper.forget(ref);
+			leaseManager.forget(ref);
 			return;
 		}
 
-		void this.#context.limiter.run(async () => keeper.drop(ref)).catch((error: unknown) => {
+		void this.#context.limiter.run(async () => leaseManager.stopAndForget(ref)).catch((error: unknown) => {
 			log('Stray %s not stopped: %s', taskId, getMessage(error));
-			keeper.wantSnapshot();
+			leaseManager.requestSnapshot();
 		});
 	}
 }
--- a/src/jobs/shard-queue.ts
+++ b/src/jobs/shard-queue.ts
@@ -3,7 +3,7 @@
 */
 import {type PendingTask} from '../types/placement.ts';
 import {type ShardContext} from './shard-context.ts';
-import {mayRun, TaskPhase, type LiveTask} from './shard-task.ts';
+import {mayBeRunning, TaskPhase, type LiveTask} from './shard-task.ts';
 
 /** Waiting tasks of one shard. */
 export class ShardQueue {
@@ -34,7 +34,7 @@
 		}
 
 		const siblings = [...this.#getSiblings(task)];
-		if (siblings.some(sibling => mayRun(sibling) || sibling.phase === TaskPhase.Held)) {
+		if (siblings.some(sibling => mayBeRunning(sibling) || sibling.phase === TaskPhase.Held)) {
 			return;
 		}
 
--- a/src/jobs/shard-runner.ts
+++ b/src/jobs/shard-runner.ts
@@ -8,25 +8,25 @@
 } from '../types/platform.ts';
 import {createLogger, Part} from '../utils/logger.ts';
 import {JobEntryType} from './job-records.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
-import {AttemptEnd, type ShardContext, type ShardScope} from './shard-context.ts';
+import {type LeaseManager} from './lease-keeper.ts';
+import {AttemptEndReason, type ShardContext, type ShardScope} from './shard-context.ts';
 import {ShardEnds} from './shard-ends.ts';
 import {ShardQueue} from './shard-queue.ts';
 import {
-	getTaskRef, mayRun, TaskPhase, type LiveTask,
+	getTaskRef, mayBeRunning, TaskPhase, type LiveTask,
 } from './shard-task.ts';
 
 const log = createLogger(Part.Jobs);
 /** A worker that is restarted later than this after a start was not taken down by it. */
-const crashWithinMs = 5000;
+const crashWindowMs = 5000;
 /** A task that took so many workers down in a row is a query of death, as long as they are not all one. */
 const maxCrashes = 3;
 /** The same on one worker, which may crash by itself. */
-const maxCrashesOnOne = 10;
-const countsAgainstWorker: ReadonlySet<AttemptEnd> = new Set([AttemptEnd.Lapsed, AttemptEnd.WorkerForgot, AttemptEnd.Failed]);
+const maxCrashesOnOneWorker = 10;
+const workerFaultReasons: ReadonlySet<AttemptEndReason> = new Set([AttemptEndReason.LeaseExpired, AttemptEndReason.UnknownToWorker, AttemptEndReason.Failed]);
 
-const isGivenUp = ({crashedWorkers}: LiveTask): boolean =>
-	crashedWorkers.length >= (new Set(crashedWorkers).size > 1 ? maxCrashes : maxCrashesOnOne);
+const isCrashLimitReached = ({crashedWorkers}: LiveTask): boolean =>
+	crashedWorkers.length >= (new Set(crashedWorkers).size > 1 ? maxCrashes : maxCrashesOnOneWorker);
 
 /** Runs tasks of a shard under one token. */
 export class ShardRunner {
@@ -47,8 +47,8 @@
 	/** Orders the start of a waiting task. */
 	async start(task: LiveTask, workerId: string, reserved: Resources): Promise<void> {
 		const {clock, engine, metrics} = this.#context;
-		const keeper = this.#context.getKeeper(workerId);
-		if (task.phase !== TaskPhase.Waiting || !keeper) {
+		const leaseManager = this.#context.getLeaseManager(workerId);
+		if (task.phase !== TaskPhase.Waiting || !leaseManager) {
 			engine.noteEnded(task.taskId, false, clock.monotonicMs());
 			return;
 		}
@@ -59,29 +59,29 @@
 		task.workerId = workerId;
 		task.reserved = reserved;
 		const {attempt} = task;
-		const hindrance = await this.#prepare(task, keeper);
+		const abortReason = await this.#prepareStart(task, leaseManager);
 		task.startedAtMs = clock.monotonicMs();
 		// Asked right before the order: after a pause the lease may be over, and the shard somebody else's. A pause between
 		// this line and the sending makes the order late, and the worker refuses it.
-		if (hindrance ?? (this.#options.isClosed() || !this.#context.mayStart(this.#options.shard))) {
-			this.#giveBack(task, attempt, hindrance ?? AttemptEnd.NotOwner);
+		if (abortReason ?? (this.#options.isClosed() || !this.#context.mayStart(this.#options.shard))) {
+			this.#returnToQueue(task, attempt, abortReason ?? AttemptEndReason.NotOwner);
 			return;
 		}
 
-		task.runsUntilMs = keeper.getRunsUntilMs();
-		task.incarnation = keeper.incarnation;
-		keeper.add(task);
+		task.latestLeaseEndMs = leaseManager.getLatestLeaseEndMs();
+		task.incarnation = leaseManager.incarnation;
+		leaseManager.add(task);
 		try {
-			const reply = await keeper.start(this.#createOrder(task), task.startedAtMs);
+			const reply = await leaseManager.start(this.#createOrder(task), task.startedAtMs);
 			if (task.attempt === attempt && task.phase === TaskPhase.Starting) {
-				this.#takeStartReply(task, reply, keeper);
+				this.#handleStartReply(task, reply, leaseManager);
 			}
 		} catch (error) {
 			// No answer: it may run there. It stays with that worker until the worker tells, or its lease is over.
 			metrics.count(Metric.TaskRefusals, 'no-answer');
 			task.isUnresolved = true;
 			log('Start of %s unresolved: %s', task.taskId, getMessage(error));
-			keeper.wantSnapshot();
+			leaseManager.requestSnapshot();
 		}
 	}
 
@@ -101,15 +101,15 @@
 
 	/** Takes a worker's answer for an attempt; answers for older attempts change nothing. */
 	onReply(task: LiveTask, attempt: number, reply: WorkerReply, report?: TaskReport): void {
-		if (this.#options.isClosed() || task.attempt !== attempt || !mayRun(task)) {
+		if (this.#options.isClosed() || task.attempt !== attempt || !mayBeRunning(task)) {
 			return;
 		}
 
 		if (!reply.isAccepted) {
 			if (reply.refusal === WorkerRefusal.StaleToken) {
-				this.#context.onDeposed(this.#options.shard, this.#options.fencingToken);
+				this.#context.onSuperseded(this.#options.shard, this.#options.fencingToken);
 			} else if (reply.refusal === WorkerRefusal.UnknownTask || reply.refusal === WorkerRefusal.StaleAttempt) {
-				this.#onLost(task, AttemptEnd.WorkerForgot);
+				this.#onLost(task, AttemptEndReason.UnknownToWorker);
 			}
 
 			return;
@@ -117,7 +117,7 @@
 
 		if (reply.state === TaskState.Running) {
 			if (task.phase === TaskPhase.Starting) {
-				this.#takeRunning(task);
+				this.#markRunning(task);
 			}
 
 			return;
@@ -127,37 +127,37 @@
 	}
 
 	/** The worker's list, asked for at the time, does not have the task. */
-	onAbsent(task: LiveTask, keeper: LeaseKeeper, askedAtMs: number): void {
+	onAbsent(task: LiveTask, leaseManager: LeaseManager, askedAtMs: number): void {
 		const {times: {callTimeoutMs, clockErrorMs}} = this.#context;
-		if (this.#options.isClosed() || !mayRun(task)) {
+		if (this.#options.isClosed() || !mayBeRunning(task)) {
 			return;
 		}
 
 		if (task.phase !== TaskPhase.Starting) {
 			// A list that was on its way while the start was answered may be older than the start.
 			if (askedAtMs >= task.confirmedAtMs) {
-				this.#onLost(task, AttemptEnd.WorkerForgot);
+				this.#onLost(task, AttemptEndReason.UnknownToWorker);
 			}
 
 			return;
 		}
 
 		// The order may still be on its way: only when it would be refused as late is it certain that it starts nothing.
-		if (keeper.isExpiring && askedAtMs > task.startedAtMs + callTimeoutMs + clockErrorMs) {
-			this.#requeue(task, AttemptEnd.NotStarted);
+		if (leaseManager.isDeadlineEnforced && askedAtMs > task.startedAtMs + callTimeoutMs + clockErrorMs) {
+			this.#requeue(task, AttemptEndReason.NotStarted);
 		}
 	}
 
 	/** No lease of the attempt can be running any more. */
-	onLapsed(task: LiveTask): void {
-		if (!this.#options.isClosed() && mayRun(task)) {
-			this.#onLost(task, AttemptEnd.Lapsed);
+	onLeaseExpired(task: LiveTask): void {
+		if (!this.#options.isClosed() && mayBeRunning(task)) {
+			this.#onLost(task, AttemptEndReason.LeaseExpired);
 		}
 	}
 
 	/** Takes what a worker lists of the present attempt. */
-	takeReport(task: LiveTask, report: TaskReport): void {
-		if (!mayRun(task)) {
+	handleReport(task: LiveTask, report: TaskReport): void {
+		if (!mayBeRunning(task)) {
 			return;
 		}
 
@@ -168,7 +168,7 @@
 		if (report.state !== TaskState.Running) {
 			this.#onEnded(task, report.state, report);
 		} else if (task.phase === TaskPhase.Starting) {
-			this.#takeRunning(task);
+			this.#markRunning(task);
 		} else if (task.phase === TaskPhase.Stopping) {
 			void this.stop(task, !task.isCancelled);
 		}
@@ -176,15 +176,15 @@
 
 	/** Orders a stop; an answer that does not come leaves the task as one that may run. */
 	async stop(task: LiveTask, isCheckpoint: boolean): Promise<void> {
-		const keeper = this.#context.getKeeper(task.workerId!);
+		const leaseManager = this.#context.getLeaseManager(task.workerId!);
 		const {attempt} = task;
 		task.phase = TaskPhase.Stopping;
 		try {
-			const reply = await this.#context.limiter.run(async () => keeper!.stop(task, isCheckpoint));
+			const reply = await this.#context.limiter.run(async () => leaseManager!.stop(task, isCheckpoint));
 			if (task.attempt === attempt && reply.isAccepted && (reply.state === TaskState.Succeeded || reply.state === TaskState.Failed)) {
 				// It ended before the stop came; its result is in the worker's list only.
 				task.isUnresolved = true;
-				keeper!.wake();
+				leaseManager!.wake();
 				return;
 			}
 
@@ -208,7 +208,7 @@
 	}
 
 	/** A gang that lacks one of its tasks holds room for nothing: the others stop at a checkpoint, and all start again together. */
-	breakGang(task: LiveTask): void {
+	restartGang(task: LiveTask): void {
 		for (const sibling of this.#options.getSiblings(task)) {
 			if (sibling.phase === TaskPhase.Running) {
 				void this.evict(sibling, 'gang');
@@ -221,15 +221,15 @@
 	}
 
 	/** What a start needs first; gives what hinders it. */
-	async #prepare(task: LiveTask, keeper: LeaseKeeper): Promise<AttemptEnd | undefined> {
+	async #prepareStart(task: LiveTask, leaseManager: LeaseManager): Promise<AttemptEndReason | undefined> {
 		try {
-			await keeper.prepare();
+			await leaseManager.ensureCalibrated();
 		} catch {
-			return AttemptEnd.NotStarted;
+			return AttemptEndReason.NotStarted;
 		}
 
 		if (task.isCancelled || this.#options.isClosed()) {
-			return AttemptEnd.NotStarted;
+			return AttemptEndReason.NotStarted;
 		}
 
 		if (task.job.spec.isIdempotent) {
@@ -241,10 +241,10 @@
 			jobId: task.job.spec.jobId,
 			fencingToken: this.#options.fencingToken,
 			dispatch: {
-				index: task.index, attempt: task.attempt, workerId: keeper.workerId, incarnation: keeper.incarnation!,
+				index: task.index, attempt: task.attempt, workerId: leaseManager.workerId, incarnation: leaseManager.incarnation!,
 			},
 		}, () => !this.#options.isClosed() && !task.isCancelled);
-		return isWritten && !task.isCancelled ? undefined : AttemptEnd.LogAway;
+		return isWritten && !task.isCancelled ? undefined : AttemptEndReason.LogUnavailable;
 	}
 
 	#createOrder(task: LiveTask): StartOrder {
@@ -254,13 +254,13 @@
 		};
 	}
 
-	#takeStartReply(task: LiveTask, reply: WorkerReply, keeper: LeaseKeeper): void {
+	#handleStartReply(task: LiveTask, reply: WorkerReply, leaseManager: LeaseManager): void {
 		if (reply.isAccepted) {
 			if (reply.state === undefined || reply.state === TaskState.Running) {
-				this.#takeRunning(task);
+				this.#markRunning(task);
 			} else {
-				keeper.wantSnapshot();
-				keeper.wake();
+				leaseManager.requestSnapshot();
+				leaseManager.wake();
 			}
 
 			return;
@@ -268,22 +268,22 @@
 
 		this.#context.metrics.count(Metric.TaskRefusals, reply.refusal);
 		if (reply.refusal === WorkerRefusal.StaleToken) {
-			this.#context.onDeposed(this.#options.shard, this.#options.fencingToken);
+			this.#context.onSuperseded(this.#options.shard, this.#options.fencingToken);
 			return;
 		}
 
-		keeper.wantSnapshot();
-		this.#giveBack(task, task.attempt, AttemptEnd.Refused);
+		leaseManager.requestSnapshot();
+		this.#returnToQueue(task, task.attempt, AttemptEndReason.Refused);
 	}
 
-	#takeRunning(task: LiveTask): void {
+	#markRunning(task: LiveTask): void {
 		const {metrics, engine} = this.#context;
 		task.phase = TaskPhase.Running;
 		task.isUnresolved = false;
 		task.confirmedAtMs = this.#context.clock.monotonicMs();
 		metrics.count(Metric.TasksStarted);
 		engine.noteRunning(this.queue.getPending(task), task.workerId!, task.startedAtMs);
-		this.ends.forgetKept(task);
+		this.ends.forgetRetained(task);
 		if (task.isCancelled) {
 			void this.stop(task, false);
 		} else if (task.evictionReason !== undefined) {
@@ -303,10 +303,10 @@
 		if (state === TaskState.Stopped) {
 			this.#onStopped(task, checkpointId);
 		} else if (state === TaskState.Lapsed) {
-			this.#onLost(task, AttemptEnd.Lapsed);
+			this.#onLost(task, AttemptEndReason.LeaseExpired);
 		} else if (state === TaskState.Failed && isIdempotent && ++task.failures < maxFailures) {
 			this.ends.forget(task);
-			this.#requeue(task, AttemptEnd.Failed);
+			this.#requeue(task, AttemptEndReason.Failed);
 		} else {
 			this.ends.finish(task, {state, result});
 		}
@@ -323,12 +323,12 @@
 			this.ends.forget(task);
 		} else {
 			task.evictions++;
-			this.ends.forgetKept(task);
+			this.ends.forgetRetained(task);
 			task.checkpointId = checkpointId;
-			task.kept = {workerId: task.workerId!, ref: getTaskRef(task)};
+			task.retainedAttempt = {workerId: task.workerId!, ref: getTaskRef(task)};
 		}
 
-		this.#requeue(task, AttemptEnd.Evicted);
+		this.#requeue(task, AttemptEndReason.Evicted);
 	}
 
 	#countLostWork(task: LiveTask): void {
@@ -338,7 +338,7 @@
 	}
 
 	/** The attempt is over for certain, and how it ended cannot be learned. */
-	#onLost(task: LiveTask, reason: AttemptEnd): void {
+	#onLost(task: LiveTask, reason: AttemptEndReason): void {
 		if (task.phase === TaskPhase.Stopping && !task.isCancelled) {
 			this.#countLostWork(task);
 		}
@@ -353,7 +353,7 @@
 
 		if (task.isCancelled) {
 			this.ends.finish(task, {state: TaskState.Stopped});
-		} else if (isGivenUp(task)) {
+		} else if (isCrashLimitReached(task)) {
 			this.ends.finish(task, {state: TaskState.Failed, reason: `${task.crashedWorkers.length} times a worker was restarted soon after its start`});
 		} else if (task.job.spec.isIdempotent) {
 			this.ends.forget(task);
@@ -365,28 +365,28 @@
 
 	/** Whether the worker was restarted soon after the start, with nothing started there since: what was there before is innocent. */
 	#isCrash({workerId, incarnation, startedAtMs}: LiveTask): boolean {
-		const {clock, getKeeper} = this.#context;
-		const keeper = getKeeper(workerId!);
-		return keeper?.incarnation !== undefined && keeper.incarnation !== incarnation
-			&& clock.monotonicMs() - startedAtMs <= crashWithinMs
-			&& [...keeper.tasks].every(other => other.startedAtMs <= startedAtMs);
+		const {clock, getLeaseManager} = this.#context;
+		const leaseManager = getLeaseManager(workerId!);
+		return leaseManager?.incarnation !== undefined && leaseManager.incarnation !== incarnation
+			&& clock.monotonicMs() - startedAtMs <= crashWindowMs
+			&& [...leaseManager.tasks].every(other => other.startedAtMs <= startedAtMs);
 	}
 
-	#giveBack(task: LiveTask, attempt: number, reason: AttemptEnd): void {
+	#returnToQueue(task: LiveTask, attempt: number, reason: AttemptEndReason): void {
 		if (task.attempt !== attempt || task.phase !== TaskPhase.Starting) {
 			return;
 		}
 
-		if (reason === AttemptEnd.Refused) {
+		if (reason === AttemptEndReason.Refused) {
 			this.#context.engine.noteStartRefused(task.taskId, task.workerId!);
 		}
 
 		this.#requeue(task, reason);
 	}
 
-	#requeue(task: LiveTask, reason: AttemptEnd): void {
+	#requeue(task: LiveTask, reason: AttemptEndReason): void {
 		this.#context.metrics.count(Metric.TaskRetries, reason);
-		this.ends.leaveWorker(task, countsAgainstWorker.has(reason) ? false : undefined);
+		this.ends.releaseWorker(task, workerFaultReasons.has(reason) ? false : undefined);
 		if (task.isCancelled) {
 			this.ends.close(task);
 			return;
@@ -394,7 +394,7 @@
 
 		this.queue.enqueue(task);
 		if (task.job.spec.isGang) {
-			this.breakGang(task);
+			this.restartGang(task);
 		}
 	}
 }
--- a/src/jobs/shard-task.ts
+++ b/src/jobs/shard-task.ts
@@ -36,7 +36,7 @@
 	/** The last order to its worker got no answer. */
 	isUnresolved: boolean;
 	/** Latest moment, by our clock, at which its worker may still run it. */
-	runsUntilMs: number;
+	latestLeaseEndMs: number;
 	queuedAtMs: number;
 	startedAtMs: number;
 	/** When the worker's answer that it runs was read. */
@@ -54,11 +54,11 @@
 	/** Why it is to be evicted once its start is confirmed. */
 	evictionReason?: string;
 	/** Highest attempt that a worker told of after a takeover. */
-	learnedAttempt: number;
+	highestReportedAttempt: number;
 	/** End on its way into the log. */
 	end?: TaskEnd;
 	/** Ended attempt that its worker keeps until a newer attempt runs: a new owner finds the checkpoint there. */
-	kept?: {workerId: string; ref: TaskRef};
+	retainedAttempt?: {workerId: string; ref: TaskRef};
 };
 
 const attemptsPerToken = 65_536;
@@ -75,7 +75,7 @@
 	phase: TaskPhase.Held,
 	attempt: getFirstAttempt(fencingToken) - 1,
 	isUnresolved: false,
-	runsUntilMs: 0,
+	latestLeaseEndMs: 0,
 	queuedAtMs: nowMs,
 	startedAtMs: nowMs,
 	confirmedAtMs: nowMs,
@@ -83,7 +83,7 @@
 	failures: 0,
 	crashedWorkers: [],
 	isCancelled: false,
-	learnedAttempt: -1,
+	highestReportedAttempt: -1,
 });
 
 /** Names the task's present attempt to a worker. */
@@ -92,7 +92,7 @@
 });
 
 /** Tells whether its worker may be running it. */
-export const mayRun = ({phase}: LiveTask): boolean =>
+export const mayBeRunning = ({phase}: LiveTask): boolean =>
 	phase === TaskPhase.Starting || phase === TaskPhase.Running || phase === TaskPhase.Stopping;
 
 /** Status of a task that has no recorded end. */
--- a/test/jobs-crash-blame.test.ts
+++ b/test/jobs-crash-blame.test.ts
@@ -5,47 +5,47 @@
 import {JobState} from '../src/types/jobs.ts';
 import {createSpec, World} from './jobs-harness.ts';
 
-let world: World;
+let cluster: World;
 
 afterEach(async () => {
-	await world.stop();
+	await cluster.stop();
 });
 
 const restartUnder = (taskId: string): void => {
-	const workerId = world.getPlaces(taskId)[0];
+	const workerId = cluster.getPlaces(taskId)[0];
 	if (workerId !== undefined) {
-		world.workers.get(workerId)!.restart();
-		world.announce(workerId);
+		cluster.workers.get(workerId)!.restart();
+		cluster.announce(workerId);
 	}
 };
 
 /** Guards against tasks that are given up for what starts beside them. */
 it('leaves tasks alone that ran before the one that takes workers down', async () => {
-	world = new World({workers: 3});
-	await world.submit(createSpec('innocent', {taskCount: 3, declaredRunTimeMs: 60_000}));
-	await world.clock.advance(3000);
-	await world.submit(createSpec('poison'));
+	cluster = new World({workers: 3});
+	await cluster.submit(createSpec('innocent', {taskCount: 3, declaredRunTimeMs: 60_000}));
+	await cluster.clock.advance(3000);
+	await cluster.submit(createSpec('poison'));
 	for (let steps = 0; steps < 600; steps++) {
-		await world.clock.advance(50);
+		await cluster.clock.advance(50);
 		restartUnder('poison/0');
 	}
 
-	expect(world.getState('poison')).toBe(JobState.Failed);
-	expect(world.getState('innocent')).not.toBe(JobState.Failed);
+	expect(cluster.getState('poison')).toBe(JobState.Failed);
+	expect(cluster.getState('innocent')).not.toBe(JobState.Failed);
 });
 
 /** Guards against tasks that are given up for a worker that restarts whatever it is given. */
 it('takes a few restarts of one worker for the worker\'s own', async () => {
-	world = new World({workers: 1});
-	await world.submit(createSpec('innocent'));
+	cluster = new World({workers: 1});
+	await cluster.submit(createSpec('innocent'));
 	for (let restarts = 0; restarts < 5; restarts++) {
-		for (let steps = 0; steps < 100 && world.getPlaces('innocent/0').length === 0; steps++) {
-			await world.clock.advance(50);
+		for (let steps = 0; steps < 100 && cluster.getPlaces('innocent/0').length === 0; steps++) {
+			await cluster.clock.advance(50);
 		}
 
 		restartUnder('innocent/0');
-		await world.clock.advance(50);
+		await cluster.clock.advance(50);
 	}
 
-	expect(world.getState('innocent')).not.toBe(JobState.Failed);
+	expect(cluster.getState('innocent')).not.toBe(JobState.Failed);
 });
--- a/test/jobs-harness.ts
+++ b/test/jobs-harness.ts
@@ -37,11 +37,11 @@
 });
 
 /** Stands between a process and all it speaks to: while paused nothing goes in or out, once dead nothing ever does. */
-class Gate {
+class ProcessGate {
 	isDead = false;
 	isLogCut = false;
 	readonly cutWorkers = new Set<string>();
-	mostCalls = 0;
+	maxConcurrentCalls = 0;
 	#calls = 0;
 	#waiting: Array<() => void> | undefined;
 
@@ -71,7 +71,7 @@
 
 	/** Counts how many calls to workers are made at a time. */
 	async count<Result>(act: () => Promise<Result>): Promise<Result> {
-		this.mostCalls = Math.max(this.mostCalls, ++this.#calls);
+		this.maxConcurrentCalls = Math.max(this.maxConcurrentCalls, ++this.#calls);
 		try {
 			return await act();
 		} finally {
@@ -96,7 +96,7 @@
 	}
 }
 
-const gateClock = (clock: ManualClock, gate: Gate): Clock => ({
+const gateClock = (clock: ManualClock, gate: ProcessGate): Clock => ({
 	monotonicMs: () => clock.monotonicMs(),
 	now: () => clock.now(),
 	setTimer: (callback, delayMs) => clock.setTimer(() => {
@@ -108,12 +108,12 @@
 	},
 });
 
-const gateLog = (log: PlatformLog, gate: Gate): PlatformLog => ({
+const gateLog = (log: PlatformLog, gate: ProcessGate): PlatformLog => ({
 	append: async (stream, value) => gate.call(() => gate.isLogCut, async () => log.append(stream, value)),
 	read: async (stream, fromOffset, options) => gate.call(() => gate.isLogCut, async () => log.read(stream, fromOffset, options)),
 });
 
-const gateWorker = (worker: MemoryWorker, workerId: string, gate: Gate): WorkerClient => {
+const gateWorker = (worker: MemoryWorker, workerId: string, gate: ProcessGate): WorkerClient => {
 	const isCut = () => gate.cutWorkers.has(workerId);
 	const through = async <Result>(act: () => Promise<Result>) => gate.count(async () => gate.call(isCut, act));
 	return {
@@ -158,7 +158,7 @@
 
 export type TestEntry = {
 	id: string;
-	gate: Gate;
+	gate: ProcessGate;
 	scheduler: JobScheduler;
 	metrics: Metrics;
 	engine: ScriptedEngine;
@@ -180,7 +180,7 @@
 	createEngine?(): PlacementEngine;
 };
 
-/** A world of entries, workers and a log. It notes at once when a task runs in two places or a worker is overcommitted. */
+/** A cluster of entries, workers and a log. It notes at once when a task runs in two places or a worker is overcommitted. */
 export class World {
 	readonly clock = new ManualClock();
 	readonly log: MemoryLog;
@@ -218,11 +218,11 @@
 			clock: this.clock,
 			random: createRandom((this.#options.seed ?? 1) + this.workers.size + 100),
 			getBehaviour: order => {
-				this.#noteOrder(order);
+				this.#recordOrder(order);
 				return this.#options.getBehaviour?.(order) ?? {runTimeMs: 5000, result: order.taskId};
 			},
 			onRunning: (taskId, attempt, isRunning) => {
-				this.#noteRunning(workerId, taskId, attempt, isRunning);
+				this.#recordRunning(workerId, taskId, attempt, isRunning);
 			},
 		});
 		this.workers.set(workerId, worker);
@@ -247,7 +247,7 @@
 	}
 
 	startEntry(id: string): TestEntry {
-		const gate = new Gate();
+		const gate = new ProcessGate();
 		const clock = gateClock(this.clock, gate);
 		const aborter = new AbortController();
 		const metrics = createCounts();
@@ -304,7 +304,7 @@
 		return [...this.entries.values()].find(({scheduler}) => scheduler.isOwnerOf(jobId));
 	}
 
-	/** Runs the world until the condition holds; gives whether it came to hold in time. */
+	/** Runs the cluster until the condition holds; gives whether it came to hold in time. */
 	async until(isDone: () => boolean, limitMs = 120_000, stepMs = 100): Promise<boolean> {
 		const endMs = this.clock.monotonicMs() + limitMs;
 		while (!isDone() && this.clock.monotonicMs() < endMs) {
@@ -364,11 +364,11 @@
 		}
 	}
 
-	#noteOrder(order: StartOrder): void {
+	#recordOrder(order: StartOrder): void {
 		this.orders.set(order.taskId, [...this.orders.get(order.taskId) ?? [], order]);
 	}
 
-	#noteRunning(workerId: string, taskId: string, attempt: number, isRunning: boolean): void {
+	#recordRunning(workerId: string, taskId: string, attempt: number, isRunning: boolean): void {
 		const places = this.#running.get(taskId) ?? new Set();
 		this.#running.set(taskId, places);
 		if (!isRunning) {
--- a/test/jobs-property.test.ts
+++ b/test/jobs-property.test.ts
@@ -30,8 +30,8 @@
 	/** Which entry, worker or job is struck. */
 	target: number;
 	afterMs: number;
-	lastsMs: number;
-	tasks: number;
+	durationMs: number;
+	taskCount: number;
 	isIdempotent: boolean;
 };
 
@@ -39,8 +39,8 @@
 	type: fc.constantFrom(...Object.values(EventType), EventType.Submit, EventType.Submit, EventType.Evict),
 	target: fc.nat(20),
 	afterMs: fc.integer({min: 50, max: 6000}),
-	lastsMs: fc.integer({min: 100, max: 60_000}),
-	tasks: fc.integer({min: 1, max: 4}),
+	durationMs: fc.integer({min: 100, max: 60_000}),
+	taskCount: fc.integer({min: 1, max: 4}),
 	isIdempotent: fc.boolean(),
 });
 
@@ -48,14 +48,14 @@
 const workerCount = 4;
 const entryCount = 3;
 
-/** Applies events to a world, and undoes each after its time. */
-class Storm {
-	readonly world: World;
+/** Applies events to a cluster, and undoes each after its time. */
+class FaultScenario {
+	readonly cluster: World;
 	readonly submitted = new Map<string, {isIdempotent: boolean}>();
-	readonly #endings: Array<{atMs: number; end: () => void}> = [];
+	readonly #reversals: Array<{atMs: number; revert: () => void}> = [];
 
 	constructor(seed: number, createEngine?: () => PlacementEngine) {
-		this.world = new World({
+		this.cluster = new World({
 			seed,
 			workers: workerCount,
 			entries: entryCount,
@@ -66,7 +66,7 @@
 	}
 
 	async run(events: Event[]): Promise<void> {
-		await this.world.clock.advance(6000);
+		await this.cluster.clock.advance(6000);
 		for (const event of events) {
 			await this.#advance(event.afterMs);
 			this.#apply(event);
@@ -76,34 +76,34 @@
 	}
 
 	async #advance(durationMs: number): Promise<void> {
-		const {clock} = this.world;
+		const {clock} = this.cluster;
 		const endMs = clock.monotonicMs() + durationMs;
 		for (;;) {
-			const next = this.#endings.toSorted((a, b) => a.atMs - b.atMs)[0];
+			const next = this.#reversals.toSorted((a, b) => a.atMs - b.atMs)[0];
 			if (!next || next.atMs > endMs) {
 				break;
 			}
 
-			this.#endings.splice(this.#endings.indexOf(next), 1);
+			this.#reversals.splice(this.#reversals.indexOf(next), 1);
 			await clock.advance(Math.max(0, next.atMs - clock.monotonicMs()));
-			next.end();
+			next.revert();
 		}
 
 		await clock.advance(Math.max(0, endMs - clock.monotonicMs()));
 	}
 
-	#apply({type, target, lastsMs, tasks, isIdempotent}: Event): void {
-		const {world} = this;
-		const entry = world.getEntry(target % world.entries.size);
+	#apply({type, target, durationMs, taskCount, isIdempotent}: Event): void {
+		const {cluster} = this;
+		const entry = cluster.getEntry(target % cluster.entries.size);
 		const workerId = `worker-${target % workerCount}`;
-		const {faults} = world.workers.get(workerId)!;
-		const until = (end: () => void) => {
-			this.#endings.push({atMs: world.clock.monotonicMs() + lastsMs, end});
+		const {faults} = cluster.workers.get(workerId)!;
+		const revertLater = (revert: () => void) => {
+			this.#reversals.push({atMs: cluster.clock.monotonicMs() + durationMs, revert});
 		};
 
 		switch (type) {
 			case EventType.Submit: {
-				void this.#submit(`job-${this.submitted.size}-${target}`, tasks, isIdempotent);
+				void this.#submit(`job-${this.submitted.size}-${target}`, taskCount, isIdempotent);
 				break;
 			}
 
@@ -117,10 +117,10 @@
 			}
 
 			case EventType.Evict: {
-				const running = world.getRunning();
+				const running = cluster.getRunning();
 				const taskId = running[target % running.length];
-				if (taskId !== undefined && world.getOwner(taskId.split('/')[0]!)) {
-					world.evict(taskId);
+				if (taskId !== undefined && cluster.getOwner(taskId.split('/')[0]!)) {
+					cluster.evict(taskId);
 				}
 
 				break;
@@ -128,7 +128,7 @@
 
 			case EventType.PauseEntry: {
 				entry.gate.pause();
-				until(() => {
+				revertLater(() => {
 					entry.gate.resume();
 				});
 				break;
@@ -136,13 +136,13 @@
 
 			case EventType.CrashEntry: {
 				entry.crash();
-				world.startEntry(entry.id);
+				cluster.startEntry(entry.id);
 				break;
 			}
 
 			case EventType.CutEntryFromLog: {
 				entry.gate.isLogCut = true;
-				until(() => {
+				revertLater(() => {
 					entry.gate.isLogCut = false;
 				});
 				break;
@@ -150,7 +150,7 @@
 
 			case EventType.CutEntryFromWorker: {
 				entry.gate.cutWorkers.add(workerId);
-				until(() => {
+				revertLater(() => {
 					entry.gate.cutWorkers.delete(workerId);
 				});
 				break;
@@ -158,7 +158,7 @@
 
 			case EventType.CutWorker: {
 				faults.isCut = true;
-				until(() => {
+				revertLater(() => {
 					faults.isCut = false;
 				});
 				break;
@@ -166,21 +166,21 @@
 
 			case EventType.PauseWorker: {
 				faults.isPaused = true;
-				until(() => {
+				revertLater(() => {
 					faults.isPaused = false;
 				});
 				break;
 			}
 
 			case EventType.RestartWorker: {
-				world.workers.get(workerId)!.restart();
-				world.announce(workerId);
+				cluster.workers.get(workerId)!.restart();
+				cluster.announce(workerId);
 				break;
 			}
 
 			case EventType.LoseAnswers: {
 				faults.loseAnswerChance = 0.4;
-				until(() => {
+				revertLater(() => {
 					faults.loseAnswerChance = 0;
 				});
 				break;
@@ -188,31 +188,31 @@
 
 			case EventType.SlowWorker: {
 				faults.jitterMs = 1500;
-				until(() => {
+				revertLater(() => {
 					faults.jitterMs = 0;
 				});
 				break;
 			}
 
 			case EventType.LogDown: {
-				world.log.faults.isDown = true;
-				until(() => {
-					world.log.faults.isDown = false;
+				cluster.log.faults.isDown = true;
+				revertLater(() => {
+					cluster.log.faults.isDown = false;
 				});
 				break;
 			}
 
 			case EventType.LoseLogAnswers: {
-				world.log.faults.loseAnswerChance = 0.4;
-				until(() => {
-					world.log.faults.loseAnswerChance = 0;
+				cluster.log.faults.loseAnswerChance = 0.4;
+				revertLater(() => {
+					cluster.log.faults.loseAnswerChance = 0;
 				});
 			}
 		}
 	}
 
-	async #giveUp(): Promise<never> {
-		await this.world.clock.sleep(callerTimeoutMs);
+	async #timeOut(): Promise<never> {
+		await this.cluster.clock.sleep(callerTimeoutMs);
 		throw new Error('no answer');
 	}
 
@@ -221,10 +221,10 @@
 		this.submitted.set(jobId, {isIdempotent});
 		const spec = createSpec(jobId, {taskCount, isIdempotent});
 		for (let round = 0; round < 50; round++) {
-			const entry = this.world.getEntry(round % this.world.entries.size);
+			const entry = this.cluster.getEntry(round % this.cluster.entries.size);
 			try {
 				// An entry that died never answers: the caller gives up and asks another.
-				await Promise.race([entry.scheduler.submit(spec), this.#giveUp()]);
+				await Promise.race([entry.scheduler.submit(spec), this.#timeOut()]);
 				return;
 			} catch {
 				// Not known: sent again under the same id, to another entry.
@@ -233,18 +233,18 @@
 	}
 }
 
-const endStates: ReadonlySet<string | undefined> = new Set([JobState.Succeeded, JobState.Cancelled]);
+const finalStates: ReadonlySet<string | undefined> = new Set([JobState.Succeeded, JobState.Cancelled]);
 
 const check = async (seed: number, events: Event[], createEngine?: () => PlacementEngine): Promise<void> => {
-	const storm = new Storm(seed, createEngine);
-	const {world, submitted} = storm;
+	const scenario = new FaultScenario(seed, createEngine);
+	const {cluster, submitted} = scenario;
 	try {
-		await storm.run(events);
-		const isEnded = (jobId: string) => endStates.has(world.getState(jobId)) || (!submitted.get(jobId)!.isIdempotent && world.getState(jobId) === JobState.Failed);
-		await world.until(() => [...submitted.keys()].every(jobId => isEnded(jobId)), 900_000, 1000);
+		await scenario.run(events);
+		const isEnded = (jobId: string) => finalStates.has(cluster.getState(jobId)) || (!submitted.get(jobId)!.isIdempotent && cluster.getState(jobId) === JobState.Failed);
+		await cluster.until(() => [...submitted.keys()].every(jobId => isEnded(jobId)), 900_000, 1000);
 		expect([...submitted.keys()].filter(jobId => !isEnded(jobId))).toEqual([]);
-		expect(world.violations).toEqual([]);
-		for (const [taskId, orders] of world.orders) {
+		expect(cluster.violations).toEqual([]);
+		for (const [taskId, orders] of cluster.orders) {
 			const attempts = orders.map(({attempt}) => attempt);
 			// Attempts grow, and a non-idempotent task runs anew only from the checkpoint of the attempt before.
 			expect(attempts).toEqual([...new Set(attempts)].toSorted((a, b) => a - b));
@@ -254,7 +254,7 @@
 			}
 		}
 	} finally {
-		await world.stop();
+		await cluster.stop();
 	}
 };
 
@@ -264,7 +264,7 @@
 ])('through any interleaving of failures no task is in two places, no worker overcommitted, no resume doubled, no job lost, with %s', async (_, createEngine) => {
 	const numRuns = Number(process.env.PROPERTY_RUNS ?? 40);
 	const seed = Number(process.env.PROPERTY_SEED ?? 20_261);
-	const property = fc.asyncProperty(fc.nat(1_000_000), fc.array(eventArbitrary, {minLength: 4, maxLength: 25}), async (world, events) =>
-		check(world, events, createEngine));
+	const property = fc.asyncProperty(fc.nat(1_000_000), fc.array(eventArbitrary, {minLength: 4, maxLength: 25}), async (clusterSeed, events) =>
+		check(clusterSeed, events, createEngine));
 	await fc.assert(property, {numRuns, seed});
 }, 600_000);
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -5,17 +5,17 @@
 import {JobState} from '../src/types/jobs.ts';
 import {createSpec, World, type WorldOptions} from './jobs-harness.ts';
 
-let world: World;
+let cluster: World;
 const create = (options: WorldOptions = {}): World => {
-	world = new World(options);
-	return world;
+	cluster = new World(options);
+	return cluster;
 };
 
 afterEach(async () => {
-	await world?.stop();
+	await cluster?.stop();
 });
 
-const getOwned = () => [...world.entries.values()].map(({scheduler}) => scheduler.ownership.owned.size);
+const getOwned = () => [...cluster.entries.values()].map(({scheduler}) => scheduler.ownership.owned.size);
 const sum = (numbers: number[]) => numbers.reduce((a, b) => a + b, 0);
 
 test('of two claims on the same token the first in the log wins, for every reader', () => {
@@ -39,7 +39,7 @@
 	write(OwnershipRecordType.Claim, 1, 0);
 	write(OwnershipRecordType.Renew, 2, 1);
 	expect(write(OwnershipRecordType.Claim, 1, 2, 0)).toEqual([]);
-	expect(fold.isLapsed(0, 1)).toBe(true);
+	expect(fold.isLeaseExpired(0, 1)).toBe(true);
 });
 
 test('jobs and owners spread evenly, and one entry more moves only its part', () => {
@@ -59,37 +59,37 @@
 
 test('entries share the shards; one that comes takes its part only after it has stayed', async () => {
 	create({entries: 2, shards: 16});
-	expect(await world.until(() => sum(getOwned()) === 16, 60_000)).toBe(true);
-	await world.clock.advance(30_000);
+	expect(await cluster.until(() => sum(getOwned()) === 16, 60_000)).toBe(true);
+	await cluster.clock.advance(30_000);
 	expect(Math.min(...getOwned())).toBeGreaterThan(2);
-	world.startEntry('entry-c');
-	await world.clock.advance(3000);
+	cluster.startEntry('entry-c');
+	await cluster.clock.advance(3000);
 	expect(getOwned()[2]).toBe(0);
-	expect(await world.until(() => getOwned()[2]! > 1 && sum(getOwned()) === 16, 60_000)).toBe(true);
+	expect(await cluster.until(() => getOwned()[2]! > 1 && sum(getOwned()) === 16, 60_000)).toBe(true);
 });
 
 test('tasks run on while their shard moves to another entry', async () => {
 	create({entries: 1, shards: 8, getBehaviour: () => ({runTimeMs: 60_000})});
 	for (let index = 0; index < 6; index++) {
-		await world.submit(createSpec(`job-${index}`));
+		await cluster.submit(createSpec(`job-${index}`));
 	}
 
-	await world.until(() => world.getRunning().length === 6);
-	world.startEntry('entry-b');
-	await world.until(() => getOwned()[1]! > 1, 60_000);
+	await cluster.until(() => cluster.getRunning().length === 6);
+	cluster.startEntry('entry-b');
+	await cluster.until(() => getOwned()[1]! > 1, 60_000);
 	const ids = Array.from({length: 6}, (_, index) => `job-${index}`);
-	expect(await world.until(() => ids.every(id => world.getState(id) === JobState.Succeeded), 120_000)).toBe(true);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	expect(await cluster.until(() => ids.every(id => cluster.getState(id) === JobState.Succeeded), 120_000)).toBe(true);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
 test('an entry that leaves gives its shards back, and nobody waits for its lease', async () => {
 	create({entries: 2, shards: 8});
-	await world.until(() => sum(getOwned()) === 8);
-	await world.clock.advance(20_000);
-	const beginMs = world.clock.monotonicMs();
-	const leaving = world.getEntry(0).leave();
-	expect(await world.until(() => getOwned().at(-1) === 8, 8000)).toBe(true);
-	expect(world.clock.monotonicMs() - beginMs).toBeLessThan(8000);
+	await cluster.until(() => sum(getOwned()) === 8);
+	await cluster.clock.advance(20_000);
+	const beginMs = cluster.clock.monotonicMs();
+	const leaving = cluster.getEntry(0).leave();
+	expect(await cluster.until(() => getOwned().at(-1) === 8, 8000)).toBe(true);
+	expect(cluster.clock.monotonicMs() - beginMs).toBeLessThan(8000);
 	await leaving;
 });
 
@@ -99,23 +99,23 @@
 	create({
 		entries: 2, shards: 8, workers: 4, getBehaviour: () => ({runTimeMs: 15_000}),
 	});
-	await world.until(() => sum(getOwned()) === 8);
-	await world.clock.advance(10_000);
-	const paused = world.getEntry(0);
-	const other = world.getEntry(1);
+	await cluster.until(() => sum(getOwned()) === 8);
+	await cluster.clock.advance(10_000);
+	const paused = cluster.getEntry(0);
+	const other = cluster.getEntry(1);
 	for (let index = 0; index < 12; index++) {
-		await world.submit(createSpec(`job-${index}`, {taskCount: 2, isIdempotent: index % 2 === 0}), other);
+		await cluster.submit(createSpec(`job-${index}`, {taskCount: 2, isIdempotent: index % 2 === 0}), other);
 	}
 
-	await world.clock.advance(300);
+	await cluster.clock.advance(300);
 	paused.gate.pause();
-	expect(await world.until(() => other.scheduler.ownership.owned.size === 8, 60_000)).toBe(true);
-	await world.clock.advance(1000);
+	expect(await cluster.until(() => other.scheduler.ownership.owned.size === 8, 60_000)).toBe(true);
+	await cluster.clock.advance(1000);
 	paused.gate.resume();
 	const ids = Array.from({length: 12}, (_, index) => `job-${index}`);
-	expect(await world.until(() => ids.every(id => other.scheduler.getStatus(id)!.state === JobState.Succeeded), 300_000)).toBe(true);
-	expect(world.violations).toEqual([]);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	expect(await cluster.until(() => ids.every(id => other.scheduler.getStatus(id)!.state === JobState.Succeeded), 300_000)).toBe(true);
+	expect(cluster.violations).toEqual([]);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
 // One owner loses the log but not a worker, another that worker but not the log: both may believe that they own the shard.
@@ -127,44 +127,44 @@
 	create({
 		entries: 2, shards: 4, workers: 5, getBehaviour: () => ({runTimeMs: 300_000}),
 	});
-	await world.until(() => sum(getOwned()) === 4);
-	await world.clock.advance(10_000);
+	await cluster.until(() => sum(getOwned()) === 4);
+	await cluster.clock.advance(10_000);
 	const ids = Array.from({length: 6}, (_, index) => `job-${index}`);
 	for (const id of ids) {
-		await world.submit(createSpec(id, {resources: {processors: 2, memoryMb: 512, accelerators: 0}}));
+		await cluster.submit(createSpec(id, {resources: {processors: 2, memoryMb: 512, accelerators: 0}}));
 	}
 
-	await world.until(() => world.getRunning().length === 6);
-	const [first, second] = [world.getEntry(0), world.getEntry(1)];
-	const held = world.getPlaces(`${ids.find(id => first.scheduler.isOwnerOf(id))!}/0`)[0]!;
+	await cluster.until(() => cluster.getRunning().length === 6);
+	const [first, second] = [cluster.getEntry(0), cluster.getEntry(1)];
+	const held = cluster.getPlaces(`${ids.find(id => first.scheduler.isOwnerOf(id))!}/0`)[0]!;
 	first.gate.isLogCut = true;
 	second.gate.cutWorkers.add(held);
-	for (const workerId of world.workers.keys()) {
+	for (const workerId of cluster.workers.keys()) {
 		if (isAlone && workerId !== held) {
 			first.gate.cutWorkers.add(workerId);
 		}
 	}
 
-	await world.clock.advance(200_000);
+	await cluster.clock.advance(200_000);
 	expect(second.scheduler.ownership.owned.size).toBe(4);
-	expect(world.violations).toEqual([]);
-	expect(world.getRunning()).toHaveLength(6);
+	expect(cluster.violations).toEqual([]);
+	expect(cluster.getRunning()).toHaveLength(6);
 	first.gate.isLogCut = false;
-	await world.clock.advance(20_000);
-	expect(world.violations).toEqual([]);
+	await cluster.clock.advance(20_000);
+	expect(cluster.violations).toEqual([]);
 });
 
 // The log is down for an hour and comes back. If each entry judged the others by the time that passed, all would take over
 // from all in the same second.
 test('after an outage of the log owners stay the same', async () => {
 	create({entries: 3, shards: 12});
-	await world.until(() => sum(getOwned()) === 12);
-	await world.clock.advance(30_000);
-	const takeovers = world.count('shard_takeovers');
-	world.log.faults.isDown = true;
-	await world.clock.advance(600_000);
-	world.log.faults.isDown = false;
-	await world.clock.advance(30_000);
-	expect(world.count('shard_takeovers')).toBe(takeovers);
+	await cluster.until(() => sum(getOwned()) === 12);
+	await cluster.clock.advance(30_000);
+	const takeovers = cluster.count('shard_takeovers');
+	cluster.log.faults.isDown = true;
+	await cluster.clock.advance(600_000);
+	cluster.log.faults.isDown = false;
+	await cluster.clock.advance(30_000);
+	expect(cluster.count('shard_takeovers')).toBe(takeovers);
 	expect(sum(getOwned())).toBe(12);
 });
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -3,112 +3,112 @@
 import {JobState} from '../src/types/jobs.ts';
 import {createSpec, World, type WorldOptions} from './jobs-harness.ts';
 
-let world: World;
+let cluster: World;
 const create = (options: WorldOptions = {}): World => {
-	world = new World(options);
-	return world;
+	cluster = new World(options);
+	return cluster;
 };
 
 const getIds = (count: number) => Array.from({length: count}, (_, index) => `job-${index}`);
-const areAll = (ids: string[], state: JobState) => ids.every(id => world.getState(id) === state);
+const areAll = (ids: string[], state: JobState) => ids.every(id => cluster.getState(id) === state);
 const submitAll = async (ids: string[], changes: Parameters<typeof createSpec>[1] = {}) => {
 	for (const id of ids) {
-		await world.submit(createSpec(id, changes));
+		await cluster.submit(createSpec(id, changes));
 	}
 };
 
 afterEach(async () => {
-	await world.stop();
+	await cluster.stop();
 });
 
 // The start of a task takes effect and its answer is lost. Started again elsewhere, it would run in two places.
 test.each([true, false])('a start whose answer is lost is one run (idempotent: %s)', async isIdempotent => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 20_000})});
-	await world.clock.advance(5000);
-	for (const worker of world.workers.values()) {
+	await cluster.clock.advance(5000);
+	for (const worker of cluster.workers.values()) {
 		await worker.list();
 		worker.faults.loseAnswerChance = 0.6;
 	}
 
 	await submitAll(getIds(6), {isIdempotent});
-	await world.clock.advance(10_000);
-	for (const worker of world.workers.values()) {
+	await cluster.clock.advance(10_000);
+	for (const worker of cluster.workers.values()) {
 		worker.faults.loseAnswerChance = 0;
 	}
 
-	expect(await world.until(() => areAll(getIds(6), JobState.Succeeded), 120_000)).toBe(true);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
-	expect(world.violations).toEqual([]);
+	expect(await cluster.until(() => areAll(getIds(6), JobState.Succeeded), 120_000)).toBe(true);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	expect(cluster.violations).toEqual([]);
 });
 
 // A worker is asked for its list while a start is on its way, answers before the start arrives, and its answer is slow. Read
 // after the start was confirmed, the list lacks the task: taken as 'forgotten', the task would start a second time.
 test('a list older than a start does not end the task', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 30_000})});
-	await world.submit(createSpec('warm-up'));
-	await world.until(() => world.getRunning().length === 1);
-	const workerId = world.getPlaces('warm-up/0')[0]!;
-	const worker = world.workers.get(workerId)!;
+	await cluster.submit(createSpec('warm-up'));
+	await cluster.until(() => cluster.getRunning().length === 1);
+	const workerId = cluster.getPlaces('warm-up/0')[0]!;
+	const worker = cluster.workers.get(workerId)!;
 	const [start, list] = [worker.start.bind(worker), worker.list.bind(worker)];
 	let isOrdered = false;
 	worker.start = async order => {
 		isOrdered = true;
-		await world.clock.sleep(300);
+		await cluster.clock.sleep(300);
 		return start(order);
 	};
 
 	worker.list = async () => {
 		const snapshot = await list();
-		await world.clock.sleep(1000);
+		await cluster.clock.sleep(1000);
 		return snapshot;
 	};
 
-	await world.submit(createSpec('a'));
-	await world.until(() => isOrdered, 10_000, 10);
-	const keeper = world.getEntry().scheduler.fleet.getKeeper(workerId)!;
-	keeper.wantSnapshot();
-	keeper.wake();
-	expect(await world.until(() => areAll(['a', 'warm-up'], JobState.Succeeded))).toBe(true);
-	expect(world.starts.get('a/0')).toHaveLength(1);
-	expect(world.violations).toEqual([]);
+	await cluster.submit(createSpec('a'));
+	await cluster.until(() => isOrdered, 10_000, 10);
+	const leaseManager = cluster.getEntry().scheduler.fleet.getLeaseManager(workerId)!;
+	leaseManager.requestSnapshot();
+	leaseManager.wake();
+	expect(await cluster.until(() => areAll(['a', 'warm-up'], JobState.Succeeded))).toBe(true);
+	expect(cluster.starts.get('a/0')).toHaveLength(1);
+	expect(cluster.violations).toEqual([]);
 });
 
 // The connection breaks while a start is on its way; the order arrives later. The worker's list in between does not have the
 // task: taken as 'not started', the task would start elsewhere and then here.
 test('a start that is not listed yet may still arrive', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 30_000})});
-	await world.submit(createSpec('warm-up'));
-	await world.until(() => world.getRunning().length === 1);
-	const worker = world.workers.get(world.getPlaces('warm-up/0')[0]!)!;
+	await cluster.submit(createSpec('warm-up'));
+	await cluster.until(() => cluster.getRunning().length === 1);
+	const worker = cluster.workers.get(cluster.getPlaces('warm-up/0')[0]!)!;
 	const start = worker.start.bind(worker);
 	worker.start = async order => {
 		worker.start = start;
-		void world.clock.sleep(1900).then(async () => start(order));
+		void cluster.clock.sleep(1900).then(async () => start(order));
 		throw createError(ErrorCode.PeerUnavailable, {step: 'call worker'});
 	};
 
-	await world.submit(createSpec('a'));
-	expect(await world.until(() => areAll(['a', 'warm-up'], JobState.Succeeded))).toBe(true);
-	expect(world.starts.get('a/0')).toHaveLength(1);
-	expect(world.violations).toEqual([]);
+	await cluster.submit(createSpec('a'));
+	expect(await cluster.until(() => areAll(['a', 'warm-up'], JobState.Succeeded))).toBe(true);
+	expect(cluster.starts.get('a/0')).toHaveLength(1);
+	expect(cluster.violations).toEqual([]);
 });
 
 // The worker is paused with the order in its buffers. The owner waits for its lease and starts the task elsewhere. When the
 // worker wakes up it reads the old order: taken as new, it would run the task a second time at once.
 test('an order that a paused worker reads after its time starts nothing', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 300_000})});
-	await world.submit(createSpec('warm-up', {resources: {processors: 1, memoryMb: 1, accelerators: 0}}));
-	await world.until(() => world.getRunning().length === 1);
-	const first = world.getPlaces('warm-up/0')[0]!;
-	world.workers.get(first)!.faults.isPaused = true;
-	await world.submit(createSpec('a'));
-	await world.clock.advance(1000);
-	world.announced.delete(first);
-	expect(await world.until(() => world.getPlaces('a/0').length === 1, 120_000)).toBe(true);
-	world.workers.get(first)!.faults.isPaused = false;
-	await world.clock.advance(30_000);
-	expect(world.starts.get('a/0')).toHaveLength(1);
-	expect(world.violations).toEqual([]);
+	await cluster.submit(createSpec('warm-up', {resources: {processors: 1, memoryMb: 1, accelerators: 0}}));
+	await cluster.until(() => cluster.getRunning().length === 1);
+	const first = cluster.getPlaces('warm-up/0')[0]!;
+	cluster.workers.get(first)!.faults.isPaused = true;
+	await cluster.submit(createSpec('a'));
+	await cluster.clock.advance(1000);
+	cluster.announced.delete(first);
+	expect(await cluster.until(() => cluster.getPlaces('a/0').length === 1, 120_000)).toBe(true);
+	cluster.workers.get(first)!.faults.isPaused = false;
+	await cluster.clock.advance(30_000);
+	expect(cluster.starts.get('a/0')).toHaveLength(1);
+	expect(cluster.violations).toEqual([]);
 });
 
 // A worker restarts under its old address. Its tasks are gone, but the address answers: an owner that only looked at whether
@@ -117,24 +117,24 @@
 	create({workers: 1, getBehaviour: () => ({runTimeMs: 10_000})});
 	await submitAll(['again'], {isIdempotent: true});
 	await submitAll(['once'], {isIdempotent: false});
-	await world.until(() => world.getRunning().length === 2);
-	world.workers.get('worker-0')!.restart();
-	world.announce('worker-0');
-	expect(await world.until(() => areAll(['again'], JobState.Succeeded) && areAll(['once'], JobState.Failed), 20_000)).toBe(true);
-	expect(world.starts.get('again/0')).toHaveLength(2);
-	expect(world.starts.get('once/0')).toHaveLength(1);
-	expect(world.getEntry().scheduler.getStatus('once')!.reason).toContain('unknown');
+	await cluster.until(() => cluster.getRunning().length === 2);
+	cluster.workers.get('worker-0')!.restart();
+	cluster.announce('worker-0');
+	expect(await cluster.until(() => areAll(['again'], JobState.Succeeded) && areAll(['once'], JobState.Failed), 20_000)).toBe(true);
+	expect(cluster.starts.get('again/0')).toHaveLength(2);
+	expect(cluster.starts.get('once/0')).toHaveLength(1);
+	expect(cluster.getEntry().scheduler.getStatus('once')!.reason).toContain('unknown');
 });
 
 // Two entries own different shards and each believes that a worker is free. Both fill it in the same round.
 test('two owners at once do not overcommit a worker: it refuses, and both find room later', async () => {
 	create({entries: 2, shards: 8, workers: 2});
-	await world.until(() => [...world.entries.values()].every(({scheduler}) => scheduler.ownership.owned.size > 1));
+	await cluster.until(() => [...cluster.entries.values()].every(({scheduler}) => scheduler.ownership.owned.size > 1));
 	await submitAll(getIds(12), {taskCount: 3});
-	expect(await world.until(() => areAll(getIds(12), JobState.Succeeded), 300_000)).toBe(true);
-	expect(world.count('task_refusals.no-room')).toBeGreaterThan(0);
-	expect(world.violations).toEqual([]);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	expect(await cluster.until(() => areAll(getIds(12), JobState.Succeeded), 300_000)).toBe(true);
+	expect(cluster.count('task_refusals.no-room')).toBeGreaterThan(0);
+	expect(cluster.violations).toEqual([]);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
 // The log is down for an hour. Tasks run and end meanwhile, and others that had been accepted wait for their room. Leases of
@@ -149,16 +149,16 @@
 	await submitAll(['long-1', 'long-2']);
 	await submitAll(getIds(10), {taskCount: 4});
 	await submitAll(['once'], {isIdempotent: false});
-	await world.until(() => world.getRunning().length === 16, 60_000);
-	world.log.faults.isDown = true;
-	await world.clock.advance(3_600_000);
-	expect(world.getRunning().toSorted()).toEqual(['long-1/0', 'long-2/0']);
-	const atEnd = [...world.starts.values()].flat().length;
+	await cluster.until(() => cluster.getRunning().length === 16, 60_000);
+	cluster.log.faults.isDown = true;
+	await cluster.clock.advance(3_600_000);
+	expect(cluster.getRunning().toSorted()).toEqual(['long-1/0', 'long-2/0']);
+	const atEnd = [...cluster.starts.values()].flat().length;
 	expect(atEnd).toBe(42);
-	world.log.faults.isDown = false;
-	expect(await world.until(() => areAll([...getIds(10), 'long-1', 'long-2', 'once'], JobState.Succeeded), 2_400_000, 1000)).toBe(true);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
-	expect(world.violations).toEqual([]);
+	cluster.log.faults.isDown = false;
+	expect(await cluster.until(() => areAll([...getIds(10), 'long-1', 'long-2', 'once'], JobState.Succeeded), 2_400_000, 1000)).toBe(true);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	expect(cluster.violations).toEqual([]);
 }, 120_000);
 
 // The owner of many running jobs dies. While another takes over and asks the workers, callers cancel half of the jobs.
@@ -167,22 +167,22 @@
 		entries: 2, shards: 4, workers: 8, getBehaviour: () => ({runTimeMs: 120_000}),
 	});
 	await submitAll(getIds(30));
-	await world.until(() => world.getRunning().length === 30);
-	const [first, second] = [world.getEntry(0), world.getEntry(1)];
+	await cluster.until(() => cluster.getRunning().length === 30);
+	const [first, second] = [cluster.getEntry(0), cluster.getEntry(1)];
 	first.crash();
 	const cancelled = getIds(30).filter((_, index) => index % 2 === 0);
-	await world.clock.advance(9000);
+	await cluster.clock.advance(9000);
 	for (const [index, id] of cancelled.entries()) {
 		void second.scheduler.cancel(id);
-		await world.clock.advance(index * 40);
+		await cluster.clock.advance(index * 40);
 	}
 
-	expect(await world.until(() => second.scheduler.ownership.owned.size === 4)).toBe(true);
-	expect(await world.until(() => world.getRunning().length === 15, 60_000)).toBe(true);
-	expect(world.getRunning().every(taskId => !cancelled.includes(taskId.split('/')[0]!))).toBe(true);
+	expect(await cluster.until(() => second.scheduler.ownership.owned.size === 4)).toBe(true);
+	expect(await cluster.until(() => cluster.getRunning().length === 15, 60_000)).toBe(true);
+	expect(cluster.getRunning().every(taskId => !cancelled.includes(taskId.split('/')[0]!))).toBe(true);
 	const left = getIds(30).filter(id => !cancelled.includes(id));
-	expect(await world.until(() => areAll(left, JobState.Succeeded), 300_000)).toBe(true);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	expect(await cluster.until(() => areAll(left, JobState.Succeeded), 300_000)).toBe(true);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 	expect(areAll(cancelled, JobState.Cancelled)).toBe(true);
 });
 
@@ -193,18 +193,18 @@
 		entries: 2, shards: 1, workers: 4, getBehaviour: () => ({runTimeMs: 100_000}),
 	});
 	await submitAll(getIds(8), {resources: {processors: 2, memoryMb: 1, accelerators: 0}});
-	await world.until(() => world.getRunning().length === 8);
-	const owner = world.getOwner('job-0')!;
-	const other = [...world.entries.values()].find(entry => entry !== owner)!;
-	const cut = world.workers.get(world.getPlaces('job-0/0')[0]!)!;
+	await cluster.until(() => cluster.getRunning().length === 8);
+	const owner = cluster.getOwner('job-0')!;
+	const other = [...cluster.entries.values()].find(entry => entry !== owner)!;
+	const cut = cluster.workers.get(cluster.getPlaces('job-0/0')[0]!)!;
 	owner.crash();
 	cut.faults.isCut = true;
-	await world.clock.advance(25_000);
+	await cluster.clock.advance(25_000);
 	expect(other.scheduler.ownership.owned.size).toBe(1);
-	expect(world.getRunning()).toHaveLength(8);
-	expect(await world.until(() => areAll(getIds(8), JobState.Succeeded), 400_000)).toBe(true);
-	expect(world.violations).toEqual([]);
-	expect([...world.starts.values()].filter(starts => starts.length === 2)).toHaveLength(2);
+	expect(cluster.getRunning()).toHaveLength(8);
+	expect(await cluster.until(() => areAll(getIds(8), JobState.Succeeded), 400_000)).toBe(true);
+	expect(cluster.violations).toEqual([]);
+	expect([...cluster.starts.values()].filter(starts => starts.length === 2)).toHaveLength(2);
 });
 
 // As before, but the task must not run twice: what ran at the lost worker is reported as unknown, what did not is run.
@@ -213,16 +213,16 @@
 		entries: 2, shards: 1, workers: 3, capacity: {processors: 1, memoryMb: 4096, accelerators: 0}, getBehaviour: () => ({runTimeMs: 30_000}),
 	});
 	await submitAll(getIds(5), {isIdempotent: false});
-	await world.until(() => world.getRunning().length === 3);
-	const lost = world.getRunning()[0]!;
-	const owner = world.getOwner('job-0')!;
+	await cluster.until(() => cluster.getRunning().length === 3);
+	const lost = cluster.getRunning()[0]!;
+	const owner = cluster.getOwner('job-0')!;
 	owner.crash();
-	world.workers.get(world.getPlaces(lost)[0]!)!.faults.isCut = true;
+	cluster.workers.get(cluster.getPlaces(lost)[0]!)!.faults.isCut = true;
 	const lostId = lost.split('/')[0]!;
-	expect(await world.until(() => areAll([lostId], JobState.Failed), 200_000)).toBe(true);
-	expect(world.getEntry().scheduler.getStatus(lostId)!.reason).toContain('unknown');
-	expect(await world.until(() => areAll(getIds(5).filter(id => id !== lostId), JobState.Succeeded), 200_000)).toBe(true);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	expect(await cluster.until(() => areAll([lostId], JobState.Failed), 200_000)).toBe(true);
+	expect(cluster.getEntry().scheduler.getStatus(lostId)!.reason).toContain('unknown');
+	expect(await cluster.until(() => areAll(getIds(5).filter(id => id !== lostId), JobState.Succeeded), 200_000)).toBe(true);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
 test('what ran in a lost failure domain runs elsewhere, once the leases there are over', async () => {
@@ -230,32 +230,32 @@
 		entries: 2, shards: 4, workers: 11, getBehaviour: () => ({runTimeMs: 60_000}),
 	});
 	await submitAll(getIds(20));
-	await world.until(() => world.getRunning().length === 20);
-	const places = new Set(world.getRunning().map(taskId => world.getPlaces(taskId)[0]!));
+	await cluster.until(() => cluster.getRunning().length === 20);
+	const places = new Set(cluster.getRunning().map(taskId => cluster.getPlaces(taskId)[0]!));
 	const lost = [...places].slice(0, 4);
 	for (const workerId of lost) {
-		world.workers.get(workerId)!.faults.isCut = true;
-		world.announced.delete(workerId);
+		cluster.workers.get(workerId)!.faults.isCut = true;
+		cluster.announced.delete(workerId);
 	}
 
-	world.getEntry(0).crash();
-	expect(await world.until(() => areAll(getIds(20), JobState.Succeeded), 600_000)).toBe(true);
-	expect(world.violations).toEqual([]);
+	cluster.getEntry(0).crash();
+	expect(await cluster.until(() => areAll(getIds(20), JobState.Succeeded), 600_000)).toBe(true);
+	expect(cluster.violations).toEqual([]);
 });
 
 test('a worker that comes back with old tasks is cleared of them', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 50_000})});
 	await submitAll(getIds(3));
-	await world.until(() => world.getRunning().length === 3);
-	const workerId = world.getPlaces('job-0/0')[0]!;
-	const worker = world.workers.get(workerId)!;
+	await cluster.until(() => cluster.getRunning().length === 3);
+	const workerId = cluster.getPlaces('job-0/0')[0]!;
+	const worker = cluster.workers.get(workerId)!;
 	worker.faults.isCut = true;
-	await world.clock.advance(60_000);
+	await cluster.clock.advance(60_000);
 	worker.faults.isCut = false;
-	expect(await world.until(() => areAll(getIds(3), JobState.Succeeded), 200_000)).toBe(true);
-	await world.clock.advance(30_000);
+	expect(await cluster.until(() => areAll(getIds(3), JobState.Succeeded), 200_000)).toBe(true);
+	await cluster.clock.advance(30_000);
 	expect((await worker.list()).tasks).toEqual([]);
-	expect(world.violations).toEqual([]);
+	expect(cluster.violations).toEqual([]);
 });
 
 // An entry with many shards dies. The next owner has to ask each worker about each shard: all at once would be a flood.
@@ -264,18 +264,18 @@
 		entries: 2, shards: 16, workers: 40, settings: {jobs: {maxCalls: 8}}, getBehaviour: () => ({runTimeMs: 200_000}),
 	});
 	await submitAll(getIds(16));
-	await world.until(() => world.getRunning().length === 16);
-	const [first, second] = [world.getEntry(0), world.getEntry(1)];
-	for (const worker of world.workers.values()) {
+	await cluster.until(() => cluster.getRunning().length === 16);
+	const [first, second] = [cluster.getEntry(0), cluster.getEntry(1)];
+	for (const worker of cluster.workers.values()) {
 		worker.faults.delayMs = 20;
 	}
 
 	first.crash();
-	await world.clock.advance(8000);
-	second.gate.mostCalls = 0;
-	expect(await world.until(() => second.scheduler.ownership.owned.size === 16)).toBe(true);
-	await world.clock.advance(20_000);
-	expect(second.gate.mostCalls).toBeGreaterThan(4);
-	expect(second.gate.mostCalls).toBeLessThan(8 + 16);
-	expect([...world.starts.values()].every(starts => starts.length === 1)).toBe(true);
+	await cluster.clock.advance(8000);
+	second.gate.maxConcurrentCalls = 0;
+	expect(await cluster.until(() => second.scheduler.ownership.owned.size === 16)).toBe(true);
+	await cluster.clock.advance(20_000);
+	expect(second.gate.maxConcurrentCalls).toBeGreaterThan(4);
+	expect(second.gate.maxConcurrentCalls).toBeLessThan(8 + 16);
+	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
