--- a/src/jobs/job-decisions.ts
+++ b/src/jobs/job-decisions.ts
@@ -1,5 +1,5 @@
 /**
-Carries out what the placement engine decides.
+Executes the decisions of the placement engine.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -12,7 +12,7 @@
 
 const log = createLogger(Part.Placement);
 
-/** What decisions need. */
+/** Options of `JobDecisions`. */
 export type JobDecisionsOptions = {
 	clock: Clock;
 	metrics: Metrics;
@@ -20,22 +20,22 @@
 	maxDecisions: number;
 	getTask(taskId: string): LiveTask | undefined;
 	getOwner(shard: number): ShardOwner | undefined;
-	/** Shard of a job that is known. */
+	/** Shard of a job; undefined for an unknown job. */
 	getShard(jobId: string): number | undefined;
 	getLeaseManager(workerId: string): LeaseManager | undefined;
 };
 
-/** Decisions of one entry. */
+/** Executes placement decisions for the shards owned by this entry. */
 export class JobDecisions {
 	readonly #options: JobDecisionsOptions;
-	/** Jobs that the engine gave up; it is asked again, since what others use of a worker comes and goes. */
+	/** Jobs that the engine found unplaceable. They are offered again, since the capacity that other entries use varies. */
 	readonly #unplaceable = new Set<string>();
 
 	constructor(options: JobDecisionsOptions) {
 		this.#options = options;
 	}
 
-	/** One round of decisions. */
+	/** Runs one scheduling cycle. */
 	decide(): void {
 		const {clock, engine, maxDecisions} = this.#options;
 		for (const decision of engine.decide(clock.monotonicMs(), maxDecisions)) {
@@ -43,7 +43,7 @@
 		}
 	}
 
-	/** Puts the jobs that were given up before the engine again. */
+	/** Offers unplaceable jobs to the engine again. */
 	reconsider(): void {
 		for (const jobId of this.#unplaceable) {
 			const shard = this.#options.getShard(jobId);
@@ -81,7 +81,7 @@
 
 			case DecisionType.Throttle: {
 				void this.#options.getLeaseManager(decision.workerId)?.throttle(task, decision.share).catch((error: unknown) => {
-					log('Throttle of %s failed: %s', task.taskId, getMessage(error));
+					log('Cannot throttle task %s: %s', task.taskId, getMessage(error));
 				});
 			}
 		}
@@ -89,7 +89,7 @@
 
 	#handleUnplaceable({jobId, missing, isFinal}: Decision & {type: DecisionType.Unplaceable}): void {
 		this.#options.metrics.count(Metric.JobsRefused, isFinal ? 'fails-everywhere' : 'unplaceable');
-		log('Job %s can run nowhere now: %s', jobId, missing);
+		log('Job %s fits on no worker now: %s', jobId, missing);
 		const shard = this.#options.getShard(jobId);
 		if (isFinal && shard !== undefined) {
 			this.#options.getOwner(shard)?.fail(jobId, missing);
--- a/src/jobs/job-fleet.ts
+++ b/src/jobs/job-fleet.ts
@@ -1,5 +1,5 @@
 /**
-The workers of the fleet as placement and leases need them: one leaseManager for each, and what others' tasks take of its capacity.
+Workers of the fleet: one lease manager for each, and the capacity that tasks of other entries use on it.
 */
 import {type WorkerAnnouncement} from '../types/announcements.ts';
 import {type Clock} from '../types/clock.ts';
@@ -7,9 +7,9 @@
 import {type Resources, type WorkerSnapshot, TaskState} from '../types/platform.ts';
 import {type LeaseManager} from './lease-keeper.ts';
 
-/** How often a worker that others use is listed while tasks wait for room. */
+/** Least time between two listings of a worker that tasks of other entries use, while tasks wait for capacity. */
 const listIntervalMs = 2000;
-/** Such workers listed in one pass, at most. */
+/** Limit of such listings for each update. */
 const maxListedPerUpdate = 200;
 const noResources: Resources = {processors: 0, memoryMb: 0, accelerators: 0};
 
@@ -17,28 +17,28 @@
 	announcement: WorkerAnnouncement;
 	leaseManager: LeaseManager;
 	aborter: AbortController;
-	/** Taken by tasks of shards that other entries own. */
+	/** Used by tasks of shards that other entries own. */
 	usedByOthers: Resources;
 	isSchedulable: boolean;
 	announcedAtMs: number;
 	listedAtMs: number;
 };
 
-/** What the fleet needs. */
+/** Options of `JobFleet`. */
 export type JobFleetOptions = {
 	clock: Clock;
 	engine: PlacementEngine;
-	/** How long a silent worker without tasks is kept. */
+	/** How long a worker without tasks is retained after its last announcement. */
 	missingRetentionMs: number;
-	/** Workers that are alive and take tasks. */
+	/** Workers that are alive and accept tasks. */
 	listWorkers(): WorkerAnnouncement[];
 	createLeaseManager(workerId: string): LeaseManager;
 	isOwned(shard: number): boolean;
-	/** Tells whether tasks wait for room: then it matters what others have given back. */
+	/** Tells whether tasks wait for capacity; then capacity that other entries have released is looked up. */
 	hasWaitingTasks(): boolean;
 };
 
-/** Workers with their leaseManagers. */
+/** Known workers with their lease managers. */
 export class JobFleet {
 	readonly #options: JobFleetOptions;
 	readonly #members = new Map<string, Member>();
@@ -48,17 +48,17 @@
 		this.#options = options;
 	}
 
-	/** Keepers of all workers known. */
+	/** Lease managers of all known workers. */
 	getLeaseManagers(): LeaseManager[] {
 		return [...this.#members.values()].map(({leaseManager}) => leaseManager);
 	}
 
-	/** Keeper of one worker. */
+	/** Lease manager of one worker. */
 	getLeaseManager(workerId: string): LeaseManager | undefined {
 		return this.#members.get(workerId)?.leaseManager;
 	}
 
-	/** Capacities of the workers that are open. */
+	/** Capacities of the schedulable workers. */
 	* getCapacities(): Iterable<Resources> {
 		for (const {announcement, isSchedulable} of this.#members.values()) {
 			if (isSchedulable) {
@@ -67,7 +67,7 @@
 		}
 	}
 
-	/** Takes the announcements as they are now; only what changed is passed on. */
+	/** Reads the current announcements; only changes are passed on to the engine. */
 	update(): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		for (const announcement of this.#options.listWorkers()) {
@@ -90,7 +90,7 @@
 		}
 	}
 
-	/** Takes what a worker listed: what shards of others hold there is not ours to give. */
+	/** Updates from a worker's listing how much capacity tasks of shards owned by other entries use there. */
 	applySnapshot({workerId, tasks}: WorkerSnapshot): void {
 		const member = this.#members.get(workerId);
 		if (!member) {
@@ -113,7 +113,7 @@
 		}
 	}
 
-	/** Ends all leaseManagers. */
+	/** Stops all lease managers. */
 	async stop(): Promise<void> {
 		for (const {aborter} of this.#members.values()) {
 			aborter.abort();
@@ -141,12 +141,12 @@
 		member.announcement = announcement;
 		member.announcedAtMs = nowMs;
 		if (known.incarnation !== announcement.incarnation) {
-			// Restarted under the same address: its list tells that the old tasks are gone.
+			// The worker restarted under the same address: a new listing shows that its earlier tasks are gone.
 			member.leaseManager.requestSnapshot();
 			member.leaseManager.wake();
 		}
 
-		// A worker that announces itself and does not answer takes no tasks: each start would wait for a whole lease.
+		// A worker that announces itself but does not answer gets no tasks: each start would wait for a whole lease.
 		const {isAnswering} = member.leaseManager;
 		if (member.isSchedulable !== isAnswering || !isSame(known.capacity, announcement.capacity)) {
 			member.isSchedulable = isAnswering;
--- a/src/jobs/job-fold.ts
+++ b/src/jobs/job-fold.ts
@@ -1,29 +1,29 @@
 /**
-Folds the jobs stream. Every reader comes to the same jobs, whatever was appended twice, late or by a paused owner.
+Fold of the jobs stream. Every reader derives the same jobs, even if records were appended twice, late, or by a paused owner.
 */
 import {type JobSpec} from '../types/jobs.ts';
 import {
 	JobEntryType, type Dispatch, type JobEntry, type JobRecord, type TaskEnd,
 } from './job-records.ts';
 
-/** A job as the log tells it. */
+/** A job as derived from the log. */
 export type FoldedJob = {
 	readonly spec: JobSpec;
 	readonly shard: number;
-	/** Offset of the record that brought it. */
+	/** Offset of the record that added the job. */
 	readonly offset: number;
-	/** Wall time of its last whole publication, by its writer. */
+	/** Wall time of its newest acceptance or snapshot, by the clock of the writer. */
 	publishedAtMs: number;
 	isCancelled: boolean;
-	/** Ends by index of the task; the first in the log stands. */
+	/** Ends by task index; the first one in the log is final. */
 	readonly ends: Map<number, TaskEnd>;
-	/** Last dispatches of non-idempotent tasks by index. */
+	/** Newest dispatch of each non-idempotent task, by task index. */
 	readonly dispatches: Map<number, Dispatch>;
 	/** Wall time of the record that ended the last task, or cancelled the job. */
 	finishedAtMs?: number;
 };
 
-/** What changed, for those who act on it. */
+/** A change that one entry of a record made to the fold. */
 export type JobChange = {
 	type: JobEntryType;
 	shard: number;
@@ -31,10 +31,10 @@
 	end?: TaskEnd;
 };
 
-/** The jobs that the log tells of. */
+/** Jobs derived from the jobs stream. */
 export class JobFold {
 	readonly jobs = new Map<string, FoldedJob>();
-	/** Offset of the last record folded. */
+	/** Offset of the last record applied. */
 	offset = -1;
 	readonly #byShard = new Map<number, Map<string, FoldedJob>>();
 	readonly #tokens = new Map<number, number>();
@@ -50,24 +50,24 @@
 		return [...this.#byShard.keys()];
 	}
 
-	/** Token of the owner whose entries have effect, or -1. */
+	/** Fencing token of the owner whose entries have effect, or -1. */
 	getToken(shard: number): number {
 		return this.#tokens.get(shard) ?? -1;
 	}
 
-	/** Token that the last seal of the shard took over from, or -1 when the shard never had an owner. */
+	/** Fencing token that the last seal of the shard replaced, or -1 if the shard had no owner before. */
 	getPreviousToken(shard: number): number {
 		return this.#previousTokens.get(shard) ?? -1;
 	}
 
-	/** Forgets everything: after a gap, what is still live follows in the records that are kept. */
+	/** Drops all jobs and tokens: after a gap, the records that remain in the log republish what is still live. */
 	clear(): void {
 		this.jobs.clear();
 		this.#byShard.clear();
 		this.#tokens.clear();
 	}
 
-	/** Applies one record; gives what it changed. */
+	/** Applies one record; returns what it changed. */
 	apply(record: JobRecord, offset: number): JobChange[] {
 		this.offset = offset;
 		const changes: JobChange[] = [];
@@ -122,7 +122,7 @@
 	}
 
 	#accept({spec, shard}: JobEntry & {type: JobEntryType.Accept}, writtenAtMs: number, offset: number): JobChange | undefined {
-		// A submission sent again after a lost answer, or by a caller that asked twice: the first stands.
+		// A submission that was appended again after a lost answer, or sent twice by its caller: the first one counts.
 		if (this.jobs.has(spec.jobId)) {
 			return undefined;
 		}
@@ -164,12 +164,12 @@
 			return undefined;
 		}
 
-		// The seal itself may have lapsed from the log before this reader came.
+		// The seal itself may have expired from the log before this reader started.
 		this.#tokens.set(entry.shard, entry.fencingToken);
 		const known = this.jobs.get(entry.spec.jobId);
 		const job = known ?? this.#addJob(entry.spec, entry.shard, writtenAtMs, offset);
 		job.publishedAtMs = Math.max(job.publishedAtMs, writtenAtMs);
-		// Merged, never replaced: a snapshot taken before a later end or cancellation cannot undo it.
+		// Merged, never replaced: a snapshot must not undo an end or a cancellation recorded after it was taken.
 		for (const end of entry.ends) {
 			if (!job.ends.has(end.index)) {
 				this.#recordEnd(job, end, writtenAtMs);
--- a/src/jobs/job-limiter.ts
+++ b/src/jobs/job-limiter.ts
@@ -1,8 +1,8 @@
 /**
-Bounds how many calls are made at a time, so that a wave does not flood the workers.
+Limits concurrent calls, so that a burst does not overload the workers.
 */
 
-/** Runs actions, at most so many at a time, in order of arrival. */
+/** Runs actions in order of arrival, with limited concurrency. */
 export class CallLimiter {
 	readonly #maxConcurrent: number;
 	readonly #waiting: Array<() => void> = [];
@@ -12,10 +12,10 @@
 		this.#maxConcurrent = max;
 	}
 
-	/** Runs the action once its turn has come. */
+	/** Runs the action once fewer than the maximum are running. */
 	async run<Result>(action: () => Promise<Result>): Promise<Result> {
 		if (this.#running >= this.#maxConcurrent) {
-			// The place is handed over by who leaves, so the count stays.
+			// The action that ends passes its slot on, so the count does not change.
 			await new Promise<void>(resolve => {
 				this.#waiting.push(resolve);
 			});
--- a/src/jobs/job-records.ts
+++ b/src/jobs/job-records.ts
@@ -1,6 +1,6 @@
 /**
-Records of the jobs stream. Each is a batch of entries: acceptance, cancellation, ends, and what keeps them alive. Starts of
-idempotent tasks are not recorded.
+Records of the jobs stream. Each is a batch of entries: acceptances, cancellations, ends of tasks, and the entries that owners
+write for fencing and retention. Starts of idempotent tasks are not recorded.
 */
 import {z} from 'zod';
 import {TaskClass, type JobSpec} from '../types/jobs.ts';
@@ -11,11 +11,11 @@
 	Accept = 'accept',
 	Cancel = 'cancel',
 	End = 'end',
-	/** A non-idempotent task is about to be started: its end, when never learned, is then unknown and not "not run". */
+	/** A non-idempotent task is about to be started. If its end is never learned, its outcome is unknown, rather than "not run". */
 	Dispatch = 'dispatch',
-	/** A new owner of the shard writes from here on; what older owners append later has no effect. */
+	/** Fences earlier owners of the shard: entries that they append after this one have no effect. */
 	Seal = 'seal',
-	/** A live job published again before retention takes its older records. */
+	/** State of a live job, republished before its older records expire from the log. */
 	Snapshot = 'snapshot',
 	Forget = 'forget',
 }
@@ -52,7 +52,7 @@
 	attempt,
 	state: z.enum(TaskState),
 	result: z.unknown().optional(),
-	/** Why it counts as ended, when no worker confirmed it. */
+	/** Why the task counts as ended although no worker confirmed it. */
 	reason: z.string().optional(),
 	evictions: z.number().int().nonnegative().optional(),
 });
@@ -85,15 +85,15 @@
 /** Shape of a record of the jobs stream. */
 export const jobRecordSchema = z.object({
 	id: z.string(),
-	/** Wall time of the writer: the age of a job's last publication. */
+	/** Wall time of the writer at the append; the age of a job's newest publication is counted from it. */
 	writtenAtMs: z.number(),
 	entries: z.array(jobEntrySchema),
 });
 
-/** End of one attempt that is final for its task. */
+/** Final end of a task, with the attempt that ended it. */
 export type TaskEnd = z.infer<typeof taskEndSchema>;
 
-/** Where a non-idempotent task was about to be started. */
+/** Attempt and worker of a non-idempotent task that was about to be started. */
 export type Dispatch = z.infer<typeof dispatchSchema>;
 
 /** One entry of a record. */
--- a/src/jobs/job-scheduler-options.ts
+++ b/src/jobs/job-scheduler-options.ts
@@ -1,5 +1,5 @@
 /**
-What the scheduler of an entry is created with.
+Options of the job scheduler of an entry.
 */
 import {type Settings} from '../core/settings-schema.ts';
 import {type Clock} from '../types/clock.ts';
@@ -10,7 +10,7 @@
 import {type WorkerRegistry} from '../types/services.ts';
 import {type OwnerId} from './ownership-fold.ts';
 
-/** What the scheduler needs. */
+/** Options of `JobScheduler`. */
 export type JobSchedulerOptions = {
 	log: PlatformLog;
 	clock: Clock;
@@ -21,6 +21,6 @@
 	workers: Pick<WorkerRegistry, 'list' | 'getClient'>;
 	engine: PlacementEngine;
 	getRegion(service: string): string | undefined;
-	/** How long entries of the jobs stream gather, as it is now; by default that of the settings. */
+	/** Current time for which entries of the jobs stream wait for more, to be appended as one batch; default: `gatherMs` of the settings. */
 	getGatherMs?(): number;
 };
--- a/src/jobs/job-scheduler.ts
+++ b/src/jobs/job-scheduler.ts
@@ -1,5 +1,5 @@
 /**
-The scheduling half of an entry: follows the jobs stream, owns shards, and runs their tasks on the fleet.
+Job scheduler of one entry: reads the jobs stream, owns shards of jobs, and runs their tasks on the workers.
 */
 import {getMessage} from '../core/errors.ts';
 import {followLog} from '../core/log-reader.ts';
@@ -107,17 +107,17 @@
 		});
 	}
 
-	/** Whether the jobs stream was read to its end once. */
+	/** True once the jobs stream has been read to its end. */
 	get isCaughtUp(): boolean {
 		return this.#isCaughtUp;
 	}
 
-	/** Entries that wait for the log. */
+	/** Number of entries waiting to be appended to the log. */
 	get queued(): number {
 		return this.#writer.queued;
 	}
 
-	/** Resolves once the job is in the log. The same job twice is one; another job under its id is refused. */
+	/** Resolves once the job is in the log. Submitting the same job again has no effect; a different job under the same id is refused. */
 	async submit(spec: JobSpec): Promise<JobStatus> {
 		return this.#getStatus(await this.#submissions.submit(spec));
 	}
@@ -127,19 +127,19 @@
 		return this.#getStatus(await this.#submissions.cancel(jobId));
 	}
 
-	/** Status as known here. */
+	/** Status of a job as known to this entry; undefined for an unknown job. */
 	getStatus(jobId: string): JobStatus | undefined {
 		const job = this.fold.jobs.get(jobId);
 		return job && this.#getStatus(job);
 	}
 
-	/** Entry that owns the job's shard and so knows its tasks; none while nobody does. */
+	/** Entry that owns the job's shard and so knows the state of its tasks; undefined while the shard has no owner. */
 	getOwner(jobId: string): string | undefined {
 		const job = this.fold.jobs.get(jobId);
 		return job && this.ownership.fold.getOwner(job.shard)?.processId;
 	}
 
-	/** Tells whether the tasks of the job are followed here. */
+	/** Tells whether this entry owns the job's shard. */
 	isOwnerOf(jobId: string): boolean {
 		const job = this.fold.jobs.get(jobId);
 		return job !== undefined && this.#owners.has(job.shard);
@@ -166,7 +166,7 @@
 			}),
 			this.#repeat(maintenanceIntervalMs, signal, async () => this.#maintainJobs()),
 		]);
-		// Stopped for good or not, running tasks stay with their workers: the next owner finds them there.
+		// Running tasks stay on their workers, also if this entry never restarts: the next owner finds them there.
 		for (const shard of this.#owners.keys()) {
 			this.#closeOwner(shard);
 		}
@@ -174,12 +174,12 @@
 		await this.fleet.stop();
 	}
 
-	/** Gives the shards back, so that another entry need not wait for the lease. */
+	/** Releases all shards, so that other entries need not wait for this entry's lease to expire. */
 	async leave(): Promise<void> {
 		await this.ownership.releaseAll();
 	}
 
-	/** Tells whether this entry may act for the shard: by its lease, or while the log is away by what most workers say. */
+	/** Tells whether this entry may act as owner of the shard: by its lease or, while the log is unavailable, by `LeaseProof`. */
 	mayAct(shard: number): boolean {
 		return this.ownership.owned.has(shard) && (this.ownership.hasLease() || this.#proof.has(shard));
 	}
@@ -189,7 +189,7 @@
 			try {
 				await act();
 			} catch (error) {
-				log('Round failed: %s', getMessage(error));
+				log('Periodic action failed: %s', getMessage(error));
 			}
 
 			await this.#options.clock.sleep(everyMs, signal);
@@ -210,11 +210,11 @@
 			},
 			onBadRecord(record, error) {
 				metrics.count(Metric.BadRecords, Stream.Jobs);
-				log('Bad record at offset %d: %s', record.offset, getMessage(error));
+				log('Invalid jobs record at offset %d: %s', record.offset, getMessage(error));
 			},
 			onUnavailable(message) {
 				metrics.count(Metric.LogErrors, Stream.Jobs);
-				log('Cannot read the log: %s', message);
+				log('Cannot read the jobs stream: %s', message);
 			},
 		}, {
 			log: platformLog, stream: Stream.Jobs, clock, random, fromOffset: 0, signal,
@@ -234,7 +234,7 @@
 		}
 	}
 
-	/** Records were lost to retention: what is live was published again, so the fold starts anew and ownership with it. */
+	/** Records expired before they were read. Live jobs are republished in newer ones: the fold restarts empty, and owned shards are dropped. */
 	#onGap(): void {
 		this.#isTruncated = true;
 		if (this.fold.offset < 0) {
@@ -250,7 +250,7 @@
 
 	#startOwner(shard: number, fencingToken: number): void {
 		const {clock, metrics, engine, settings: {jobs}} = this.#options;
-		// What workers accepted under an earlier token of this entry proves nothing for this one.
+		// Replies of workers to an earlier token of this entry prove nothing for the new token.
 		this.#proof.clear(shard);
 		const owner = new ShardOwner(shard, fencingToken, {
 			clock,
@@ -265,8 +265,8 @@
 			getLeaseManager: workerId => this.fleet.getLeaseManager(workerId),
 			mayStart: () => this.mayAct(shard) && !this.ownership.isReleasing(shard),
 			getRegion: service => service === undefined ? undefined : this.#options.getRegion(service),
-			onSuperseded: (deposed, token) => {
-				this.#handleNewerOwner(deposed, token);
+			onSuperseded: (supersededShard, token) => {
+				this.#handleNewerOwner(supersededShard, token);
 			},
 		});
 		this.#owners.set(shard, owner);
@@ -282,7 +282,7 @@
 			return;
 		}
 
-		// Every owner seals the stream before it starts anything: without an earlier seal nothing can be running.
+		// Every owner seals the stream before it starts any task: without an earlier seal nothing can be running.
 		const isHeld = this.#isTruncated || this.fold.getPreviousToken(shard) >= 0;
 		this.#sealedOwners.add(owner);
 		for (const job of this.fold.getShardJobs(shard).values()) {
@@ -315,7 +315,7 @@
 
 	#handleNewerOwner(shard: number, fencingToken: number): void {
 		if (this.ownership.owned.get(shard) === fencingToken) {
-			log('A worker knows a newer owner of shard %d.', shard);
+			log('A worker reports a newer owner of shard %d.', shard);
 			this.ownership.markSuperseded(shard);
 		}
 	}
@@ -366,7 +366,7 @@
 		this.fleet.applySnapshot(snapshot);
 	}
 
-	/** While the log cannot be read, each worker is asked whether it knows a newer owner of any of our shards. */
+	/** While the log cannot be read, each worker is asked whether it knows a newer owner of any shard owned here. */
 	#getProbes(): TaskRef[] {
 		if (this.ownership.fold.isFresh(this.#options.clock.monotonicMs())) {
 			return [];
@@ -386,7 +386,7 @@
 		}
 	}
 
-	/** Shards of the settings, and those of older settings that still have jobs. */
+	/** Shards of the current settings, and shards of earlier settings that still have jobs. */
 	#getShards(): Set<number> {
 		return new Set([...Array.from({length: this.#options.settings.jobs.shards}, (_, shard) => shard), ...this.fold.getShards()]);
 	}
--- a/src/jobs/job-status.ts
+++ b/src/jobs/job-status.ts
@@ -1,5 +1,5 @@
 /**
-What a caller is told of a job, from the log and from what is known of its tasks.
+Status of a job as reported to callers, from the log and from the owner's state of its tasks.
 */
 import {
 	JobState, type JobSpec, type JobStatus, type TaskStatus,
@@ -7,10 +7,10 @@
 import {TaskState, type Resources} from '../types/platform.ts';
 import {type FoldedJob} from './job-fold.ts';
 
-/** Id of a task: its job and its index. */
+/** Id of a task, from the id of its job and its index. */
 export const getTaskId = (jobId: string, index: number): string => `${jobId}/${index}`;
 
-/** Tells what of the resources no worker has, or undefined when some worker has all. */
+/** Describes which resources no worker has; undefined if some worker has all of them or no worker is known. */
 export const getMissing = (wanted: Resources, capacities: Iterable<Resources>): string | undefined => {
 	const best: Resources = {processors: 0, memoryMb: 0, accelerators: 0};
 	let isEmpty = true;
@@ -35,11 +35,11 @@
 	return lacking.length > 0 ? lacking.join('; ') : 'no worker has all of it together';
 };
 
-/** Tells whether the capacity covers what is wanted. */
+/** Tells whether the capacity covers the required resources. */
 export const hasRoom = (capacity: Resources, wanted: Resources): boolean =>
 	capacity.processors >= wanted.processors && capacity.memoryMb >= wanted.memoryMb && capacity.accelerators >= wanted.accelerators;
 
-/** Puts the status of a job together; `getTask` gives what the owner of its shard knows of a task, `missing` what no worker has. */
+/** Builds the status of a job. `getTask`: status of a task by the owner of its shard; `missing`: resources that no worker has. */
 export const getJobStatus = (job: FoldedJob, getTask?: (index: number) => TaskStatus | undefined, missing?: string): JobStatus => {
 	const tasks = Array.from({length: job.spec.taskCount}, (_, index): TaskStatus => {
 		const end = job.ends.get(index);
@@ -81,7 +81,7 @@
 	return tasks.some(({state}) => state !== undefined) ? JobState.Running : JobState.Accepted;
 };
 
-/** Tells whether two submissions under one id are the same job. */
+/** Tells whether two submissions under the same id describe the same job. */
 export const isSameSpec = (a: JobSpec, b: JobSpec): boolean => toCanonical(a) === toCanonical(b);
 
 const toCanonical = (value: unknown): string => JSON.stringify(value, (_, inner: unknown) =>
--- a/src/jobs/job-submissions.ts
+++ b/src/jobs/job-submissions.ts
@@ -1,5 +1,5 @@
 /**
-Takes submissions and cancellations into the log, and tells the caller only what is certain.
+Writes submissions and cancellations to the log; an answer to a caller states only what has been read back from the log.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -11,7 +11,7 @@
 import {type JobWriter} from './job-writer.ts';
 import {getShard} from './shard-hash.ts';
 
-/** What submissions need. */
+/** Options of `JobSubmissions`. */
 export type JobSubmissionsOptions = {
 	clock: Clock;
 	metrics: Metrics;
@@ -21,7 +21,7 @@
 	submitTimeoutMs: number;
 };
 
-/** Submissions and cancellations at one entry. */
+/** Handles the submissions and cancellations that one entry receives. */
 export class JobSubmissions {
 	readonly #options: JobSubmissionsOptions;
 	readonly #waiting = new Map<string, Set<() => void>>();
@@ -30,7 +30,7 @@
 		this.#options = options;
 	}
 
-	/** Resolves once the job is in the log. The same job twice is one; another job under its id is refused. */
+	/** Resolves once the job is in the log. Submitting the same job again has no effect; a different job under the same id is refused. */
 	async submit(spec: JobSpec): Promise<FoldedJob> {
 		const {fold, metrics, shards} = this.#options;
 		if (!fold.jobs.has(spec.jobId)) {
@@ -62,14 +62,14 @@
 		return job;
 	}
 
-	/** The log told something of the job. */
+	/** Handles a change of the job that was read from the log. */
 	onChange(jobId: string): void {
 		for (const wake of this.#waiting.get(jobId) ?? []) {
 			wake();
 		}
 	}
 
-	/** Writes an entry and waits until it is read back: only then is it certain, and known which of two came first. */
+	/** Writes an entry and waits until it is read back: only then its place in the log, before or after others, is certain. */
 	async #write(entry: JobEntry, jobId: string, isDone: () => boolean): Promise<void> {
 		const {clock, metrics, writer, submitTimeoutMs} = this.#options;
 		const aborter = new AbortController();
--- a/src/jobs/job-upkeep.ts
+++ b/src/jobs/job-upkeep.ts
@@ -1,22 +1,22 @@
 /**
-Keeps the jobs stream whole within its retention: live jobs are published again in time, finished ones are forgotten.
+Keeps the jobs stream complete within its retention: republishes live jobs before their records expire, and forgets finished ones.
 */
 import {type FoldedJob, type JobFold} from './job-fold.ts';
 import {JobEntryType} from './job-records.ts';
 import {type JobWriter} from './job-writer.ts';
 import {type ShardOwner} from './shard-owner.ts';
 
-/** What upkeep needs. */
+/** Options of `maintainJobs`. */
 export type JobMaintenanceOptions = {
 	fold: JobFold;
 	writer: JobWriter;
 	retentionMs: number;
 	keepFinishedMs: number;
-	/** Entries written in one pass, at most: an old stream is not rewritten in one burst. */
+	/** Limit of entries written in one pass, so that a stream of many old jobs is not rewritten in one burst. */
 	maxEntries: number;
 };
 
-/** Publishes and forgets for one owned shard; gives how many entries were written. */
+/** Republishes and forgets jobs of one owned shard; returns how many entries it passed to the writer. */
 export const maintainJobs = async (owner: ShardOwner, nowMs: number, options: JobMaintenanceOptions): Promise<number> => {
 	const {fold, writer, retentionMs, keepFinishedMs, maxEntries} = options;
 	const writes: Array<Promise<boolean>> = [];
@@ -29,7 +29,7 @@
 		if (isForgettable(job, owner, nowMs - keepFinishedMs)) {
 			writes.push(writer.write({type: JobEntryType.Forget, jobId: job.spec.jobId, fencingToken: owner.fencingToken}, isWanted));
 		} else if (nowMs - job.publishedAtMs > retentionMs / 2) {
-			// Half of the retention is left for an outage of the log.
+			// The other half of the retention is a margin for an outage of the log.
 			writes.push(writer.write(createSnapshot(job, owner.fencingToken), isWanted));
 		}
 	}
--- a/src/jobs/job-writer.ts
+++ b/src/jobs/job-writer.ts
@@ -1,5 +1,5 @@
 /**
-Writes to the jobs stream in batches: one append at a time for each process, however many tasks start and end.
+Writes to the jobs stream in batches: a process makes one append at a time, however many tasks start and end.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -13,27 +13,27 @@
 const minBackoffMs = 50;
 const maxBackoffMs = 2000;
 
-/** What the writer needs. */
+/** Options of `JobWriter`. */
 export type JobWriterOptions = {
 	log: PlatformLog;
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
 	maxEntries: number;
-	/** Entries held at most while the log is away. */
+	/** Most entries queued while the log is unavailable. */
 	maxQueued: number;
-	/** How long entries gather before they are appended together, as it is now. */
+	/** Current time for which entries wait for more before they are appended as one batch. */
 	getLingerMs(): number;
 };
 
 type QueuedEntry = {
 	entry: JobEntry;
-	/** Asked just before the append: an entry decided by an owner that was deposed meanwhile is dropped. */
+	/** Called just before the append; drops entries of an owner that has been superseded since. */
 	isWanted?: () => boolean;
 	resolve: (isWritten: boolean) => void;
 };
 
-/** Gathers entries and appends them, each batch until the log has taken it. */
+/** Collects entries into batches and retries each append until it succeeds. */
 export class JobWriter {
 	readonly #options: JobWriterOptions;
 	readonly #queue: QueuedEntry[] = [];
@@ -43,12 +43,12 @@
 		this.#options = options;
 	}
 
-	/** Entries that wait for the log. */
+	/** Number of entries waiting to be appended to the log. */
 	get queued(): number {
 		return this.#queue.length;
 	}
 
-	/** Resolves to true once the entry is in the log; to false when it was dropped: the queue is full, or it is not wanted any more. */
+	/** Resolves to true once the entry is in the log; to false if it was dropped: queue full, no longer wanted, or writer stopped. */
 	async write(entry: JobEntry, isWanted?: () => boolean): Promise<boolean> {
 		if (this.#queue.length >= this.#options.maxQueued) {
 			this.#options.metrics.count(Metric.JobEntriesDropped, entry.type);
@@ -61,7 +61,7 @@
 		});
 	}
 
-	/** Appends what is queued until the signal aborts. */
+	/** Appends queued entries until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		const {clock, getLingerMs: getGatherMs} = this.#options;
 		while (!signal.aborted) {
@@ -101,7 +101,7 @@
 		let backoffMs = minBackoffMs;
 		while (!signal.aborted) {
 			try {
-				// Written now, even when it was decided before a long outage: the age of a job counts from when others can know.
+				// Time of this append, even if the entry was queued before a long outage: a job's age counts from when other entries can read it.
 				const record: JobRecord = {id, writtenAtMs: clock.now().getTime(), entries};
 				await this.#options.log.append(Stream.Jobs, record, signal);
 				metrics.count(Metric.LogAppends, Stream.Jobs);
@@ -111,9 +111,9 @@
 
 				return;
 			} catch (error) {
-				// The append may have taken effect. The same record again changes nothing: every entry folds idempotently.
+				// The append may have taken effect. Appending the record again changes nothing, because applying an entry is idempotent.
 				metrics.count(Metric.LogErrors, Stream.Jobs);
-				log('Append failed: %s', getMessage(error));
+				log('Append to the jobs stream failed, retrying: %s', getMessage(error));
 				await clock.sleep(backoffMs * (0.5 + random.next()), signal);
 				backoffMs = Math.min(maxBackoffMs, backoffMs * 2);
 			}
--- a/src/jobs/lease-keeper.ts
+++ b/src/jobs/lease-keeper.ts
@@ -1,5 +1,6 @@
 /**
-Everything said to one worker: orders that expire, lease renewals in one message a period, and the learning of ends.
+All calls to one worker: orders with a deadline, lease renewals batched into one call for each period, and listings that report
+ended tasks.
 */
 import {createError, ErrorCode, getMessage} from '../core/errors.ts';
 import {type Clock, type Timer} from '../types/clock.ts';
@@ -12,10 +13,10 @@
 import {getTaskRef, TaskPhase, type LiveTask} from './shard-task.ts';
 
 const log = createLogger(Part.Jobs);
-/** A worker with nothing to renew is looked at so many times less often. */
+/** The period of a worker with nothing to renew is longer by this factor. */
 const idlePeriodFactor = 10;
 
-/** Times that leases need. */
+/** Durations that determine leases of tasks. */
 export type LeaseTimes = {
 	leaseMs: number;
 	renewEveryMs: number;
@@ -23,7 +24,7 @@
 	clockErrorMs: number;
 };
 
-/** What a leaseManager needs. */
+/** Options of `LeaseManager`. */
 export type LeaseManagerOptions = {
 	workerId: string;
 	clock: Clock;
@@ -31,33 +32,33 @@
 	metrics: Metrics;
 	times: LeaseTimes;
 	getClient(): WorkerClient | undefined;
-	/** Tells whether this entry may keep tasks of the shard running now. */
+	/** Tells whether this entry may extend leases of the shard's tasks now. */
 	mayRenew(shard: number): boolean;
-	/** Refs that ask only whether the worker knows newer tokens; for the proof of ownership while the log is away. */
+	/** References without a task, which ask only whether the worker knows newer tokens; for `LeaseProof` while the log is unavailable. */
 	getProbes(): TaskRef[];
-	/** The worker has answered for one attempt. */
+	/** The worker replied for one attempt. */
 	onReply(task: LiveTask, attempt: number, reply: WorkerReply, report?: TaskReport): void;
-	/** No lease of the attempt can be running any more, and no end was learned. */
+	/** Every lease of the attempt has expired, and its end is not known. */
 	onLeaseExpired(task: LiveTask): void;
 	/** The worker knows a newer owner of the shard. */
 	onStaleToken(shard: number, fencingToken: number): void;
-	/** All that the worker has, when the question was sent, and which shard it sealed in doing so. */
+	/** The worker sent its listing; `sentAtMs`: when it was requested; `sealedShard`: shard that the same call sealed. */
 	onSnapshot(snapshot: WorkerSnapshot, sentAtMs: number, sealedShard?: number): void;
 };
 
 type Calibration = {
 	incarnation: number;
-	/** Lower bound of the worker's clock less ours. */
+	/** Lower bound of the worker's monotonic clock minus the local one; infinite if the worker did not send its clock. */
 	offsetMs: number;
 };
 
-/** Speaks to one worker; one task for each. */
+/** Makes all calls to one worker, and renews the leases of the tasks on it. */
 export class LeaseManager {
-	/** Tasks that may run at the worker. */
+	/** Tasks that may be running on the worker. */
 	readonly tasks = new Set<LiveTask>();
-	/** When the last message was sent that the worker answered without naming a newer token, by shard. */
+	/** By shard: send time of the newest call that the worker answered without reporting a newer token. */
 	readonly acceptedAtMs = new Map<number, number>();
-	/** Since when the worker's present incarnation is known. */
+	/** When the worker's current incarnation was first received. */
 	knownSinceMs = Number.POSITIVE_INFINITY;
 	readonly #options: LeaseManagerOptions;
 	#refsToForget: TaskRef[] = [];
@@ -75,34 +76,34 @@
 		return this.#options.workerId;
 	}
 
-	/** Incarnation of the worker as it last told. */
+	/** Incarnation that the worker last reported. */
 	get incarnation(): number | undefined {
 		return this.#calibration?.incarnation;
 	}
 
-	/** Tells whether the last message to the worker was answered. */
+	/** Tells whether the last call to the worker was answered. */
 	get isAnswering(): boolean {
 		return this.#isAnswering;
 	}
 
-	/** Tells whether the worker refuses orders that come late. */
+	/** Tells whether orders carry a deadline, after which the worker refuses them. */
 	get isDeadlineEnforced(): boolean {
 		return Number.isFinite(this.#calibration?.offsetMs);
 	}
 
-	/** Until when an order or renewal sent now may keep a task running. */
+	/** Latest moment at which a lease granted by an order or renewal sent now can end, by the local monotonic clock. */
 	getLatestLeaseEndMs(): number {
 		const {clock, times: {leaseMs, callTimeoutMs, clockErrorMs}} = this.#options;
 		return clock.monotonicMs() + callTimeoutMs + leaseMs + clockErrorMs;
 	}
 
-	/** Learns the worker's incarnation and clock, unless they are known. */
+	/** Reads the worker's incarnation and clock, unless they are known. */
 	async ensureCalibrated(): Promise<void> {
 		if (this.#calibration) {
 			return;
 		}
 
-		// Shared: the first wave of starts at a worker would otherwise ask once for each task.
+		// Concurrent callers share one call: otherwise the first starts on a worker would each make their own.
 		this.#calibrating ??= this.list();
 		try {
 			await this.#calibrating;
@@ -111,17 +112,17 @@
 		}
 	}
 
-	/** Orders a start as of the moment given. Throws without an answer: the task may run. */
+	/** Orders a start, with a deadline counted from `asOfMs`. Throws if no answer comes: the task may be running. */
 	async start(order: StartOrder, asOfMs: number): Promise<WorkerReply> {
 		return this.#call(async client => client.start({...order, ...this.#getOrderDeadline(asOfMs)}));
 	}
 
-	/** Orders a stop. Throws without an answer: the task may run. */
+	/** Orders a stop. Throws if no answer comes: the task may be running. */
 	async stop(task: LiveTask, isCheckpoint: boolean): Promise<WorkerReply> {
 		return this.#call(async client => client.stop(getTaskRef(task), {isCheckpoint}));
 	}
 
-	/** Stops an attempt that no task of ours stands for, and drops it. */
+	/** Stops an attempt that no task of this entry refers to, and has the worker forget it. */
 	async stopAndForget(ref: TaskRef): Promise<void> {
 		const reply = await this.#call(async client => client.stop(ref, {isCheckpoint: false}));
 		if (reply.isAccepted) {
@@ -129,17 +130,17 @@
 		}
 	}
 
-	/** Sets the share of processors of a task. */
+	/** Sets the share of its processors that a task may use. */
 	async throttle(task: LiveTask, share: number): Promise<WorkerReply> {
 		return this.#call(async client => client.throttle(getTaskRef(task), share));
 	}
 
-	/** Has an ended attempt dropped with the next message. */
+	/** Has the worker forget an ended attempt in the next cycle. */
 	forget(ref: TaskRef): void {
 		this.#refsToForget.push(ref);
 	}
 
-	/** Refuses older owners at the worker and learns what it has. */
+	/** Has the worker refuse orders of earlier owners, and reads its listing. */
 	async seal(shard: number, fencingToken: number): Promise<WorkerSnapshot> {
 		const sentAtMs = this.#options.clock.monotonicMs();
 		const snapshot = await this.#call(async client => client.seal(shard, fencingToken));
@@ -148,7 +149,7 @@
 		return snapshot;
 	}
 
-	/** Learns what the worker has. */
+	/** Reads the worker's listing. */
 	async list(): Promise<WorkerSnapshot> {
 		const sentAtMs = this.#options.clock.monotonicMs();
 		const snapshot = await this.#call(async client => client.list());
@@ -156,17 +157,17 @@
 		return snapshot;
 	}
 
-	/** Has the worker listed in the next round. */
+	/** Has the next cycle read the worker's listing. */
 	requestSnapshot(): void {
 		this.#isSnapshotRequested = true;
 	}
 
-	/** Has the next round begin now. */
+	/** Starts the next cycle now. */
 	wake(): void {
 		this.#wake?.();
 	}
 
-	/** Renews, learns ends and drops what has ended, until the signal aborts. */
+	/** Runs cycles until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		const {clock, random, times} = this.#options;
 		signal.addEventListener('abort', () => {
@@ -178,7 +179,7 @@
 				aborter.abort();
 			};
 
-			// Jitter: the workers of a fleet are not all spoken to in the same instant.
+			// Jitter avoids calls to all workers of the fleet at the same moment.
 			const periodMs = this.#isIdle() ? times.renewEveryMs * idlePeriodFactor : times.renewEveryMs;
 			await clock.sleep(periodMs * (0.75 + (random.next() / 2)), aborter.signal);
 			if (!signal.aborted) {
@@ -187,7 +188,7 @@
 		}
 	}
 
-	/** Counts the task as one that may run here. */
+	/** Adds a task that may be running on the worker. */
 	add(task: LiveTask): void {
 		const isIdle = this.#isIdle();
 		this.tasks.add(task);
@@ -196,14 +197,14 @@
 		}
 	}
 
-	/** One round: resolves what is unresolved, renews, forgets. */
+	/** Runs one cycle: lists the worker if needed, renews leases, has ended attempts forgotten, and reports expired leases. */
 	async runCycle(): Promise<void> {
 		try {
 			await this.#resolveUnanswered();
 			await this.#renew();
 			await this.#sendForget();
 		} catch (error) {
-			log('Worker %s: %s', this.workerId, getMessage(error));
+			log('Lease cycle of worker %s failed: %s', this.workerId, getMessage(error));
 		}
 
 		this.#reportExpiredLeases();
@@ -213,7 +214,7 @@
 		return this.#isAnswering && this.tasks.size === 0 && this.#refsToForget.length === 0 && !this.#isSnapshotRequested && this.#options.getProbes().length === 0;
 	}
 
-	/** After silence the worker is asked what it has before leases are renewed: an unanswered renewal prolongs what may run. */
+	/** Lists the worker after an unanswered call, before leases are renewed: even an unanswered renewal may keep tasks running longer. */
 	async #resolveUnanswered(): Promise<void> {
 		if (this.#isAnswering && !this.#isSnapshotRequested && ![...this.tasks].some(task => task.isUnresolved)) {
 			return;
@@ -227,9 +228,9 @@
 		const {clock, metrics, times, mayRenew, getProbes, onStaleToken} = this.#options;
 		const tasks = [...this.tasks].filter(task => task.phase === TaskPhase.Running && mayRenew(task.job.shard));
 		const sentAtMs = clock.monotonicMs();
-		const expiry = this.#getOrderDeadline(sentAtMs);
+		const deadline = this.#getOrderDeadline(sentAtMs);
 		const probes = getProbes();
-		const refs = [...tasks.map(task => getTaskRef(task)), ...probes].map(ref => ({...ref, ...expiry}));
+		const refs = [...tasks.map(task => getTaskRef(task)), ...probes].map(ref => ({...ref, ...deadline}));
 		if (refs.length === 0) {
 			return;
 		}
@@ -255,7 +256,7 @@
 
 	async #handleReplies(tasks: LiveTask[], attempts: number[], replies: WorkerReply[]): Promise<void> {
 		const isEnded = (reply?: WorkerReply) => reply?.isAccepted && reply.state !== undefined && reply.state !== TaskState.Running;
-		// Renewals do not bring results; one listing brings those of all tasks that have ended since.
+		// Replies to renewals carry no results; one listing reads the results of all ended tasks.
 		const snapshot = replies.some(reply => isEnded(reply)) ? await this.list() : undefined;
 		const reports = new Map(snapshot?.tasks.map(report => [report.taskId, report]));
 		for (const [index, task] of tasks.entries()) {
@@ -265,7 +266,7 @@
 			}
 
 			if (reply.refusal === WorkerRefusal.Expired) {
-				// Came late or to a later incarnation: the listing of the next round tells which.
+				// The renewal missed its deadline or reached a later incarnation; the listing of the next cycle shows which.
 				this.#isSnapshotRequested = true;
 				continue;
 			}
@@ -306,7 +307,7 @@
 			this.knownSinceMs = nowMs;
 		}
 
-		// Taken when the answer is here, the worker's clock is at least so far ahead: orders expire too early rather than too late.
+		// The local time is read after the answer came, so the offset is a lower bound: orders expire too early rather than too late.
 		this.#calibration = {
 			incarnation: snapshot.incarnation,
 			offsetMs: snapshot.clockMs === undefined ? Number.POSITIVE_INFINITY : snapshot.clockMs - nowMs,
@@ -331,13 +332,13 @@
 		}
 
 		let timer: Timer | undefined;
-		const expiry = new Promise<never>((_, reject) => {
+		const timeout = new Promise<never>((_, reject) => {
 			timer = clock.setTimer(() => {
 				reject(createError(ErrorCode.TimedOut, {step: 'call worker', peer: workerId}));
 			}, times.callTimeoutMs);
 		});
 		try {
-			const reply = await Promise.race([send(client), expiry]);
+			const reply = await Promise.race([send(client), timeout]);
 			this.#isAnswering = true;
 			return reply;
 		} catch (error) {
--- a/src/jobs/lease-proof.ts
+++ b/src/jobs/lease-proof.ts
@@ -1,34 +1,36 @@
 /**
-Proof, by the workers, that no newer owner of a shard can have begun: what an owner goes by while the log is away.
+Proof, from replies of the workers, that no newer owner of a shard can have started tasks. An owner relies on it while the log is
+unavailable.
 */
 import {type Clock} from '../types/clock.ts';
 import {type LeaseManager} from './lease-keeper.ts';
 
 const proofValidityMs = 100;
 
-/** Moment up to which more than half of the workers have not known a newer token, or undefined when they did not tell. */
+/** Latest moment at which more than half of the workers knew of no newer token; undefined if fewer have replied. */
 export const getMajorityAcceptedMs = (acceptedAtMs: Array<number | undefined>): number | undefined => {
 	const needed = Math.floor(acceptedAtMs.length / 2) + 1;
 	const known = acceptedAtMs.filter(atMs => atMs !== undefined).toSorted((a, b) => b - a);
 	return known[needed - 1];
 };
 
-/** Tells whether so many of the workers are more than half. */
+/** Tells whether the count is more than half of the total. */
 export const isMajority = (count: number, total: number): boolean => count > total / 2;
 
-/** What a proof needs. */
+/** Options of `LeaseProof`. */
 export type LeaseProofOptions = {
 	clock: Clock;
-	/** How long an answer of a worker counts; no longer than an entry's lease on its shards. */
+	/** How long a reply of a worker counts; at most the lease of an entry on its shards. */
 	validMs: number;
 	getLeaseManagers(): LeaseManager[];
-	/** Until when this entry's lease by the log lasted. */
+	/** End of this entry's newest lease in the ownership stream. */
 	getLeaseEndMs(): number;
 };
 
 /**
-A new owner starts nothing that may run elsewhere before it has sealed more than half of the workers and waited. So while
-more than half of them have not been sealed, within the last lease, no newer owner has begun its wait.
+A new owner starts no task that may be running elsewhere before it has sealed more than half of the workers and then waited
+(see recovery.ts). So if more than half of them replied within the last lease and were not sealed by a newer owner, no newer
+owner had started its wait by then.
 */
 export class LeaseProof {
 	readonly #options: LeaseProofOptions;
@@ -38,7 +40,7 @@
 		this.#options = options;
 	}
 
-	/** Forgets what was proved under an earlier token. */
+	/** Drops replies to an earlier token. */
 	clear(shard: number): void {
 		this.#proofs.delete(shard);
 		for (const leaseManager of this.#options.getLeaseManagers()) {
@@ -46,7 +48,7 @@
 		}
 	}
 
-	/** Tells whether the proof holds for the shard now. */
+	/** Tells whether there is a valid proof for the shard now. */
 	has(shard: number): boolean {
 		const {clock, validMs} = this.#options;
 		const nowMs = clock.monotonicMs();
@@ -61,7 +63,7 @@
 
 	#getMajorityAcceptedMs(shard: number): number | undefined {
 		const leaseEndMs = this.#options.getLeaseEndMs();
-		// A worker that restarted since has forgotten whom it was sealed for: its word proves nothing.
+		// A worker that restarted after the lease ended has lost the seals of newer owners, so its replies prove nothing.
 		return getMajorityAcceptedMs(this.#options.getLeaseManagers().map(leaseManager =>
 			leaseManager.knownSinceMs <= leaseEndMs ? leaseManager.acceptedAtMs.get(shard) : undefined));
 	}
--- a/src/jobs/ownership-fold.ts
+++ b/src/jobs/ownership-fold.ts
@@ -1,5 +1,5 @@
 /**
-Folds the ownership stream: who owns each shard under which token, and which entries are alive.
+Fold of the ownership stream: the owner and fencing token of each shard, and which entries are alive.
 */
 import {OwnershipRecordType, type OwnershipRecord} from './ownership-records.ts';
 
@@ -17,18 +17,18 @@
 type Presence = {
 	incarnation: number;
 	firstReadAtMs: number;
-	/** By the reader's monotonic clock, as it read the last record. */
+	/** When the last record was read, by the reader's monotonic clock. */
 	lastReadAtMs: number;
 };
 
-/** Tells whether both name the same incarnation of an entry. */
+/** Tells whether both are the same incarnation of the same entry. */
 export const isSameOwner = (a: OwnerId | undefined, b: OwnerId): boolean =>
 	a?.processId === b.processId && a.incarnation === b.incarnation;
 
-/** Owners of shards as the log tells. */
+/** Owners of shards and live entries, derived from the ownership stream. */
 export class OwnershipFold {
 	offset = -1;
-	/** When the reader first came to the end of the stream. */
+	/** When the reader first reached the end of the stream. */
 	caughtUpAtMs?: number;
 	readonly #holdings = new Map<number, Holding>();
 	readonly #presences = new Map<string, Presence>();
@@ -36,38 +36,38 @@
 	#lastPageAtMs?: number;
 	#isTruncated = false;
 
-	/** `expireAfterMs`: how long after the reading of its last record an entry counts as gone. */
+	/** `expireAfterMs`: an entry counts as gone this long after its last record was read. */
 	constructor(expireAfterMs: number) {
 		this.#expireAfterMs = expireAfterMs;
 	}
 
-	/** Token of the shard's last valid claim, or -1. */
+	/** Fencing token of the shard's last valid claim, or -1. */
 	getToken(shard: number): number {
 		return this.#holdings.get(shard)?.fencingToken ?? -1;
 	}
 
-	/** Owner of the shard, dead or alive; none when it was given back. */
+	/** Owner of the shard, alive or not; undefined if the shard was released or never claimed. */
 	getOwner(shard: number): OwnerId | undefined {
 		return this.#holdings.get(shard)?.owner;
 	}
 
-	/** Shards that the entry holds. */
+	/** Shards that the entry owns. */
 	getHeldShards(owner: OwnerId): number[] {
 		return [...this.#holdings].filter(([, holding]) => isSameOwner(holding.owner, owner)).map(([shard]) => shard);
 	}
 
-	/** Entries whose last record was read within the lapse time. */
+	/** Entries whose last record was read within `expireAfterMs`. */
 	getLive(nowMs: number): string[] {
 		return [...this.#presences].filter(([, {lastReadAtMs}]) => nowMs - lastReadAtMs <= this.#expireAfterMs).map(([processId]) => processId);
 	}
 
-	/** How long the entry has been there without a lapse. */
+	/** How long the entry has been alive without its lease expiring. */
 	getPresenceMs(processId: string, nowMs: number): number {
 		const presence = this.#presences.get(processId);
 		return presence ? nowMs - presence.firstReadAtMs : 0;
 	}
 
-	/** Tells whether the owner's lease has lapsed for this reader. */
+	/** Tells whether this reader may treat the owner's lease as expired; true for a shard without owner. */
 	isLeaseExpired(shard: number, nowMs: number): boolean {
 		const owner = this.getOwner(shard);
 		if (!owner) {
@@ -78,20 +78,20 @@
 		return !presence || presence.incarnation > owner.incarnation || nowMs - presence.lastReadAtMs > this.#expireAfterMs;
 	}
 
-	/** Tells whether the stream was read to its end so lately that a judgement on others may be made. */
+	/** Tells whether the stream was read recently enough to decide whether other entries are alive. */
 	isFresh(nowMs: number): boolean {
 		return this.#lastPageAtMs !== undefined && nowMs - this.#lastPageAtMs <= this.#expireAfterMs / 2;
 	}
 
-	/** Records before the offset are gone. */
+	/** Notes that records before the offset expired from the log before they were read. */
 	markGap(oldestOffset: number): void {
 		this.#isTruncated = true;
 		this.offset = Math.max(this.offset, oldestOffset - 1);
 	}
 
-	/** A page was read. */
+	/** Notes that a page was read. */
 	recordPage(endOffset: number, nowMs: number): void {
-		// While the log was away nobody could renew: all get a whole lease again, else every entry would take over from every other.
+		// No entry could renew while the log was unavailable. All get a whole lease again, or each would claim all others' shards.
 		if (this.#lastPageAtMs !== undefined && nowMs - this.#lastPageAtMs > this.#expireAfterMs / 2) {
 			for (const presence of this.#presences.values()) {
 				presence.lastReadAtMs = nowMs;
@@ -104,12 +104,12 @@
 		}
 	}
 
-	/** Applies one record; gives the shards whose token or owner changed. */
+	/** Applies one record; returns the shards whose token or owner changed. */
 	apply(record: OwnershipRecord, offset: number, nowMs: number): number[] {
 		this.offset = offset;
 		const {processId, incarnation} = record;
 		const presence = this.#presences.get(processId);
-		// Late records of an earlier incarnation neither claim nor keep anything alive.
+		// A late record of an earlier incarnation neither claims a shard nor counts as a sign of life.
 		if (presence && presence.incarnation > incarnation) {
 			return [];
 		}
@@ -129,7 +129,7 @@
 		const token = this.getToken(shard);
 		switch (type) {
 			case OwnershipRecordType.Claim: {
-				// Of two claims on the same token the first in the log wins; the second names a token that is gone.
+				// Of two claims on the same token the first in the log wins: it replaces the token that the second one names.
 				if (fencingToken !== token && !(this.#isTruncated && token === -1)) {
 					return false;
 				}
@@ -139,7 +139,7 @@
 			}
 
 			case OwnershipRecordType.Renew: {
-				// The claim itself has lapsed from the log before this reader came: the renewal tells of it.
+				// The claim expired from the log before this reader started; the renewal carries its token.
 				if (fencingToken <= token) {
 					return false;
 				}
--- a/src/jobs/ownership-keeper.ts
+++ b/src/jobs/ownership-keeper.ts
@@ -1,5 +1,5 @@
 /**
-Keeps this entry's ownership of shards: claims, renews, gives back, and tells at each moment which shards it may act for.
+Manages this entry's ownership of shards: claims, renews and releases them, and knows which ones it owns now.
 */
 import {getMessage} from '../core/errors.ts';
 import {followLog} from '../core/log-reader.ts';
@@ -15,11 +15,11 @@
 
 const log = createLogger(Part.Ownership);
 const parseRecord = createParser('read ownership record', ownershipRecordSchema);
-/** Part of a lease that an owner does not use, for the drift between its clock and its reader's. */
+/** Share of a lease that its owner does not use, to allow for drift between its clock and the readers' clocks. */
 const leaseSafetyMargin = 0.1;
 const balanceStepsPerRenewal = 4;
 
-/** What ownership needs. */
+/** Options of `OwnershipManager`. */
 export type OwnershipOptions = {
 	log: PlatformLog;
 	clock: Clock;
@@ -29,15 +29,15 @@
 	leaseMs: number;
 	renewEveryMs: number;
 	settleMs: number;
-	/** Longest age of what a read answers. */
+	/** Longest wait for a read of the log, and so the greatest age of what it returns. */
 	logTimeoutMs: number;
-	/** Shards that must have an owner. */
+	/** Shards that need an owner. */
 	getShards(): Iterable<number>;
-	/** A shard is owned from now on under the token. */
+	/** This entry now owns the shard under the token. */
 	onOwned(shard: number, fencingToken: number): void;
-	/** A shard is owned no more: another claim came first, or it was given back. */
+	/** This entry no longer owns the shard: another entry claimed it, or it was released. */
 	onLost(shard: number): void;
-	/** Finishes what is in progress before the shard is given back. */
+	/** Completes calls in progress before the shard is released. */
 	onRelease(shard: number): Promise<void>;
 };
 
@@ -57,32 +57,32 @@
 		this.fold = new OwnershipFold(options.leaseMs + options.logTimeoutMs);
 	}
 
-	/** Shards owned, with their tokens. */
+	/** Owned shards with their fencing tokens. */
 	get owned(): ReadonlyMap<number, number> {
 		return this.#owned;
 	}
 
-	/** Until when this entry's lease lasts or lasted. */
+	/** End of this entry's newest lease, which may be past. */
 	get leaseEndMs(): number {
 		return this.#leaseEndMs;
 	}
 
-	/** Tells whether this entry's lease, counted from before its last renewal was sent, has not run out by its own clock. */
+	/** Tells whether this entry's lease is unexpired; it counts from the send time of the newest record that was read back. */
 	hasLease(): boolean {
 		return this.#options.clock.monotonicMs() < this.#leaseEndMs;
 	}
 
-	/** Tells whether the shard is on its way to another entry. */
+	/** Tells whether this entry is releasing the shard. */
 	isReleasing(shard: number): boolean {
 		return this.#releasing.has(shard);
 	}
 
-	/** A worker knows a newer token of the shard: this entry was deposed before it could read so. */
+	/** Drops the shard before the stream shows a newer owner, for example because a worker reported a newer token. */
 	markSuperseded(shard: number): void {
 		this.#dropShard(shard);
 	}
 
-	/** Follows the stream, and renews, claims and gives back until the signal aborts. */
+	/** Follows the stream, and renews, claims and releases shards until the signal aborts. */
 	async run(signal: AbortSignal): Promise<void> {
 		const {log: platformLog, clock, random} = this.#options;
 		const following = followLog({
@@ -97,11 +97,11 @@
 			},
 			onBadRecord: (record, error) => {
 				this.#options.metrics.count(Metric.BadRecords, Stream.Ownership);
-				log('Bad record at offset %d: %s', record.offset, getMessage(error));
+				log('Invalid ownership record at offset %d: %s', record.offset, getMessage(error));
 			},
 			onUnavailable: message => {
 				this.#options.metrics.count(Metric.LogErrors, Stream.Ownership);
-				log('Cannot read the log: %s', message);
+				log('Cannot read the ownership stream: %s', message);
 			},
 		}, {
 			log: platformLog, stream: Stream.Ownership, clock, random, fromOffset: 0, signal,
@@ -109,7 +109,7 @@
 		await Promise.all([following, this.#renew(signal), this.#balance(signal)]);
 	}
 
-	/** Gives all shards back, for a graceful shutdown. */
+	/** Releases all shards, for a graceful shutdown. */
 	async releaseAll(): Promise<void> {
 		await this.#release([...this.#owned.keys()]);
 	}
@@ -118,7 +118,7 @@
 		const {clock, self, leaseMs} = this.#options;
 		const changed = this.fold.apply(record, offset, clock.monotonicMs());
 		if (isSameOwner(record, self)) {
-			// Only a record read back counts: one whose answer was lost counts as well, one behind another's claim does not help.
+			// Only a record that is read back extends the lease, also if the answer to its append was lost.
 			const sentAtMs = this.#sentAtMs.get(record.sequence);
 			if (sentAtMs !== undefined) {
 				this.#leaseEndMs = Math.max(this.#leaseEndMs, sentAtMs + (leaseMs * (1 - leaseSafetyMargin)));
@@ -175,7 +175,7 @@
 		}
 	}
 
-	/** A reader judges others only once it has followed the stream for a whole lease: whoever lives has renewed by then. */
+	/** Other entries are judged only after the stream was followed for a whole lease: every live entry has renewed by then. */
 	#isLivenessKnown(): boolean {
 		const nowMs = this.#options.clock.monotonicMs();
 		const {caughtUpAtMs} = this.fold;
@@ -188,7 +188,7 @@
 		const {clock, self, renewEveryMs, getShards} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const live = this.fold.getLive(nowMs);
-		const wanted: Array<{shard: number; fencingToken: number}> = [];
+		const claims: Array<{shard: number; fencingToken: number}> = [];
 		for (const shard of getShards()) {
 			if (this.#owned.has(shard) || !this.fold.isLeaseExpired(shard, nowMs)) {
 				continue;
@@ -196,24 +196,24 @@
 
 			const sinceMs = this.#unownedSince.get(shard) ?? nowMs;
 			this.#unownedSince.set(shard, sinceMs);
-			// The preferred entry goes first; the others come after it, each later, so that one claim is the rule.
+			// The preferred entry claims at once and each further one later by its rank, so that usually only one entry claims a shard.
 			const rank = rankOwners(shard, live).indexOf(self.processId);
 			if (rank !== -1 && nowMs - sinceMs >= rank * renewEveryMs) {
-				wanted.push({shard, fencingToken: this.fold.getToken(shard)});
+				claims.push({shard, fencingToken: this.fold.getToken(shard)});
 			}
 		}
 
-		if (wanted.length > 0) {
-			await this.#append(OwnershipRecordType.Claim, wanted, signal);
+		if (claims.length > 0) {
+			await this.#append(OwnershipRecordType.Claim, claims, signal);
 		}
 	}
 
-	/** Shards that belong to an entry which has been there long enough: an entry that comes and goes moves nothing. */
+	/** Owned shards that should move to another entry. Only entries alive for `settleMs` count: a short-lived one moves no shards. */
 	#getShardsToRelease(): number[] {
 		const {clock, self, settleMs} = this.#options;
 		const nowMs = clock.monotonicMs();
-		const settled = this.fold.getLive(nowMs).filter(processId => processId === self.processId || this.fold.getPresenceMs(processId, nowMs) >= settleMs);
-		return [...this.#owned.keys()].filter(shard => !this.#releasing.has(shard) && rankOwners(shard, settled)[0] !== self.processId);
+		const stable = this.fold.getLive(nowMs).filter(processId => processId === self.processId || this.fold.getPresenceMs(processId, nowMs) >= settleMs);
+		return [...this.#owned.keys()].filter(shard => !this.#releasing.has(shard) && rankOwners(shard, stable)[0] !== self.processId);
 	}
 
 	async #release(shards: number[]): Promise<void> {
@@ -226,8 +226,8 @@
 		}
 
 		await Promise.all(shards.map(async shard => this.#options.onRelease(shard)));
-		const held = shards.filter(shard => this.#owned.has(shard)).map(shard => ({shard, fencingToken: this.#owned.get(shard)!}));
-		await this.#append(OwnershipRecordType.Release, held);
+		const stillOwned = shards.filter(shard => this.#owned.has(shard)).map(shard => ({shard, fencingToken: this.#owned.get(shard)!}));
+		await this.#append(OwnershipRecordType.Release, stillOwned);
 	}
 
 	async #append(type: OwnershipRecordType, shards: OwnershipRecord['shards'], signal?: AbortSignal): Promise<void> {
@@ -251,8 +251,8 @@
 			metrics.count(Metric.LogAppends, Stream.Ownership);
 		} catch (error) {
 			metrics.count(Metric.LogErrors, Stream.Ownership);
-			log('Append failed: %s', getMessage(error));
-			// A release that is not in the log leaves the shard here; the next round tries again.
+			log('Append to the ownership stream failed: %s', getMessage(error));
+			// If the append of a release failed, this entry keeps the shard and tries again in the next pass.
 			if (type === OwnershipRecordType.Release) {
 				for (const {shard} of shards) {
 					this.#releasing.delete(shard);
--- a/src/jobs/ownership-records.ts
+++ b/src/jobs/ownership-records.ts
@@ -1,15 +1,15 @@
 /**
-Records of the ownership stream: which entry owns which shards, all shards of an entry in one record.
+Records of the ownership stream: which entry owns which shards. One record covers all shards of an entry.
 */
 import {z} from 'zod';
 
 /** Types of records in the ownership stream. */
 export enum OwnershipRecordType {
-	/** Takes shards; valid for each whose token is still the one named. The offset becomes its new token. */
+	/** Claims shards; valid for each shard whose token is still the one named. The record's offset becomes the shard's new token. */
 	Claim = 'claim',
-	/** The entry is there and holds these shards. */
+	/** The entry is alive and owns these shards. */
 	Renew = 'renew',
-	/** Gives shards back. */
+	/** Releases shards. */
 	Release = 'release',
 }
 
@@ -18,9 +18,9 @@
 	type: z.enum(OwnershipRecordType),
 	processId: z.string().min(1),
 	incarnation: z.number(),
-	/** Grows with each record of one incarnation, by which the writer finds when it sent it. */
+	/** Grows with each record of one incarnation; the writer uses it to look up when it sent the record. */
 	sequence: z.number().int().nonnegative(),
-	/** Token before a claim; token held, of a renewal or release. -1: none. */
+	/** Fencing token: of a claim, the one that it replaces; of a renewal or release, the current one. -1: none. */
 	shards: z.array(z.object({shard: z.number().int().nonnegative(), fencingToken: z.number().int().min(-1)})),
 });
 
--- a/src/jobs/recovery.ts
+++ b/src/jobs/recovery.ts
@@ -1,5 +1,6 @@
 /**
-What a new owner does before it starts anything: seals the workers, learns what runs, waits out what it cannot reach.
+Recovery by a new owner before it starts tasks: it seals the workers, reads what they run, and waits until leases on unreachable
+workers have expired.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -17,22 +18,22 @@
 
 const log = createLogger(Part.Ownership);
 
-/** What a recovery needs. */
+/** Options of `recoverShard`. */
 export type RecoveryOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
 	limiter: CallLimiter;
-	/** Longest time for which an earlier owner may keep tasks running at workers that this owner has not reached. */
+	/** Longest time for which an earlier owner may keep tasks running on workers that this owner has not reached. */
 	waitMs: number;
 	retryMs: number;
-	/** Workers of the fleet as known now. */
+	/** Lease managers of the workers known now. */
 	getLeaseManagers(): LeaseManager[];
-	/** Tells whether this process has known the fleet for so long that no worker with a running lease can be unknown to it. */
+	/** Tells whether this process has run long enough that every worker with an unexpired lease is known to it. */
 	isFleetKnown(): boolean;
 };
 
-/** What sealing the stream needs. */
+/** Options of `sealStream`. */
 export type StreamSealOptions = {
 	clock: Clock;
 	fold: JobFold;
@@ -40,7 +41,7 @@
 	pollMs: number;
 };
 
-/** Has the jobs stream refuse earlier owners, and reads up to that place; false when a newer owner came first. */
+/** Fences earlier owners in the jobs stream and reads up to the seal; false if a newer owner came first or this one was closed. */
 export const sealStream = async (owner: ShardOwner, {clock, fold, writer, pollMs}: StreamSealOptions): Promise<boolean> => {
 	const {shard, fencingToken} = owner;
 	await writer.write({type: JobEntryType.Seal, shard, fencingToken}, () => !owner.isClosed);
@@ -51,7 +52,7 @@
 	return !owner.isClosed && fold.getToken(shard) === fencingToken;
 };
 
-/** Recovers a shard; resolves once every worker of the fleet has been sealed, or the owner is closed. */
+/** Recovers a shard; resolves once held tasks are released and every known worker has been sealed, or the owner is closed. */
 export const recoverShard = async (owner: ShardOwner, options: RecoveryOptions): Promise<void> => {
 	const {clock, random, metrics, retryMs, waitMs} = options;
 	const startedAtMs = clock.monotonicMs();
@@ -67,13 +68,13 @@
 		}
 
 		const isAllReached = reached === leaseManagers.length;
-		// Counted from the majority: from then on an owner without the log can prove itself to no majority and renews nothing.
+		// Counted from the majority: from then on an earlier owner without the log can obtain no proof from a majority, and renews no leases.
 		const isWaitedOut = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;
 		if (!isReleased && ((isAllReached && options.isFleetKnown()) || isWaitedOut)) {
 			isReleased = true;
 			releaseHeld(owner);
 			metrics.timing(Metric.RecoveryMs, clock.monotonicMs() - startedAtMs);
-			log('Shard %d recovered from %d of %d workers.', owner.shard, reached, leaseManagers.length);
+			log('Shard %d recovered with %d of %d workers sealed.', owner.shard, reached, leaseManagers.length);
 		}
 
 		if (isReleased && isAllReached) {
@@ -87,14 +88,14 @@
 const sealAll = async (owner: ShardOwner, leaseManagers: LeaseManager[], sealed: Set<LeaseManager>, options: RecoveryOptions): Promise<void> => {
 	await Promise.all(leaseManagers.map(async leaseManager => {
 		try {
-			// Limited: a fleet is not sealed in one instant, and several shards taken over at once share the limit.
+			// The limiter keeps the fleet from being sealed all at once; shards acquired at the same time share its limit.
 			await options.limiter.run(async () => owner.isClosed ? undefined : leaseManager.seal(owner.shard, owner.fencingToken));
 			if (!owner.isClosed) {
 				owner.onSealed(leaseManager.workerId, leaseManager.incarnation!);
 				sealed.add(leaseManager);
 			}
 		} catch (error) {
-			log('Worker %s not sealed for shard %d: %s', leaseManager.workerId, owner.shard, getMessage(error));
+			log('Cannot seal worker %s for shard %d: %s', leaseManager.workerId, owner.shard, getMessage(error));
 		}
 	}));
 };
--- a/src/jobs/shard-context.ts
+++ b/src/jobs/shard-context.ts
@@ -1,5 +1,5 @@
 /**
-What the owners of all shards of an entry share.
+Context that the owners of all shards of an entry share.
 */
 import {type Clock} from '../types/clock.ts';
 import {type Metrics} from '../types/metrics.ts';
@@ -9,7 +9,7 @@
 import {type LeaseManager, type LeaseTimes} from './lease-keeper.ts';
 import {type LiveTask} from './shard-task.ts';
 
-/** Why an attempt was followed by another. One counter each. */
+/** Why an attempt ended before its task did. Values are labels of the counter of retries. */
 export enum AttemptEndReason {
 	Refused = 'refused',
 	LeaseExpired = 'lapsed',
@@ -21,28 +21,28 @@
 	LogUnavailable = 'log-away',
 }
 
-/** What a task is run with. */
+/** Dependencies and state shared by all shards of an entry. */
 export type ShardContext = {
 	clock: Clock;
 	metrics: Metrics;
 	writer: JobWriter;
 	engine: PlacementEngine;
 	limiter: CallLimiter;
-	/** All live tasks of the shards owned here. */
+	/** All live tasks of the owned shards, by task id. */
 	tasks: Map<string, LiveTask>;
-	/** Those that wait to be placed. */
+	/** Live tasks that wait to be placed. */
 	waiting: Set<LiveTask>;
 	times: LeaseTimes;
 	maxFailures: number;
 	getLeaseManager(workerId: string): LeaseManager | undefined;
-	/** Tells whether this entry may start tasks of the shard at this moment. */
+	/** Tells whether this entry may start tasks of the shard now. */
 	mayStart(shard: number): boolean;
 	getRegion(service: string | undefined): string | undefined;
-	/** A worker knows a newer owner of the shard. */
+	/** A worker reported a newer owner of the shard. */
 	onSuperseded(shard: number, fencingToken: number): void;
 };
 
-/** Whose tasks are run. */
+/** One shard under one fencing token, with callbacks of its owner. */
 export type ShardScope = {
 	shard: number;
 	fencingToken: number;
--- a/src/jobs/shard-ends.ts
+++ b/src/jobs/shard-ends.ts
@@ -1,5 +1,5 @@
 /**
-How tasks leave a worker and end: their room is freed, their ends recorded, and the worker told what it may forget.
+Ends of tasks: frees their capacity, records their ends, and has workers forget ended attempts.
 */
 import {TaskState} from '../types/platform.ts';
 import {JobEntryType, type TaskEnd} from './job-records.ts';
@@ -8,7 +8,7 @@
 
 const retryMs = 500;
 
-/** Ends of the tasks of one shard. */
+/** Ends the tasks of one shard. */
 export class ShardEnds {
 	readonly #options: ShardScope;
 	readonly #context: ShardContext;
@@ -18,7 +18,7 @@
 		this.#context = context;
 	}
 
-	/** Frees what the task holds here, without a word to its worker: it runs on under the next owner. */
+	/** Drops the task from this entry's state without a call to its worker: it keeps running under the next owner. */
 	detach(task: LiveTask): void {
 		const {engine, tasks, waiting} = this.#context;
 		this.releaseWorker(task);
@@ -28,7 +28,7 @@
 		task.phase = TaskPhase.Closed;
 	}
 
-	/** Frees the task's room; its present attempt is not running any more. Without `isSuccess` its end tells nothing of its worker. */
+	/** Frees the capacity of a task that no longer runs. Without `isSuccess` the end does not count for or against its worker. */
 	releaseWorker(task: LiveTask, isSuccess?: boolean): void {
 		const {clock, engine, getLeaseManager} = this.#context;
 		task.isUnresolved = false;
@@ -44,7 +44,7 @@
 		engine.noteEnded(task.taskId, isSuccess ?? false, clock.monotonicMs());
 	}
 
-	/** Records the task's end; asked again until the log has it or the shard is lost. */
+	/** Records the task's end; retries until the log has it or the shard is lost. */
 	finish(task: LiveTask, end: Pick<TaskEnd, 'state' | 'result' | 'reason'>): void {
 		this.releaseWorker(task, end.state === TaskState.Stopped ? undefined : end.state === TaskState.Succeeded);
 		task.phase = TaskPhase.Ending;
@@ -63,7 +63,7 @@
 		this.close(task);
 	}
 
-	/** Drops a task that is no longer ours. */
+	/** Drops a task that this entry no longer schedules. */
 	close(task: LiveTask): void {
 		this.forgetRetained(task);
 		task.phase = TaskPhase.Closed;
@@ -72,14 +72,14 @@
 		this.#options.onClosed(task);
 	}
 
-	/** Has the present attempt dropped at its worker. */
+	/** Has the worker forget the current attempt. */
 	forget(task: LiveTask): void {
 		if (task.workerId !== undefined) {
 			this.#context.getLeaseManager(task.workerId)?.forget(getTaskRef(task));
 		}
 	}
 
-	/** Has the kept attempt dropped at its worker. */
+	/** Has the worker forget the retained attempt. */
 	forgetRetained(task: LiveTask): void {
 		if (task.retainedAttempt) {
 			this.#context.getLeaseManager(task.retainedAttempt.workerId)?.forget(task.retainedAttempt.ref);
@@ -97,7 +97,7 @@
 				return;
 			}
 
-			// The queue is full: the worker keeps the end until it is told to forget it.
+			// The queue is full. The worker keeps reporting the end until it is ordered to forget the attempt.
 			await clock.sleep(retryMs);
 		}
 	}
--- a/src/jobs/shard-hash.ts
+++ b/src/jobs/shard-hash.ts
@@ -1,11 +1,11 @@
 /**
-Which shard a job belongs to, and in which order entries are preferred as owners of a shard.
+Assignment of jobs to shards, and the order in which entries are preferred as owners of a shard.
 */
 
 const offsetBasis = 0x81_1C_9D_C5;
 const prime = 0x01_00_01_93;
 
-/** Hash of a text: FNV-1a with a final mix, so that names that differ in one digit spread. */
+/** FNV-1a hash of a text, with a final mix so that names that differ in one digit get unrelated values. */
 export const hash = (text: string): number => {
 	let value = offsetBasis;
 	for (let index = 0; index < text.length; index++) {
@@ -20,7 +20,7 @@
 /** Gets the shard of a job. */
 export const getShard = (jobId: string, shardCount: number): number => hash(jobId) % shardCount;
 
-/** Orders entries by rendezvous hashing: the first should own the shard. One entry more or less moves only its own part. */
+/** Ranks entries by rendezvous hashing: the first should own the shard. Adding or removing an entry moves only that entry's shards. */
 export const rankOwners = (shard: number, processIds: Iterable<string>): string[] =>
 	[...processIds]
 		.map(processId => ({processId, weight: hash(`${processId}/${shard}`)}))
--- a/src/jobs/shard-owner.ts
+++ b/src/jobs/shard-owner.ts
@@ -1,5 +1,6 @@
 /**
-The tasks of one shard while this entry owns it: taken from the log, learned from the workers, and closed with their ends.
+Tasks of one shard while this entry owns it: created from the log, matched with reports of the workers, and closed when their ends
+are recorded.
 */
 import {getMessage} from '../core/errors.ts';
 import {type TaskStatus} from '../types/jobs.ts';
@@ -16,14 +17,14 @@
 
 const log = createLogger(Part.Jobs);
 
-/** Owner of one shard under one token. */
+/** Owner of one shard under one fencing token. */
 export class ShardOwner {
 	readonly shard: number;
 	readonly fencingToken: number;
-	/** Carries the tasks through their attempts. */
+	/** Starts and stops the tasks' attempts. */
 	readonly runner: ShardRunner;
 	readonly #context: ShardContext;
-	/** Incarnations of the workers that have been sealed under this token, and whose tasks are known therefore. */
+	/** Incarnations of the workers that were sealed under this token, and so have reported their tasks. */
 	readonly #sealedIncarnations = new Map<string, number>();
 	readonly #jobs = new Map<string, Map<number, LiveTask>>();
 	#isClosed = false;
@@ -47,12 +48,12 @@
 		return this.#isClosed;
 	}
 
-	/** Tells whether some task of the job has not ended here. */
+	/** Tells whether the job has tasks whose end is not recorded. */
 	hasTasks(jobId: string): boolean {
 		return this.#jobs.has(jobId);
 	}
 
-	/** Status of a task, unless its end is recorded. */
+	/** Status of a task; undefined if its end is recorded. */
 	getTaskStatus(jobId: string, index: number): TaskStatus | undefined {
 		const task = this.#jobs.get(jobId)?.get(index);
 		return task && getLiveStatus(task);
@@ -65,7 +66,7 @@
 		}
 	}
 
-	/** Takes a job's tasks that have not ended; held ones wait for what the workers tell. */
+	/** Adds the tasks of a job that have no recorded end. Held tasks are not queued until recovery releases them. */
 	addJob(job: FoldedJob, isHeld: boolean): void {
 		if (this.#isClosed || this.#jobs.has(job.spec.jobId) || (job.isCancelled && !isHeld)) {
 			return;
@@ -91,7 +92,7 @@
 		}
 	}
 
-	/** Follows a change of the log. */
+	/** Handles a change that was read from the log. */
 	onChange({type, job, end}: JobChange): void {
 		if (this.#isClosed || !job) {
 			return;
@@ -129,7 +130,7 @@
 		}
 	}
 
-	/** Puts the waiting tasks of a job before the engine once more. */
+	/** Offers the waiting tasks of a job to the engine again. */
 	offerAgain(jobId: string): void {
 		for (const task of this.#jobs.get(jobId)?.values() ?? []) {
 			if (task.phase === TaskPhase.Waiting) {
@@ -138,7 +139,7 @@
 		}
 	}
 
-	/** Ends the waiting tasks of a job that can run nowhere. */
+	/** Fails the waiting tasks of a job that cannot run on any worker. */
 	fail(jobId: string, reason: string): void {
 		for (const task of this.#jobs.get(jobId)?.values() ?? []) {
 			if (task.phase === TaskPhase.Waiting) {
@@ -149,7 +150,7 @@
 		}
 	}
 
-	/** A held task is not running anywhere any more: it may be started. */
+	/** Releases a held task, which no longer runs on any worker, so that it may be started. */
 	release(task: LiveTask): void {
 		if (task.phase !== TaskPhase.Held) {
 			return;
@@ -159,7 +160,7 @@
 		if (task.isCancelled) {
 			this.runner.ends.close(task);
 		} else if (dispatch && !this.#isDispatchResolved(task, dispatch)) {
-			// It was about to be started, and what became of it cannot be learned: to run it again might run it twice.
+			// A start was recorded and its outcome cannot be learned: another start might run the task twice.
 			this.runner.ends.finish(task, {state: TaskState.Failed, reason: 'unknown: its end was lost with its worker or owner'});
 		} else {
 			this.runner.queue.enqueue(task);
@@ -169,12 +170,12 @@
 		}
 	}
 
-	/** The worker refuses earlier owners, and has listed its tasks since. */
+	/** The worker now refuses orders of earlier owners and has listed its tasks. */
 	onSealed(workerId: string, incarnation: number): void {
 		this.#sealedIncarnations.set(workerId, incarnation);
 	}
 
-	/** Takes what a worker lists of an attempt of this shard; `isSeal`: in answer to the seal. */
+	/** Handles a worker's report of an attempt of this shard; `isSeal`: the report answers this owner's seal. */
 	onReport(leaseManager: LeaseManager, report: TaskReport, isSeal: boolean): void {
 		if (this.#isClosed) {
 			return;
@@ -187,7 +188,7 @@
 		}
 
 		if (task.phase === TaskPhase.Held) {
-			// Another list may have been on its way while the earlier owner could still change what runs.
+			// Any other listing may have been made while the earlier owner could still start or stop tasks.
 			if (isSeal) {
 				this.#adopt(task, leaseManager, report);
 			}
@@ -209,7 +210,7 @@
 		}
 	}
 
-	/** Lets go of all tasks: they run on under the next owner. */
+	/** Drops all tasks without stopping them: they keep running under the next owner. */
 	close(): void {
 		this.#isClosed = true;
 		for (const task of this.list()) {
@@ -219,7 +220,7 @@
 		this.#jobs.clear();
 	}
 
-	/** Waits until no start is on its way, at most for the time of a call. */
+	/** Waits until every ordered start is answered, at most for the timeout of a call. */
 	async waitForStarts(): Promise<void> {
 		const {clock, times: {callTimeoutMs}} = this.#context;
 		const endMs = clock.monotonicMs() + callTimeoutMs;
@@ -228,17 +229,17 @@
 		}
 	}
 
-	/** Tells whether what was about to start is known to have stopped after a checkpoint, or never to have started. */
+	/** Tells whether the dispatched attempt is known to have stopped with a checkpoint, or never to have started. */
 	#isDispatchResolved(task: LiveTask, {attempt, workerId, incarnation}: Dispatch): boolean {
 		if ((task.retainedAttempt?.ref.attempt ?? -1) >= attempt) {
 			return true;
 		}
 
-		// The order never reached the worker when the same incarnation was sealed since and does not know it.
+		// The worker never received the order if the same incarnation was sealed later and did not report the attempt.
 		return task.highestReportedAttempt < attempt && this.#sealedIncarnations.get(workerId) === incarnation;
 	}
 
-	/** Adopts what an earlier owner left at a worker; the highest attempt stands for the task. */
+	/** Adopts an attempt of an earlier owner that a worker listed in reply to the seal; of several checkpoints, that of the highest attempt. */
 	#adopt(task: LiveTask, leaseManager: LeaseManager, report: TaskReport): void {
 		const {clock, engine} = this.#context;
 		const ref = {...getTaskRef(task), attempt: report.attempt};
@@ -269,7 +270,7 @@
 		}
 
 		if (report.checkpointId !== undefined && report.attempt > (task.retainedAttempt?.ref.attempt ?? -1)) {
-			// Stopped for an eviction that the earlier owner did not finish: resumed once, when nothing newer can be running.
+			// Stopped by an eviction that the earlier owner did not complete. Resumed once, when no newer attempt can be running.
 			this.runner.ends.forgetRetained(task);
 			task.checkpointId = report.checkpointId;
 			task.retainedAttempt = {workerId: leaseManager.workerId, ref};
@@ -299,7 +300,7 @@
 		this.#context.tasks.set(task.taskId, task);
 	}
 
-	/** An attempt that nothing stands for: of an ended, cancelled or forgotten task, or overtaken by a newer attempt. */
+	/** Removes an orphaned attempt from its worker: its task ended, was cancelled or forgotten, or has a newer attempt. */
 	#dropOrphan(leaseManager: LeaseManager, report: TaskReport): void {
 		const {taskId, attempt} = report;
 		const ref = {
@@ -311,7 +312,7 @@
 		}
 
 		void this.#context.limiter.run(async () => leaseManager.stopAndForget(ref)).catch((error: unknown) => {
-			log('Stray %s not stopped: %s', taskId, getMessage(error));
+			log('Cannot stop orphaned attempt of %s: %s', taskId, getMessage(error));
 			leaseManager.requestSnapshot();
 		});
 	}
--- a/src/jobs/shard-queue.ts
+++ b/src/jobs/shard-queue.ts
@@ -1,5 +1,5 @@
 /**
-Puts the tasks of a shard before the placement engine.
+Offers the waiting tasks of a shard to the placement engine.
 */
 import {type PendingTask} from '../types/placement.ts';
 import {type ShardContext} from './shard-context.ts';
@@ -15,7 +15,7 @@
 		this.#getSiblings = getSiblings;
 	}
 
-	/** Queues a task that runs nowhere. */
+	/** Queues a task that is not running on any worker. */
 	enqueue(task: LiveTask): void {
 		task.phase = TaskPhase.Waiting;
 		task.workerId = undefined;
@@ -26,7 +26,7 @@
 		this.offer(task);
 	}
 
-	/** Offers a waiting task to the engine; a gang only once none of its tasks runs or may run: it starts as a whole. */
+	/** Offers a waiting task to the engine. A gang is offered as a whole, once none of its tasks may be running. */
 	offer(task: LiveTask): void {
 		if (!task.job.spec.isGang) {
 			this.#context.engine.enqueue(this.getPending(task));
@@ -45,7 +45,7 @@
 		}
 	}
 
-	/** The task as the engine sees it. */
+	/** Describes the task to the engine. */
 	getPending(task: LiveTask): PendingTask {
 		const {taskId, attempt, job: {spec}, queuedAtMs, reserved} = task;
 		return {
--- a/src/jobs/shard-runner.ts
+++ b/src/jobs/shard-runner.ts
@@ -1,5 +1,5 @@
 /**
-Carries the tasks of one shard through their attempts: start, stop, and what the workers answer.
+Runs the attempts of one shard's tasks: starts and stops them, and handles the workers' replies.
 */
 import {getMessage} from '../core/errors.ts';
 import {Metric} from '../types/metrics.ts';
@@ -17,22 +17,22 @@
 } from './shard-task.ts';
 
 const log = createLogger(Part.Jobs);
-/** A worker that is restarted later than this after a start was not taken down by it. */
+/** A restart of a worker counts as a crash caused by a task only within this time of the task's start. */
 const crashWindowMs = 5000;
-/** A task that took so many workers down in a row is a query of death, as long as they are not all one. */
+/** A task fails after this many crashes in a row on at least two different workers: it would crash every worker (a "query of death"). */
 const maxCrashes = 3;
-/** The same on one worker, which may crash by itself. */
+/** The same limit if all crashes were on one worker, which may crash for reasons of its own. */
 const maxCrashesOnOneWorker = 10;
 const workerFaultReasons: ReadonlySet<AttemptEndReason> = new Set([AttemptEndReason.LeaseExpired, AttemptEndReason.UnknownToWorker, AttemptEndReason.Failed]);
 
 const isCrashLimitReached = ({crashedWorkers}: LiveTask): boolean =>
 	crashedWorkers.length >= (new Set(crashedWorkers).size > 1 ? maxCrashes : maxCrashesOnOneWorker);
 
-/** Runs tasks of a shard under one token. */
+/** Runs the tasks of one shard under one fencing token. */
 export class ShardRunner {
-	/** Where tasks wait. */
+	/** Queue of waiting tasks. */
 	readonly queue: ShardQueue;
-	/** How tasks end. */
+	/** Handles ends of tasks. */
 	readonly ends: ShardEnds;
 	readonly #options: ShardScope;
 	readonly #context: ShardContext;
@@ -61,8 +61,8 @@
 		const {attempt} = task;
 		const abortReason = await this.#prepareStart(task, leaseManager);
 		task.startedAtMs = clock.monotonicMs();
-		// Asked right before the order: after a pause the lease may be over, and the shard somebody else's. A pause between
-		// this line and the sending makes the order late, and the worker refuses it.
+		// Checked right before the order: after a pause of this process the lease may have expired and the shard may have another
+		// owner. If the pause falls between this check and the call, the order misses its deadline and the worker refuses it.
 		if (abortReason ?? (this.#options.isClosed() || !this.#context.mayStart(this.#options.shard))) {
 			this.#returnToQueue(task, attempt, abortReason ?? AttemptEndReason.NotOwner);
 			return;
@@ -77,15 +77,15 @@
 				this.#handleStartReply(task, reply, leaseManager);
 			}
 		} catch (error) {
-			// No answer: it may run there. It stays with that worker until the worker tells, or its lease is over.
+			// No answer: the task may be running there. It stays assigned to that worker until the worker lists its tasks or the lease expires.
 			metrics.count(Metric.TaskRefusals, 'no-answer');
 			task.isUnresolved = true;
-			log('Start of %s unresolved: %s', task.taskId, getMessage(error));
+			log('No answer to the start of %s: %s', task.taskId, getMessage(error));
 			leaseManager.requestSnapshot();
 		}
 	}
 
-	/** Stops a running task after a checkpoint, to resume it elsewhere once its end is confirmed. */
+	/** Stops a running task with a checkpoint; it is queued again once its end is confirmed. */
 	async evict(task: LiveTask, reason: string): Promise<void> {
 		if (task.phase === TaskPhase.Starting) {
 			task.evictionReason = reason;
@@ -99,7 +99,7 @@
 		await this.stop(task, true);
 	}
 
-	/** Takes a worker's answer for an attempt; answers for older attempts change nothing. */
+	/** Handles a worker's reply for an attempt; replies for older attempts are ignored. */
 	onReply(task: LiveTask, attempt: number, reply: WorkerReply, report?: TaskReport): void {
 		if (this.#options.isClosed() || task.attempt !== attempt || !mayBeRunning(task)) {
 			return;
@@ -126,7 +126,7 @@
 		this.#onEnded(task, reply.state ?? TaskState.Stopped, {checkpointId: reply.checkpointId ?? report?.checkpointId, result: report?.result});
 	}
 
-	/** The worker's list, asked for at the time, does not have the task. */
+	/** The task is missing from the worker's listing that was requested at `askedAtMs`. */
 	onAbsent(task: LiveTask, leaseManager: LeaseManager, askedAtMs: number): void {
 		const {times: {callTimeoutMs, clockErrorMs}} = this.#context;
 		if (this.#options.isClosed() || !mayBeRunning(task)) {
@@ -134,7 +134,7 @@
 		}
 
 		if (task.phase !== TaskPhase.Starting) {
-			// A list that was on its way while the start was answered may be older than the start.
+			// A listing requested before the start was confirmed may be older than the start.
 			if (askedAtMs >= task.confirmedAtMs) {
 				this.#onLost(task, AttemptEndReason.UnknownToWorker);
 			}
@@ -142,20 +142,20 @@
 			return;
 		}
 
-		// The order may still be on its way: only when it would be refused as late is it certain that it starts nothing.
+		// The order may still arrive. Only after its deadline, when the worker refuses it, is it certain that it starts nothing.
 		if (leaseManager.isDeadlineEnforced && askedAtMs > task.startedAtMs + callTimeoutMs + clockErrorMs) {
 			this.#requeue(task, AttemptEndReason.NotStarted);
 		}
 	}
 
-	/** No lease of the attempt can be running any more. */
+	/** Every lease of the attempt has expired. */
 	onLeaseExpired(task: LiveTask): void {
 		if (!this.#options.isClosed() && mayBeRunning(task)) {
 			this.#onLost(task, AttemptEndReason.LeaseExpired);
 		}
 	}
 
-	/** Takes what a worker lists of the present attempt. */
+	/** Handles a worker's report of the current attempt. */
 	handleReport(task: LiveTask, report: TaskReport): void {
 		if (!mayBeRunning(task)) {
 			return;
@@ -174,7 +174,7 @@
 		}
 	}
 
-	/** Orders a stop; an answer that does not come leaves the task as one that may run. */
+	/** Orders a stop; without an answer the task still counts as one that may be running. */
 	async stop(task: LiveTask, isCheckpoint: boolean): Promise<void> {
 		const leaseManager = this.#context.getLeaseManager(task.workerId!);
 		const {attempt} = task;
@@ -182,7 +182,7 @@
 		try {
 			const reply = await this.#context.limiter.run(async () => leaseManager!.stop(task, isCheckpoint));
 			if (task.attempt === attempt && reply.isAccepted && (reply.state === TaskState.Succeeded || reply.state === TaskState.Failed)) {
-				// It ended before the stop came; its result is in the worker's list only.
+				// The task ended before the stop arrived; only the worker's listing has its result.
 				task.isUnresolved = true;
 				leaseManager!.wake();
 				return;
@@ -190,13 +190,13 @@
 
 			this.onReply(task, attempt, reply);
 		} catch (error) {
-			// No answer: it counts as running. The next round asks the worker, or its lease runs out unrenewed.
+			// No answer: the task counts as running until the next cycle lists the worker, or its lease expires without renewal.
 			task.isUnresolved = true;
-			log('Stop of %s unresolved: %s', task.taskId, getMessage(error));
+			log('No answer to the stop of %s: %s', task.taskId, getMessage(error));
 		}
 	}
 
-	/** Ends a task whose job is cancelled, wherever it is. */
+	/** Cancels a task: drops it if it waits, stops it if it runs. In other phases `isCancelled` takes effect when the phase ends. */
 	cancel(task: LiveTask): void {
 		task.isCancelled = true;
 		if (task.phase === TaskPhase.Waiting) {
@@ -207,7 +207,7 @@
 		}
 	}
 
-	/** A gang that lacks one of its tasks holds room for nothing: the others stop at a checkpoint, and all start again together. */
+	/** Restarts a gang that lost a task: its other tasks can make no progress, so they stop with a checkpoint and all start together. */
 	restartGang(task: LiveTask): void {
 		for (const sibling of this.#options.getSiblings(task)) {
 			if (sibling.phase === TaskPhase.Running) {
@@ -220,7 +220,7 @@
 		this.queue.offer(task);
 	}
 
-	/** What a start needs first; gives what hinders it. */
+	/** Prepares a start; returns the reason if it cannot go ahead. */
 	async #prepareStart(task: LiveTask, leaseManager: LeaseManager): Promise<AttemptEndReason | undefined> {
 		try {
 			await leaseManager.ensureCalibrated();
@@ -337,7 +337,7 @@
 		metrics.count(Metric.EvictionWorkLostMs, undefined, Math.round(clock.monotonicMs() - task.startedAtMs));
 	}
 
-	/** The attempt is over for certain, and how it ended cannot be learned. */
+	/** The attempt has certainly ended, and how it ended cannot be learned. */
 	#onLost(task: LiveTask, reason: AttemptEndReason): void {
 		if (task.phase === TaskPhase.Stopping && !task.isCancelled) {
 			this.#countLostWork(task);
@@ -345,7 +345,7 @@
 
 		if (this.#isCrash(task)) {
 			task.crashedWorkers = [...task.crashedWorkers, task.workerId!];
-			// The next start elsewhere tells the task's crashes from the worker's own.
+			// The engine avoids this worker for a while: the next start elsewhere shows whether the task or the worker causes the crashes.
 			this.#context.engine.noteStartRefused(task.taskId, task.workerId!);
 		} else {
 			task.crashedWorkers = [];
@@ -354,7 +354,7 @@
 		if (task.isCancelled) {
 			this.ends.finish(task, {state: TaskState.Stopped});
 		} else if (isCrashLimitReached(task)) {
-			this.ends.finish(task, {state: TaskState.Failed, reason: `${task.crashedWorkers.length} times a worker was restarted soon after its start`});
+			this.ends.finish(task, {state: TaskState.Failed, reason: `${task.crashedWorkers.length} times a worker restarted soon after the task was started there`});
 		} else if (task.job.spec.isIdempotent) {
 			this.ends.forget(task);
 			this.#requeue(task, reason);
@@ -363,7 +363,7 @@
 		}
 	}
 
-	/** Whether the worker was restarted soon after the start, with nothing started there since: what was there before is innocent. */
+	/** Tells whether the task counts as cause of a crash: its worker restarted soon after its start, and got no later task. */
 	#isCrash({workerId, incarnation, startedAtMs}: LiveTask): boolean {
 		const {clock, getLeaseManager} = this.#context;
 		const leaseManager = getLeaseManager(workerId!);
--- a/src/jobs/shard-task.ts
+++ b/src/jobs/shard-task.ts
@@ -1,5 +1,5 @@
 /**
-A task that has not ended, as the owner of its shard keeps it.
+State of a task without a recorded end, as held by the owner of its shard.
 */
 import {type TaskStatus} from '../types/jobs.ts';
 import {TaskState, type Resources, type TaskRef} from '../types/platform.ts';
@@ -7,63 +7,63 @@
 import {type TaskEnd} from './job-records.ts';
 import {getTaskId} from './job-status.ts';
 
-/** Where a task is between acceptance and end. */
+/** Phases of a task between its acceptance and its end. */
 export enum TaskPhase {
-	/** May run at a worker that a new owner has not reached: not started before the leases there have run out. */
+	/** May be running on a worker that the new owner has not reached: not started until recovery releases it. */
 	Held = 'held',
 	Waiting = 'waiting',
-	/** A start was ordered; until an answer is known it may run at that worker. */
+	/** A start was ordered and not answered yet; the task may be running on that worker. */
 	Starting = 'starting',
 	Running = 'running',
-	/** A stop was ordered; until an answer is known it may run. */
+	/** A stop was ordered and not answered yet; the task may still be running. */
 	Stopping = 'stopping',
-	/** Its end is known and on its way into the log. */
+	/** The end is known and being written to the log. */
 	Ending = 'ending',
-	/** Recorded, cancelled or handed over: no longer ours. */
+	/** Recorded, cancelled or left to the next owner: this entry no longer schedules it. */
 	Closed = 'closed',
 }
 
-/** A task of a shard that is owned here. */
+/** A task of a shard that this entry owns. */
 export type LiveTask = {
 	readonly taskId: string;
 	readonly job: FoldedJob;
 	readonly index: number;
 	readonly fencingToken: number;
 	phase: TaskPhase;
-	/** Grows with each start; carries the token, so that two owners never give the same number. */
+	/** Grows with each start. Contains the fencing token, so that two owners never use the same number. */
 	attempt: number;
 	workerId?: string;
-	/** The last order to its worker got no answer. */
+	/** The last order got no answer, or an answer without the result; the worker's listing must be read. */
 	isUnresolved: boolean;
-	/** Latest moment, by our clock, at which its worker may still run it. */
+	/** Latest moment, by the local monotonic clock, at which the task's lease on its worker can end. */
 	latestLeaseEndMs: number;
 	queuedAtMs: number;
 	startedAtMs: number;
-	/** When the worker's answer that it runs was read. */
+	/** When the worker's confirmation that the task runs was received. */
 	confirmedAtMs: number;
 	checkpointId?: string;
 	evictions: number;
 	failures: number;
-	/** Workers that were restarted soon after it was started there, once for each time, since a run of it has lived. */
+	/** Workers that restarted soon after the task was started there, one item for each crash since an attempt was lost otherwise. */
 	crashedWorkers: string[];
-	/** Incarnation of the worker that its start was ordered from. */
+	/** Incarnation of the worker when the start was ordered. */
 	incarnation?: number;
 	isCancelled: boolean;
-	/** What its worker holds for it, which may differ from what was declared. */
+	/** Resources reserved on its worker, which may differ from the declared ones. */
 	reserved?: Resources;
-	/** Why it is to be evicted once its start is confirmed. */
+	/** Reason to evict the task as soon as its start is confirmed. */
 	evictionReason?: string;
-	/** Highest attempt that a worker told of after a takeover. */
+	/** Highest attempt that a worker reported during recovery. */
 	highestReportedAttempt: number;
-	/** End on its way into the log. */
+	/** End that is being written to the log. */
 	end?: TaskEnd;
-	/** Ended attempt that its worker keeps until a newer attempt runs: a new owner finds the checkpoint there. */
+	/** Ended attempt that its worker retains until a newer attempt runs, so that a new owner can find the checkpoint there. */
 	retainedAttempt?: {workerId: string; ref: TaskRef};
 };
 
 const attemptsPerToken = 65_536;
 
-/** First attempt number under a token. */
+/** First attempt number under a fencing token. */
 export const getFirstAttempt = (fencingToken: number): number => (fencingToken + 1) * attemptsPerToken;
 
 /** Creates a task that is not offered for placement yet. */
@@ -86,12 +86,12 @@
 	highestReportedAttempt: -1,
 });
 
-/** Names the task's present attempt to a worker. */
+/** Reference to the task's current attempt, for orders to a worker. */
 export const getTaskRef = ({taskId, attempt, job, fencingToken}: LiveTask): TaskRef => ({
 	taskId, attempt, shard: job.shard, fencingToken,
 });
 
-/** Tells whether its worker may be running it. */
+/** Tells whether a worker may be running the task. */
 export const mayBeRunning = ({phase}: LiveTask): boolean =>
 	phase === TaskPhase.Starting || phase === TaskPhase.Running || phase === TaskPhase.Stopping;
 
--- a/test/jobs-acceptance.test.ts
+++ b/test/jobs-acceptance.test.ts
@@ -18,7 +18,7 @@
 
 const apply = (fold: JobFold, offset: number, ...entries: JobEntry[]) => fold.apply({id: `${offset}`, writtenAtMs: offset, entries}, offset);
 
-test('a job is acknowledged when it is in the log, runs, and ends', async () => {
+test('a job is acknowledged once it is in the log, and then runs and succeeds', async () => {
 	create();
 	await cluster.submit(createSpec('a', {taskCount: 3}));
 	expect(await cluster.until(() => cluster.getState('a') === JobState.Succeeded)).toBe(true);
@@ -26,9 +26,9 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// A caller submits a job; the log takes it but its answer is lost. The writer appends the same record again, so the log
-// holds the job twice. Without an idempotent fold the job would run twice.
-test('a submission whose answer from the log was lost is one job', async () => {
+// The log stores a submitted job but its answer is lost, so the writer appends the same record again and the log holds the job
+// twice. If the fold were not idempotent, the job would run twice.
+test('a submission whose append is repeated after a lost answer is one job', async () => {
 	create();
 	cluster.log.faults.loseAnswerChance = 0.7;
 	await cluster.submit(createSpec('a'));
@@ -37,7 +37,7 @@
 	expect(cluster.starts.get('a/0')).toHaveLength(1);
 });
 
-test('the same id twice is one job, and another job under that id is refused', async () => {
+test('two submissions of the same job are one job, and a different job under the same id is refused', async () => {
 	create({entries: 2});
 	const [first, second] = [cluster.getEntry(0), cluster.getEntry(1)];
 	const outcomes = Promise.allSettled([
@@ -52,7 +52,7 @@
 	await expect(cluster.submit(createSpec('a', {priority: 1}))).rejects.toThrow('another job has this id');
 });
 
-test('while the log is away a submission is refused as not known, and may be sent again', async () => {
+test('while the log is unavailable a submission fails with an unknown outcome and may be sent again', async () => {
 	create();
 	cluster.log.faults.isDown = true;
 	await expect(cluster.submit(createSpec('a'))).rejects.toThrow('send it again under the same id');
@@ -62,9 +62,9 @@
 	expect(cluster.starts.get('a/0')).toHaveLength(1);
 });
 
-// Every process of ours is lost at once while tasks run and wait. Nothing is left but the log and the workers, whose
-// leases run out. All jobs that were acknowledged must end, none in two places.
-test('jobs survive the loss of all entries at once', async () => {
+// All entries crash at once while tasks run and wait. Only the log and the workers remain, and the leases on the workers expire.
+// All acknowledged jobs must end, and no task may run in two places.
+test('jobs survive a crash of all entries at once', async () => {
 	create({entries: 2, getBehaviour: () => ({runTimeMs: 20_000})});
 	for (let index = 0; index < 8; index++) {
 		await cluster.submit(createSpec(`job-${index}`, {taskCount: 3}));
@@ -97,7 +97,7 @@
 	return figures;
 };
 
-test('the log does not grow with starts: appends for 10 to 10,000 starts', async () => {
+test('the number of appends does not grow with the number of starts, from 10 to 10,000', async () => {
 	const figures = [];
 	for (const starts of [10, 100, 1000, 10_000]) {
 		figures.push(await measureAppends(starts));
@@ -105,7 +105,7 @@
 
 	console.log(JSON.stringify(figures));
 	expect(figures.map(({starts}) => starts)).toEqual([10, 100, 1000, 10_000]);
-	// One append a gathering time at most, plus the renewals of ownership, whatever starts.
+	// At most one append for each `gatherMs`, plus renewals of ownership, however many tasks start.
 	for (const {appends, seconds} of figures) {
 		expect(appends / seconds).toBeLessThan(21);
 	}
@@ -113,9 +113,9 @@
 	expect(figures[3]!.appends).toBeLessThan(figures[0]!.appends * 10);
 }, 120_000);
 
-// Retention takes old records while a long job still waits. An entry that starts later must still find the job, with the
-// ends it already had; jobs that finished long ago are gone.
-test('live jobs outlive the retention of the log, finished ones are forgotten', async () => {
+// Old records expire from the log while a long job is not finished. An entry that starts later must still find the job with the
+// ends recorded so far; jobs that finished long ago must be gone.
+test('live jobs outlast the retention of the log, and finished ones are forgotten', async () => {
 	create({retentionMs: 60_000, settings: {jobs: {keepFinishedMs: 20_000}}, getBehaviour: ({taskId}) => ({runTimeMs: taskId === 'long/1' ? 400_000 : 2000})});
 	await cluster.submit(createSpec('long', {taskCount: 2}));
 	await cluster.submit(createSpec('short'));
@@ -130,9 +130,9 @@
 	expect(cluster.starts.get('long/0')).toHaveLength(1);
 });
 
-// An owner is paused between deciding to publish a job again and the append. Meanwhile another owner takes over, the job is
-// cancelled and a task ends. The old snapshot then lands at the end of the log and must change nothing.
-test('the late snapshot or end of a paused owner has no effect after its successor sealed the stream', () => {
+// An owner is paused between its decision to republish a job and the append. Meanwhile another owner seals the stream, the job is
+// cancelled and a task ends. The old snapshot is then appended and must change nothing.
+test('a late snapshot or end from a paused owner has no effect after its successor sealed the stream', () => {
 	const fold = new JobFold();
 	const spec = createSpec('a', {taskCount: 2});
 	const end = (token: number, state: TaskState): JobEntry => ({
@@ -154,7 +154,7 @@
 	expect(fold.jobs.has('a')).toBe(true);
 });
 
-test('a job that fits nowhere is told so at once with what is missing, and runs when a worker comes that has it', async () => {
+test('a job that fits no worker is unplaceable at once with the missing resources, and runs when a suitable worker joins', async () => {
 	create();
 	await cluster.clock.advance(1000);
 	await cluster.submit(createSpec('big', {resources: {processors: 2, memoryMb: 512, accelerators: 4}}));
@@ -165,7 +165,7 @@
 	expect(await cluster.until(() => cluster.getState('big') === JobState.Succeeded)).toBe(true);
 });
 
-test('a worker that fails everything does not fail a job that can run elsewhere', async () => {
+test('a worker that fails every task does not fail a job that can still succeed', async () => {
 	create({workers: 1});
 	cluster.workers.get('worker-0')!.faults.isFailingAll = true;
 	await cluster.submit(createSpec('a'));
@@ -174,7 +174,7 @@
 	expect(await cluster.until(() => cluster.getState('a') === JobState.Succeeded)).toBe(true);
 });
 
-test('an idempotent task that fails everywhere fails its job after a bounded number of attempts', async () => {
+test('an idempotent task that always fails makes its job fail after `maxFailures` attempts', async () => {
 	create({settings: {jobs: {maxFailures: 3}}, getBehaviour: () => ({runTimeMs: 10, isFailing: true})});
 	await cluster.submit(createSpec('a'));
 	expect(await cluster.until(() => cluster.getState('a') === JobState.Failed)).toBe(true);
@@ -185,7 +185,7 @@
 	['while it waits for an owner', 0],
 	['while its tasks start', 2600],
 	['while its tasks run', 6000],
-])('a job cancelled %s stops for good', async (_, delayMs) => {
+])('a job cancelled %s stops and does not run again', async (_, delayMs) => {
 	create({getBehaviour: () => ({runTimeMs: 60_000})});
 	await cluster.submit(createSpec('a', {taskCount: 6}));
 	await cluster.clock.advance(delayMs);
--- a/test/jobs-crash-blame.test.ts
+++ b/test/jobs-crash-blame.test.ts
@@ -1,5 +1,5 @@
 /**
-Whom restarts of workers count for in the scheduler of the program's own installation.
+Which tasks the job scheduler holds responsible for restarts of workers.
 */
 import {afterEach, expect, it} from 'vitest';
 import {JobState} from '../src/types/jobs.ts';
@@ -19,8 +19,8 @@
 	}
 };
 
-/** Guards against tasks that are given up for what starts beside them. */
-it('leaves tasks alone that ran before the one that takes workers down', async () => {
+/** Guards against failing tasks for crashes that a task started later on the same worker causes. */
+it('does not fail tasks that ran before the task that crashes their workers', async () => {
 	cluster = new World({workers: 3});
 	await cluster.submit(createSpec('innocent', {taskCount: 3, declaredRunTimeMs: 60_000}));
 	await cluster.clock.advance(3000);
@@ -34,8 +34,8 @@
 	expect(cluster.getState('innocent')).not.toBe(JobState.Failed);
 });
 
-/** Guards against tasks that are given up for a worker that restarts whatever it is given. */
-it('takes a few restarts of one worker for the worker\'s own', async () => {
+/** Guards against failing tasks for a worker that restarts whatever task it gets. */
+it('attributes a few restarts of a single worker to the worker itself', async () => {
 	cluster = new World({workers: 1});
 	await cluster.submit(createSpec('innocent'));
 	for (let restarts = 0; restarts < 5; restarts++) {
--- a/test/jobs-crashes.test.ts
+++ b/test/jobs-crashes.test.ts
@@ -8,7 +8,7 @@
 	await cluster.stop();
 });
 
-test('a task that restarts each worker soon after its start is given up after three of them', async () => {
+test('a task whose worker restarts soon after each start fails after three starts', async () => {
 	cluster = new World({workers: 6});
 	await cluster.submit(createSpec('poison'));
 	for (let steps = 0; steps < 1200; steps++) {
--- a/test/jobs-gang.test.ts
+++ b/test/jobs-gang.test.ts
@@ -9,7 +9,7 @@
 
 const gang = createSpec('gang', {taskCount: 3, isGang: true, resources: {processors: 4, memoryMb: 512, accelerators: 0}});
 
-test('a gang starts whole or not at all', async () => {
+test('all tasks of a gang start together or none does', async () => {
 	cluster = new World({workers: 2, getBehaviour: () => ({runTimeMs: 10_000})});
 	await cluster.submit(gang);
 	await cluster.clock.advance(10_000);
@@ -20,8 +20,9 @@
 	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
-// One worker of a running gang restarts. The other two tasks would hold their workers and compute nothing, perhaps for ever.
-test('a gang that loses a task starts again as a whole, the others from their checkpoints', async () => {
+// One worker of a running gang restarts. Without a restart of the gang the other two tasks would occupy their workers and make
+// no progress, perhaps for ever.
+test('a gang that loses a task restarts as a whole, the other tasks from their checkpoints', async () => {
 	cluster = new World({workers: 3, getBehaviour: () => ({runTimeMs: 20_000})});
 	await cluster.submit(gang);
 	await cluster.until(() => cluster.getRunning().length === 3);
@@ -35,7 +36,7 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-test('a gang whose owner dies runs on under the next one', async () => {
+test('a gang keeps running under the next owner after its owner crashes', async () => {
 	cluster = new World({workers: 3, entries: 2, getBehaviour: () => ({runTimeMs: 90_000})});
 	await cluster.submit(gang);
 	await cluster.until(() => cluster.getRunning().length === 3);
--- a/test/jobs-harness.ts
+++ b/test/jobs-harness.ts
@@ -1,5 +1,5 @@
 /**
-Entries, workers and a log in one process on manual time, each of which can be paused, cut off, lost and restarted.
+Simulated cluster: entries, workers and a log in one process on manual time, with faults that tests inject.
 */
 import {createSettings} from '../src/core/settings.ts';
 import {createError, ErrorCode} from '../src/core/errors.ts';
@@ -36,7 +36,7 @@
 	...changes,
 });
 
-/** Stands between a process and all it speaks to: while paused nothing goes in or out, once dead nothing ever does. */
+/** Passes all calls and timers of one simulated process: while it is paused they wait, and once it is dead they never return. */
 class ProcessGate {
 	isDead = false;
 	isLogCut = false;
@@ -69,7 +69,7 @@
 		}
 	}
 
-	/** Counts how many calls to workers are made at a time. */
+	/** Counts concurrent calls to workers. */
 	async count<Result>(act: () => Promise<Result>): Promise<Result> {
 		this.maxConcurrentCalls = Math.max(this.maxConcurrentCalls, ++this.#calls);
 		try {
@@ -144,7 +144,7 @@
 	};
 };
 
-/** An engine that also decides what a test tells it to. */
+/** An engine that also returns decisions queued by a test. */
 export type ScriptedEngine = PlacementEngine & {script: Decision[]};
 
 const createScriptedEngine = (engine: PlacementEngine): ScriptedEngine => {
@@ -162,9 +162,9 @@
 	scheduler: JobScheduler;
 	metrics: Metrics;
 	engine: ScriptedEngine;
-	/** Ends the process with no word to anybody. */
+	/** Ends the process without releasing its shards. */
 	crash(): void;
-	/** Gives its shards back and ends. */
+	/** Releases its shards and ends the process. */
 	leave(): Promise<void>;
 };
 
@@ -180,7 +180,7 @@
 	createEngine?(): PlacementEngine;
 };
 
-/** A cluster of entries, workers and a log. It notes at once when a task runs in two places or a worker is overcommitted. */
+/** A cluster of entries, workers and a log. Records a violation when a task runs in two places or a worker is overcommitted. */
 export class World {
 	readonly clock = new ManualClock();
 	readonly log: MemoryLog;
@@ -190,7 +190,7 @@
 	/** Starts of each task, in order: `worker#attempt`. */
 	readonly starts = new Map<string, string[]>();
 	readonly orders = new Map<string, StartOrder[]>();
-	/** Workers that announce themselves to all entries. */
+	/** Announcements of workers, as all entries see them. */
 	readonly announced = new Map<string, WorkerAnnouncement>();
 	mostRunning = 0;
 	readonly #running = new Map<string, Set<string>>();
@@ -299,12 +299,12 @@
 		return [...this.entries.values()][index]!;
 	}
 
-	/** Entry that owns the job's shard by its own account. */
+	/** First entry that considers itself the owner of the job's shard. */
 	getOwner(jobId: string): TestEntry | undefined {
 		return [...this.entries.values()].find(({scheduler}) => scheduler.isOwnerOf(jobId));
 	}
 
-	/** Runs the cluster until the condition holds; gives whether it came to hold in time. */
+	/** Advances the clock until the condition holds; returns whether it held within the limit. */
 	async until(isDone: () => boolean, limitMs = 120_000, stepMs = 100): Promise<boolean> {
 		const endMs = this.clock.monotonicMs() + limitMs;
 		while (!isDone() && this.clock.monotonicMs() < endMs) {
@@ -335,7 +335,7 @@
 		return this.getEntry().scheduler.getStatus(jobId)?.state;
 	}
 
-	/** Tasks that run now, by the workers' account. */
+	/** Tasks that the workers run now. */
 	getRunning(): string[] {
 		return [...this.#running].filter(([, workerIds]) => workerIds.size > 0).map(([taskId]) => taskId);
 	}
@@ -345,7 +345,7 @@
 		return [...this.#running.get(taskId) ?? []];
 	}
 
-	/** Has the owner of the job decide to evict a task. */
+	/** Queues a decision to evict a task at the owner of its job. */
 	evict(taskId: string): void {
 		const owner = this.getOwner(taskId.split('/')[0]!)!;
 		owner.engine.script.push({
@@ -353,7 +353,7 @@
 		});
 	}
 
-	/** Sums a counter over all entries that live. */
+	/** Sums a counter over all entries that have not crashed. */
 	count(key: string): number {
 		return [...this.entries.values()].reduce((sum, {metrics}) => sum + (metrics.getCounts()[key] ?? 0), 0);
 	}
@@ -385,7 +385,7 @@
 		const {used} = this.workers.get(workerId)!;
 		const {capacity} = this.announced.get(workerId)!;
 		if (used.processors > capacity.processors || used.memoryMb > capacity.memoryMb || used.accelerators > capacity.accelerators) {
-			this.violations.push(`${workerId} has more than it can hold`);
+			this.violations.push(`${workerId} is overcommitted`);
 		}
 	}
 }
--- a/test/jobs-property.test.ts
+++ b/test/jobs-property.test.ts
@@ -27,7 +27,7 @@
 
 type Event = {
 	type: EventType;
-	/** Which entry, worker or job is struck. */
+	/** Selects the affected entry, worker, job or task. */
 	target: number;
 	afterMs: number;
 	durationMs: number;
@@ -48,7 +48,7 @@
 const workerCount = 4;
 const entryCount = 3;
 
-/** Applies events to a cluster, and undoes each after its time. */
+/** Applies events to a cluster and reverts each fault after its duration. */
 class FaultScenario {
 	readonly cluster: World;
 	readonly submitted = new Map<string, {isIdempotent: boolean}>();
@@ -216,18 +216,18 @@
 		throw new Error('no answer');
 	}
 
-	/** Submits until it is acknowledged, as a caller would, to any entry. */
+	/** Submits a job to one entry after another, as a caller would, until one acknowledges it. */
 	async #submit(jobId: string, taskCount: number, isIdempotent: boolean): Promise<void> {
 		this.submitted.set(jobId, {isIdempotent});
 		const spec = createSpec(jobId, {taskCount, isIdempotent});
-		for (let round = 0; round < 50; round++) {
-			const entry = this.cluster.getEntry(round % this.cluster.entries.size);
+		for (let attempt = 0; attempt < 50; attempt++) {
+			const entry = this.cluster.getEntry(attempt % this.cluster.entries.size);
 			try {
-				// An entry that died never answers: the caller gives up and asks another.
+				// An entry that crashed never answers: the caller times out and tries another one.
 				await Promise.race([entry.scheduler.submit(spec), this.#timeOut()]);
 				return;
 			} catch {
-				// Not known: sent again under the same id, to another entry.
+				// The outcome is unknown: the job is sent again under the same id, to another entry.
 			}
 		}
 	}
@@ -246,7 +246,7 @@
 		expect(cluster.violations).toEqual([]);
 		for (const [taskId, orders] of cluster.orders) {
 			const attempts = orders.map(({attempt}) => attempt);
-			// Attempts grow, and a non-idempotent task runs anew only from the checkpoint of the attempt before.
+			// Attempt numbers grow, and a non-idempotent task runs again only from the checkpoint of its previous attempt.
 			expect(attempts).toEqual([...new Set(attempts)].toSorted((a, b) => a - b));
 			const checkpoints = orders.slice(1).map(({checkpointId}) => checkpointId);
 			if (!submitted.get(taskId.split('/')[0]!)!.isIdempotent) {
@@ -261,7 +261,7 @@
 test.each([
 	['first fit', undefined],
 	['the placement engine', () => createPlacementEngine({settings: createSettings({}).placement, random: createRandom(7)})],
-])('through any interleaving of failures no task is in two places, no worker overcommitted, no resume doubled, no job lost, with %s', async (_, createEngine) => {
+])('under random faults no task runs in two places, no worker is overcommitted, no checkpoint is resumed twice and no job is lost, with %s', async (_, createEngine) => {
 	const numRuns = Number(process.env.PROPERTY_RUNS ?? 40);
 	const seed = Number(process.env.PROPERTY_SEED ?? 20_261);
 	const property = fc.asyncProperty(fc.nat(1_000_000), fc.array(eventArbitrary, {minLength: 4, maxLength: 25}), async (clusterSeed, events) =>
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -31,7 +31,7 @@
 	expect(claim('a', 4, 7)).toEqual([]);
 });
 
-test('a late record of an earlier incarnation neither claims nor keeps anything alive', () => {
+test('a late record of an earlier incarnation neither claims a shard nor extends a lease', () => {
 	const fold = new OwnershipFold(10_000);
 	const write = (type: OwnershipRecordType, incarnation: number, offset: number, fencingToken = -1) => fold.apply({
 		type, processId: 'a', incarnation, sequence: 0, shards: [{shard: 0, fencingToken}],
@@ -42,7 +42,7 @@
 	expect(fold.isLeaseExpired(0, 1)).toBe(true);
 });
 
-test('jobs and owners spread evenly, and one entry more moves only its part', () => {
+test('jobs and owners spread evenly, and an additional entry moves only its own shards', () => {
 	const shards = Array.from({length: 64}, (_, shard) => shard);
 	const perShard = new Map<number, number>();
 	for (let index = 0; index < 6400; index++) {
@@ -57,7 +57,7 @@
 	expect(after.filter(owner => owner === 'd').length).toBeLessThan(32);
 });
 
-test('entries share the shards; one that comes takes its part only after it has stayed', async () => {
+test('entries share the shards, and a new entry gets its part only after `settleMs`', async () => {
 	create({entries: 2, shards: 16});
 	expect(await cluster.until(() => sum(getOwned()) === 16, 60_000)).toBe(true);
 	await cluster.clock.advance(30_000);
@@ -68,7 +68,7 @@
 	expect(await cluster.until(() => getOwned()[2]! > 1 && sum(getOwned()) === 16, 60_000)).toBe(true);
 });
 
-test('tasks run on while their shard moves to another entry', async () => {
+test('tasks keep running while their shard moves to another entry', async () => {
 	create({entries: 1, shards: 8, getBehaviour: () => ({runTimeMs: 60_000})});
 	for (let index = 0; index < 6; index++) {
 		await cluster.submit(createSpec(`job-${index}`));
@@ -82,7 +82,7 @@
 	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
-test('an entry that leaves gives its shards back, and nobody waits for its lease', async () => {
+test('an entry that leaves releases its shards, and no other entry waits for its lease to expire', async () => {
 	create({entries: 2, shards: 8});
 	await cluster.until(() => sum(getOwned()) === 8);
 	await cluster.clock.advance(20_000);
@@ -93,9 +93,9 @@
 	await leaving;
 });
 
-// An owner is paused (a stopped process, a stalled host) while it has tasks to start. Another takes its shards over and
-// starts them. Then the first wakes up, still believing that it owns them: what it says to workers must start nothing.
-test('a paused owner that wakes up starts nothing, and its tasks run once', async () => {
+// An owner is paused (a stopped process, a stalled host) while it has tasks to start. Another entry acquires its shards and starts
+// them. Then the first resumes and still considers itself the owner: its orders must start nothing.
+test('a paused owner that resumes starts nothing, and its tasks run once', async () => {
 	create({
 		entries: 2, shards: 8, workers: 4, getBehaviour: () => ({runTimeMs: 15_000}),
 	});
@@ -118,11 +118,12 @@
 	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
-// One owner loses the log but not a worker, another that worker but not the log: both may believe that they own the shard.
-// The first must stop renewing before the second starts the task elsewhere, also when no worker can tell it of its successor.
+// One owner can't reach the log but reaches a worker, the other can't reach that worker but reaches the log: both may consider
+// themselves the owner. The first must stop renewing before the second starts the task elsewhere, also if no worker can report the
+// new owner to the first.
 test.each([
-	['and a sealed worker tells it so', false],
-	['and it reaches only the worker that the other does not', true],
+	['and notified by a sealed worker', false],
+	['and reaching only the worker that the other does not', true],
 ])('two owners, one cut off from the log %s, never run a task in two places', async (_, isAlone) => {
 	create({
 		entries: 2, shards: 4, workers: 5, getBehaviour: () => ({runTimeMs: 300_000}),
@@ -154,9 +155,9 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// The log is down for an hour and comes back. If each entry judged the others by the time that passed, all would take over
-// from all in the same second.
-test('after an outage of the log owners stay the same', async () => {
+// The log is down for ten minutes and recovers. If each entry judged the others by the time since their last records, all entries
+// would claim the shards of all others at once.
+test('owners stay the same after an outage of the log', async () => {
 	create({entries: 3, shards: 12});
 	await cluster.until(() => sum(getOwned()) === 12);
 	await cluster.clock.advance(30_000);
--- a/test/recovery.test.ts
+++ b/test/recovery.test.ts
@@ -21,8 +21,8 @@
 	await cluster.stop();
 });
 
-// The start of a task takes effect and its answer is lost. Started again elsewhere, it would run in two places.
-test.each([true, false])('a start whose answer is lost is one run (idempotent: %s)', async isIdempotent => {
+// A start takes effect and its answer is lost. If the task were started again elsewhere, it would run in two places.
+test.each([true, false])('a start whose answer is lost runs once (idempotent: %s)', async isIdempotent => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 20_000})});
 	await cluster.clock.advance(5000);
 	for (const worker of cluster.workers.values()) {
@@ -41,9 +41,9 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// A worker is asked for its list while a start is on its way, answers before the start arrives, and its answer is slow. Read
-// after the start was confirmed, the list lacks the task: taken as 'forgotten', the task would start a second time.
-test('a list older than a start does not end the task', async () => {
+// A worker lists its tasks before a start arrives, but the listing is received only after the start was confirmed, and lacks the
+// task. If the task were taken as forgotten by the worker, it would start a second time.
+test('a listing older than a start does not end the task', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 30_000})});
 	await cluster.submit(createSpec('warm-up'));
 	await cluster.until(() => cluster.getRunning().length === 1);
@@ -73,9 +73,9 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// The connection breaks while a start is on its way; the order arrives later. The worker's list in between does not have the
-// task: taken as 'not started', the task would start elsewhere and then here.
-test('a start that is not listed yet may still arrive', async () => {
+// The connection breaks while a start is in flight; the order arrives later. A listing in between lacks the task. If the task were
+// taken as not started, it would start elsewhere and then also here.
+test('a start that is not listed yet is not repeated, since it may still arrive', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 30_000})});
 	await cluster.submit(createSpec('warm-up'));
 	await cluster.until(() => cluster.getRunning().length === 1);
@@ -93,9 +93,9 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// The worker is paused with the order in its buffers. The owner waits for its lease and starts the task elsewhere. When the
-// worker wakes up it reads the old order: taken as new, it would run the task a second time at once.
-test('an order that a paused worker reads after its time starts nothing', async () => {
+// A worker is paused with an order in its buffers. The owner waits until the lease expires and starts the task elsewhere. If the
+// resumed worker executed the old order, the task would run in two places.
+test('an order that a paused worker reads after the deadline starts nothing', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 300_000})});
 	await cluster.submit(createSpec('warm-up', {resources: {processors: 1, memoryMb: 1, accelerators: 0}}));
 	await cluster.until(() => cluster.getRunning().length === 1);
@@ -111,9 +111,9 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// A worker restarts under its old address. Its tasks are gone, but the address answers: an owner that only looked at whether
-// the worker answers would wait for them for ever.
-test('a worker restarted under the same address has ended its old tasks', async () => {
+// A worker restarts under its old address. Its tasks are gone, but the address answers: an owner that checked only whether the
+// worker answers would wait for them for ever.
+test('tasks of a worker that restarted under the same address count as ended', async () => {
 	create({workers: 1, getBehaviour: () => ({runTimeMs: 10_000})});
 	await submitAll(['again'], {isIdempotent: true});
 	await submitAll(['once'], {isIdempotent: false});
@@ -126,8 +126,8 @@
 	expect(cluster.getEntry().scheduler.getStatus('once')!.reason).toContain('unknown');
 });
 
-// Two entries own different shards and each believes that a worker is free. Both fill it in the same round.
-test('two owners at once do not overcommit a worker: it refuses, and both find room later', async () => {
+// Two entries own different shards, and each sees a worker as free. Both place tasks on it in the same cycle.
+test('two owners do not overcommit a worker: it refuses starts, and the refused tasks run later', async () => {
 	create({entries: 2, shards: 8, workers: 2});
 	await cluster.until(() => [...cluster.entries.values()].every(({scheduler}) => scheduler.ownership.owned.size > 1));
 	await submitAll(getIds(12), {taskCount: 3});
@@ -137,9 +137,9 @@
 	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
-// The log is down for an hour. Tasks run and end meanwhile, and others that had been accepted wait for their room. Leases of
-// entries cannot be renewed, and nothing can be recorded.
-test('tasks run, end and start through an outage of the log of an hour', async () => {
+// The log is down for an hour. Tasks run and end meanwhile, and other accepted tasks wait for capacity. Entries can't renew their
+// leases and can't record ends.
+test('tasks run, end and start during an outage of the log of an hour', async () => {
 	create({
 		entries: 2,
 		workers: 4,
@@ -161,8 +161,9 @@
 	expect(cluster.violations).toEqual([]);
 }, 120_000);
 
-// The owner of many running jobs dies. While another takes over and asks the workers, callers cancel half of the jobs.
-test('a cancellation wave during a takeover loses none', async () => {
+// The owner of many running jobs crashes. While another entry acquires the shards and lists the workers, callers cancel half of
+// the jobs.
+test('no cancellation is lost while shards move to another owner', async () => {
 	create({
 		entries: 2, shards: 4, workers: 8, getBehaviour: () => ({runTimeMs: 120_000}),
 	});
@@ -186,9 +187,9 @@
 	expect(areAll(cancelled, JobState.Cancelled)).toBe(true);
 });
 
-// The owner dies, and the new owner cannot reach one worker, which runs on until its leases lapse. A waiting task might be
-// one of those that run there.
-test('a new owner waits out the leases at a worker that it cannot reach', async () => {
+// The owner crashes, and the new owner can't reach one worker, whose tasks run until their leases expire. A held task might be one
+// of those.
+test('a new owner waits until the leases on an unreachable worker have expired', async () => {
 	create({
 		entries: 2, shards: 1, workers: 4, getBehaviour: () => ({runTimeMs: 100_000}),
 	});
@@ -207,8 +208,9 @@
 	expect([...cluster.starts.values()].filter(starts => starts.length === 2)).toHaveLength(2);
 });
 
-// As before, but the task must not run twice: what ran at the lost worker is reported as unknown, what did not is run.
-test('after a takeover a non-idempotent task of a lost worker is unknown, and one that never started runs', async () => {
+// As before, but with tasks that must not run twice: a task that ran on the lost worker is reported as unknown, one that did not
+// is started.
+test('under a new owner a non-idempotent task of a lost worker is unknown, and one that never started runs', async () => {
 	create({
 		entries: 2, shards: 1, workers: 3, capacity: {processors: 1, memoryMb: 4096, accelerators: 0}, getBehaviour: () => ({runTimeMs: 30_000}),
 	});
@@ -225,7 +227,7 @@
 	expect([...cluster.starts.values()].every(starts => starts.length === 1)).toBe(true);
 });
 
-test('what ran in a lost failure domain runs elsewhere, once the leases there are over', async () => {
+test('tasks of a lost failure domain run elsewhere once their leases have expired', async () => {
 	create({
 		entries: 2, shards: 4, workers: 11, getBehaviour: () => ({runTimeMs: 60_000}),
 	});
@@ -243,7 +245,7 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-test('a worker that comes back with old tasks is cleared of them', async () => {
+test('old tasks on a worker that becomes reachable again are removed', async () => {
 	create({workers: 2, getBehaviour: () => ({runTimeMs: 50_000})});
 	await submitAll(getIds(3));
 	await cluster.until(() => cluster.getRunning().length === 3);
@@ -258,8 +260,8 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// An entry with many shards dies. The next owner has to ask each worker about each shard: all at once would be a flood.
-test('a takeover speaks to the workers at a bounded pace', async () => {
+// An entry with many shards crashes. The next owner has to seal each worker for each shard, and must not make all calls at once.
+test('acquiring many shards makes a bounded number of concurrent calls to workers', async () => {
 	create({
 		entries: 2, shards: 16, workers: 40, settings: {jobs: {maxCalls: 8}}, getBehaviour: () => ({runTimeMs: 200_000}),
 	});
