--- a/src/jobs/job-fold.ts
+++ b/src/jobs/job-fold.ts
@@ -1,29 +1,29 @@
 /**
-Folds the jobs stream. Every reader comes to the same jobs, whatever was appended twice, late or by a paused owner.
+Fold of the jobs stream. Every reader derives the same jobs, even if records were appended twice, late, or by a paused owner.
 */
 import {type JobSpec} from '../types/jobs.ts';
 import {
 	JobEntryType, type Dispatch, type JobEntry, type JobRecord, type TaskEnd,
 } from './job-records.ts';
 
-/** A job as the log tells it. */
+/** A job as derived from the log. */
 export type FoldedJob = {
 	readonly spec: JobSpec;
 	readonly shard: number;
-	/** Offset of the record that brought it. */
+	/** Offset of the record that added the job. */
 	readonly offset: number;
-	/** Wall time of its last whole publication, by its writer. */
+	/** Wall time of its newest acceptance or snapshot, by the clock of the writer. */
 	publishedAtMs: number;
 	isCancelled: boolean;
-	/** Ends by index of the task; the first in the log stands. */
+	/** Ends by task index; the first one in the log is final. */
 	readonly ends: Map<number, TaskEnd>;
-	/** Last dispatches of non-idempotent tasks by index. */
+	/** Newest dispatch of each non-idempotent task, by task index. */
 	readonly dispatches: Map<number, Dispatch>;
 	/** Wall time of the record that ended the last task, or cancelled the job. */
 	finishedAtMs?: number;
 };
 
-/** What changed, for those who act on it. */
+/** A change that one entry of a record made to the fold. */
 export type JobChange = {
 	type: JobEntryType;
 	shard: number;
@@ -31,17 +31,17 @@
 	end?: TaskEnd;
 };
 
-/** The jobs that the log tells of. */
+/** Jobs derived from the jobs stream. */
 export class JobFold {
 	readonly jobs = new Map<string, FoldedJob>();
-	/** Offset of the last record folded. */
+	/** Offset of the last record applied. */
 	offset = -1;
 	readonly #byShard = new Map<number, Map<string, FoldedJob>>();
 	readonly #tokens = new Map<number, number>();
 	readonly #previousTokens = new Map<number, number>();
 
 	/** Jobs of one shard. */
-	getShard(shard: number): ReadonlyMap<string, FoldedJob> {
+	getShardJobs(shard: number): ReadonlyMap<string, FoldedJob> {
 		return this.#byShard.get(shard) ?? new Map<string, FoldedJob>();
 	}
 
@@ -50,24 +50,24 @@
 		return [...this.#byShard.keys()];
 	}
 
-	/** Token of the owner whose entries have effect, or -1. */
+	/** Fencing token of the owner whose entries have effect, or -1. */
 	getToken(shard: number): number {
 		return this.#tokens.get(shard) ?? -1;
 	}
 
-	/** Token that the last seal of the shard took over from, or -1 when the shard never had an owner. */
+	/** Fencing token that the last seal of the shard replaced, or -1 if the shard had no owner before. */
 	getPreviousToken(shard: number): number {
 		return this.#previousTokens.get(shard) ?? -1;
 	}
 
-	/** Forgets everything: after a gap, what is still live follows in the records that are kept. */
+	/** Drops all jobs and tokens: after a gap, the records that remain in the log republish what is still live. */
 	clear(): void {
 		this.jobs.clear();
 		this.#byShard.clear();
 		this.#tokens.clear();
 	}
 
-	/** Applies one record; gives what it changed. */
+	/** Applies one record; returns what it changed. */
 	apply(record: JobRecord, offset: number): JobChange[] {
 		this.offset = offset;
 		const changes: JobChange[] = [];
@@ -116,22 +116,22 @@
 			case JobEntryType.End:
 			case JobEntryType.Dispatch:
 			case JobEntryType.Forget: {
-				return this.#applyOwned(entry, writtenAtMs);
+				return this.#applyOwnerEntry(entry, writtenAtMs);
 			}
 		}
 	}
 
 	#accept({spec, shard}: JobEntry & {type: JobEntryType.Accept}, writtenAtMs: number, offset: number): JobChange | undefined {
-		// A submission sent again after a lost answer, or by a caller that asked twice: the first stands.
+		// A submission that was appended again after a lost answer, or sent twice by its caller: the first one counts.
 		if (this.jobs.has(spec.jobId)) {
 			return undefined;
 		}
 
-		const job = this.#add(spec, shard, writtenAtMs, offset);
+		const job = this.#addJob(spec, shard, writtenAtMs, offset);
 		return {type: JobEntryType.Accept, shard, job};
 	}
 
-	#applyOwned(entry: JobEntry & {type: JobEntryType.End | JobEntryType.Dispatch | JobEntryType.Forget}, writtenAtMs: number): JobChange | undefined {
+	#applyOwnerEntry(entry: JobEntry & {type: JobEntryType.End | JobEntryType.Dispatch | JobEntryType.Forget}, writtenAtMs: number): JobChange | undefined {
 		const job = this.jobs.get(entry.jobId);
 		if (!job || this.#isStale(job.shard, entry.fencingToken)) {
 			return undefined;
@@ -153,7 +153,7 @@
 			return undefined;
 		}
 
-		this.#end(job, entry.end, writtenAtMs);
+		this.#recordEnd(job, entry.end, writtenAtMs);
 		return {
 			type: entry.type, shard, job, end: entry.end,
 		};
@@ -164,15 +164,15 @@
 			return undefined;
 		}
 
-		// The seal itself may have lapsed from the log before this reader came.
+		// The seal itself may have expired from the log before this reader started.
 		this.#tokens.set(entry.shard, entry.fencingToken);
 		const known = this.jobs.get(entry.spec.jobId);
-		const job = known ?? this.#add(entry.spec, entry.shard, writtenAtMs, offset);
+		const job = known ?? this.#addJob(entry.spec, entry.shard, writtenAtMs, offset);
 		job.publishedAtMs = Math.max(job.publishedAtMs, writtenAtMs);
-		// Merged, never replaced: a snapshot taken before a later end or cancellation cannot undo it.
+		// Merged, never replaced: a snapshot must not undo an end or a cancellation recorded after it was taken.
 		for (const end of entry.ends) {
 			if (!job.ends.has(end.index)) {
-				this.#end(job, end, writtenAtMs);
+				this.#recordEnd(job, end, writtenAtMs);
 			}
 		}
 
@@ -198,7 +198,7 @@
 		return fencingToken < this.getToken(shard);
 	}
 
-	#end(job: FoldedJob, end: TaskEnd, writtenAtMs: number): void {
+	#recordEnd(job: FoldedJob, end: TaskEnd, writtenAtMs: number): void {
 		job.ends.set(end.index, end);
 		job.dispatches.delete(end.index);
 		if (job.ends.size === job.spec.taskCount) {
@@ -206,7 +206,7 @@
 		}
 	}
 
-	#add(spec: JobSpec, shard: number, publishedAtMs: number, offset: number): FoldedJob {
+	#addJob(spec: JobSpec, shard: number, publishedAtMs: number, offset: number): FoldedJob {
 		const job: FoldedJob = {
 			spec, shard, offset, publishedAtMs, isCancelled: false, ends: new Map(), dispatches: new Map(),
 		};
--- a/src/jobs/shard-ends.ts
+++ b/src/jobs/shard-ends.ts
@@ -1,5 +1,5 @@
 /**
-How tasks leave a worker and end: their room is freed, their ends recorded, and the worker told what it may forget.
+Ends of tasks: frees their capacity, records their ends, and has workers forget ended attempts.
 */
 import {TaskState} from '../types/platform.ts';
 import {JobEntryType, type TaskEnd} from './job-records.ts';
@@ -8,7 +8,7 @@
 
 const retryMs = 500;
 
-/** Ends of the tasks of one shard. */
+/** Ends the tasks of one shard. */
 export class ShardEnds {
 	readonly #options: ShardScope;
 	readonly #context: ShardContext;
@@ -18,25 +18,25 @@
 		this.#context = context;
 	}
 
-	/** Frees what the task holds here, without a word to its worker: it runs on under the next owner. */
-	letGo(task: LiveTask): void {
+	/** Drops the task from this entry's state without a call to its worker: it keeps running under the next owner. */
+	detach(task: LiveTask): void {
 		const {engine, tasks, waiting} = this.#context;
-		this.leaveWorker(task);
+		this.releaseWorker(task);
 		engine.cancel(task.taskId);
 		tasks.delete(task.taskId);
 		waiting.delete(task);
 		task.phase = TaskPhase.Closed;
 	}
 
-	/** Frees the task's room; its present attempt is not running any more. Without `isSuccess` its end tells nothing of its worker. */
-	leaveWorker(task: LiveTask, isSuccess?: boolean): void {
-		const {clock, engine, getKeeper} = this.#context;
+	/** Frees the capacity of a task that no longer runs. Without `isSuccess` the end does not count for or against its worker. */
+	releaseWorker(task: LiveTask, isSuccess?: boolean): void {
+		const {clock, engine, getLeaseManager} = this.#context;
 		task.isUnresolved = false;
 		if (task.workerId === undefined) {
 			return;
 		}
 
-		getKeeper(task.workerId)?.tasks.delete(task);
+		getLeaseManager(task.workerId)?.tasks.delete(task);
 		if (isSuccess === undefined) {
 			engine.cancel(task.taskId);
 		}
@@ -44,9 +44,9 @@
 		engine.noteEnded(task.taskId, isSuccess ?? false, clock.monotonicMs());
 	}
 
-	/** Records the task's end; asked again until the log has it or the shard is lost. */
+	/** Records the task's end; retries until the log has it or the shard is lost. */
 	finish(task: LiveTask, end: Pick<TaskEnd, 'state' | 'result' | 'reason'>): void {
-		this.leaveWorker(task, end.state === TaskState.Stopped ? undefined : end.state === TaskState.Succeeded);
+		this.releaseWorker(task, end.state === TaskState.Stopped ? undefined : end.state === TaskState.Succeeded);
 		task.phase = TaskPhase.Ending;
 		task.end = {
 			index: task.index, attempt: Math.max(0, task.attempt), evictions: task.evictions, ...end,
@@ -57,33 +57,33 @@
 	/** The log has the task's end. */
 	closeRecorded(task: LiveTask): void {
 		if (task.workerId !== undefined && task.phase === TaskPhase.Ending) {
-			this.#context.getKeeper(task.workerId)?.forget(getTaskRef(task));
+			this.#context.getLeaseManager(task.workerId)?.forget(getTaskRef(task));
 		}
 
 		this.close(task);
 	}
 
-	/** Drops a task that is no longer ours. */
+	/** Drops a task that this entry no longer schedules. */
 	close(task: LiveTask): void {
-		this.forgetKept(task);
+		this.forgetRetained(task);
 		task.phase = TaskPhase.Closed;
 		this.#context.waiting.delete(task);
 		this.#context.tasks.delete(task.taskId);
 		this.#options.onClosed(task);
 	}
 
-	/** Has the present attempt dropped at its worker. */
+	/** Has the worker forget the current attempt. */
 	forget(task: LiveTask): void {
 		if (task.workerId !== undefined) {
-			this.#context.getKeeper(task.workerId)?.forget(getTaskRef(task));
+			this.#context.getLeaseManager(task.workerId)?.forget(getTaskRef(task));
 		}
 	}
 
-	/** Has the kept attempt dropped at its worker. */
-	forgetKept(task: LiveTask): void {
-		if (task.kept) {
-			this.#context.getKeeper(task.kept.workerId)?.forget(task.kept.ref);
-			task.kept = undefined;
+	/** Has the worker forget the retained attempt. */
+	forgetRetained(task: LiveTask): void {
+		if (task.retainedAttempt) {
+			this.#context.getLeaseManager(task.retainedAttempt.workerId)?.forget(task.retainedAttempt.ref);
+			task.retainedAttempt = undefined;
 		}
 	}
 
@@ -97,7 +97,7 @@
 				return;
 			}
 
-			// The queue is full: the worker keeps the end until it is told to forget it.
+			// The queue is full. The worker keeps reporting the end until it is ordered to forget the attempt.
 			await clock.sleep(retryMs);
 		}
 	}
