--- a/src/jobs/first-fit-engine.ts
+++ b/src/jobs/first-fit-engine.ts
@@ -1,5 +1,5 @@
 /**
-Placement by first fit: the first open worker with room. The baseline that better engines are measured against.
+Placement by first fit: the first schedulable worker with enough free capacity. Baseline for comparison with other engines.
 */
 import {
 	DecisionType, type Decision, type PendingTask, type PlacementEngine, type PlacementWorker,
@@ -12,13 +12,13 @@
 	used: Resources;
 };
 
-/** Places each task on the first worker with room; gangs as a whole; evicts nothing. */
+/** Places each task on the first worker where it fits, and gangs completely or not at all; never evicts. */
 export class FirstFitEngine implements PlacementEngine {
 	readonly #workers = new Map<string, Worker>();
 	readonly #waiting = new Map<string, PendingTask>();
 	readonly #placed = new Map<string, {workerId: string; resources: Resources}>();
 	readonly #reported = new Set<string>();
-	/** Worker that last refused a task: the next attempt goes elsewhere if it can. */
+	/** Worker that last refused the task: the next attempt goes to another one if possible. */
 	readonly #refusedBy = new Map<string, string>();
 
 	setWorker(spec: PlacementWorker): void {
@@ -32,7 +32,7 @@
 	}
 
 	setQuota(): void {
-		// First fit knows no quotas.
+		// First fit ignores quotas.
 	}
 
 	enqueue(task: PendingTask): void {
@@ -47,12 +47,12 @@
 	noteRunning(task: PendingTask, workerId: string): void {
 		this.#waiting.delete(task.taskId);
 		if (this.#placed.get(task.taskId)?.workerId !== workerId) {
-			this.#take(task, workerId);
+			this.#allocate(task, workerId);
 		}
 	}
 
 	noteStartRefused(taskId: string, workerId: string): void {
-		// The room stays taken until the end of the attempt is noted.
+		// The capacity stays allocated until the end of the attempt is recorded.
 		this.#refusedBy.set(taskId, workerId);
 	}
 
@@ -70,21 +70,21 @@
 	}
 
 	noteUsage(): void {
-		// First fit knows no harm.
+		// First fit ignores interference.
 	}
 
 	decide(_nowMs: number, maxDecisions: number): Decision[] {
 		const decisions: Decision[] = [];
-		const full = new Set<string>();
+		const unfitShapes = new Set<string>();
 		for (const task of this.#waiting.values()) {
 			if (decisions.length >= maxDecisions) {
 				break;
 			}
 
 			const {jobId, resources, isGang} = task.spec;
-			// A shape that found no room in this round finds none for the next task either.
+			// If no worker fits this shape in this cycle, the next task of the same shape fits nowhere either.
 			const shape = `${resources.processors}/${resources.memoryMb}/${resources.accelerators}/${task.region ?? ''}`;
-			if (full.has(shape)) {
+			if (unfitShapes.has(shape)) {
 				continue;
 			}
 
@@ -93,7 +93,7 @@
 			if (starts) {
 				decisions.push(...starts);
 			} else {
-				full.add(shape);
+				unfitShapes.add(shape);
 				this.#reportMissing(task, decisions);
 			}
 		}
@@ -104,7 +104,7 @@
 	#place(group: PendingTask[]): Decision[] | undefined {
 		const starts: Decision[] = [];
 		for (const task of group) {
-			const worker = this.#findRoom(task);
+			const worker = this.#findWorker(task);
 			if (!worker) {
 				for (const start of starts as Array<Decision & {type: DecisionType.Start}>) {
 					this.noteEnded(start.taskId);
@@ -113,7 +113,7 @@
 				return undefined;
 			}
 
-			this.#take(task, worker.spec.workerId);
+			this.#allocate(task, worker.spec.workerId);
 			starts.push({
 				type: DecisionType.Start, taskId: task.taskId, workerId: worker.spec.workerId, resources: task.spec.resources,
 			});
@@ -126,7 +126,7 @@
 		return starts;
 	}
 
-	#findRoom({taskId, spec, region}: PendingTask): Worker | undefined {
+	#findWorker({taskId, spec, region}: PendingTask): Worker | undefined {
 		let lastChoice: Worker | undefined;
 		for (const worker of this.#workers.values()) {
 			const {workerId, isOpen, capacity, foreign, region: workerRegion} = worker.spec;
@@ -142,7 +142,7 @@
 		return lastChoice;
 	}
 
-	#take({taskId, spec: {resources}}: PendingTask, workerId: string): void {
+	#allocate({taskId, spec: {resources}}: PendingTask, workerId: string): void {
 		this.noteEnded(taskId);
 		this.#placed.set(taskId, {workerId, resources});
 		const worker = this.#workers.get(workerId);
--- a/src/jobs/harm-cost.ts
+++ b/src/jobs/harm-cost.ts
@@ -1,40 +1,41 @@
 /**
-Expected cost of harm on a worker, now and with one task more, in the units of the weights.
+Expected cost of interference on a worker, now and with one more task, in the units of the weights.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {getExpectedProcessors} from './harm-history.ts';
 import {clampLoad, hostKindId, type HarmModel} from './harm-model.ts';
 import {type MixItem, type TaskEntry, type WorkerEntry} from './placement-state.ts';
 
-/** Weights of harm by class of the harmed task. */
+/** Weights of interference by class of the slowed task. */
 export type HarmWeights = {
 	tailWeight: number;
 	throughputWeight: number;
 };
 
-// A service avoids what is unknown; batch work tries it.
+// In standard deviations: latency-critical tasks avoid uncertain neighbours, batch tasks try them.
 const deviationsByClass = {
 	[TaskClass.LatencyCritical]: 0.5,
 	[TaskClass.Batch]: -0.5,
 };
 
-/** Works out costs of harm. */
+/** Computes costs of interference. */
 export class HarmCost {
 	readonly #model: HarmModel;
 	readonly #weights: HarmWeights;
-	readonly #getBusyness: () => number;
+	readonly #getUtilization: () => number;
 
 	constructor(model: HarmModel, options: {weights: HarmWeights; getBusyness: () => number}) {
 		this.#model = model;
 		this.#weights = options.weights;
-		this.#getBusyness = options.getBusyness;
+		this.#getUtilization = options.getBusyness;
 	}
 
 	/**
-	Cost that the task would add to the worker: what it suffers there and what it does to others.
+	Cost that the task would add to the worker: its own slowdown there and the slowdown of the others by it.
 
-	Room beside a service does not stay free: batch work of the usual kind will fill it. So a service is better off on a
-	host that services fill already, and beside it a quiet task is worth more than no task.
+	Free capacity beside a latency-critical task is expected to be used by batch tasks with average interference. So hosts
+	that are already full of latency-critical tasks are preferred for another one, and a batch task with little interference
+	is preferred to leaving the capacity free.
 	*/
 	getAdded(worker: WorkerEntry, entry: TaskEntry, processors: number): number {
 		const mix = this.#getMix(worker);
@@ -42,12 +43,12 @@
 		const load = clampLoad(worker.expectedProcessors / capacity.processors);
 		const newLoad = clampLoad((worker.expectedProcessors + processors) / capacity.processors);
 		const {kindId, spec: {taskClass}} = entry.job;
-		const isService = taskClass === TaskClass.LatencyCritical;
-		const filler = this.#model.usualHarm * (isService ? 1 : this.#getBusyness() ** 2);
-		const exposure = filler * Math.max(0, worker.free.processors);
-		const newExposure = filler * Math.max(0, worker.free.processors - entry.reserved.processors);
+		const isLatencyCritical = taskClass === TaskClass.LatencyCritical;
+		const slowdownPerProcessor = this.#model.usualHarm * (isLatencyCritical ? 1 : this.#getUtilization() ** 2);
+		const exposure = slowdownPerProcessor * Math.max(0, worker.free.processors);
+		const newExposure = slowdownPerProcessor * Math.max(0, worker.free.processors - entry.reserved.processors);
 		const own = this.#getOwnExcess(kindId, taskClass, mix, newLoad);
-		let cost = this.#getPrice(taskClass, isService ? own + newExposure : own);
+		let cost = this.#getPrice(taskClass, isLatencyCritical ? own + newExposure : own);
 		for (const item of mix) {
 			const isExposed = item.taskClass === TaskClass.LatencyCritical;
 			const before = getExcess(item, load) + (isExposed ? exposure : 0);
@@ -59,7 +60,7 @@
 		return cost;
 	}
 
-	/** Cost that services of the worker would be spared if the neighbour were gone, moved by so many deviations. */
+	/** Cost that the neighbour causes to latency-critical tasks of the worker, at its expected effect plus `deviations` standard deviations. */
 	getContribution(worker: WorkerEntry, neighbour: TaskEntry, deviations: number): number {
 		const mix = this.#getMix(worker);
 		const load = clampLoad(worker.expectedProcessors / worker.spec.capacity.processors);
@@ -85,14 +86,14 @@
 		return Math.max(0, excess);
 	}
 
-	// A tail grows faster than the mean harm, hence the square.
+	// Tail latency grows faster than the mean slowdown, hence the square.
 	#getPrice(taskClass: TaskClass, excess: number): number {
 		return taskClass === TaskClass.LatencyCritical
 			? this.#weights.tailWeight * (excess + (excess ** 2)) / 2
 			: this.#weights.throughputWeight * excess;
 	}
 
-	/** Gets the kinds on the worker with their expected harm, kept while the same tasks run there. */
+	/** Gets the kinds on the worker with their expected slowdown, cached while the same tasks run there and for one epoch of the model. */
 	#getMix(worker: WorkerEntry): MixItem[] {
 		if (worker.mix && worker.mixEpoch === this.#model.epoch) {
 			return worker.mix;
--- a/src/jobs/harm-history.ts
+++ b/src/jobs/harm-history.ts
@@ -1,36 +1,36 @@
 /**
-Who stood beside whom at which time, so that a late report is credited to the time that it speaks of.
+Which tasks ran beside each other at which time, so that a late report is attributed to the neighbours at the time it was measured.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type Neighbour} from './harm-model.ts';
 import {type Residency, type TaskEntry, type WorkerEntry} from './placement-state.ts';
 
-// Reports come up to half a minute late; older stays explain nothing any more.
-const keptMs = 60_000;
+// Reports arrive up to half a minute late; older residencies are no longer needed.
+const retentionMs = 60_000;
 const pruneAt = 16;
 
-/** Surroundings of a task at one time. */
+/** Neighbours of a task and load of its host at one time. */
 export type Surroundings = {
 	victimId: number;
 	taskClass: TaskClass;
 	neighbours: Neighbour[];
 	load: number;
-	/** Processors of the batch tasks among the neighbours. */
+	/** Processors used by the batch tasks among the neighbours. */
 	batchProcessors: number;
 };
 
-type EndedStay = {
+type EndedResidency = {
 	worker: WorkerEntry;
 	kindId: number;
 	taskClass: TaskClass;
 	endMs: number;
 };
 
-/** Stays on workers, the running ones and those ended a short time ago. */
+/** Residencies of tasks on workers: current ones, and those that ended a short time ago. */
 export class HarmHistory {
-	readonly #ended = new Map<string, EndedStay>();
+	readonly #ended = new Map<string, EndedResidency>();
 
-	/** A task begins to run, or goes on at another share. */
+	/** Records that a task starts on its worker, or continues at another throttle share. */
 	begin(entry: TaskEntry, nowMs: number): void {
 		const {worker} = entry;
 		if (!worker) {
@@ -39,7 +39,7 @@
 
 		close(entry, nowMs);
 		if (worker.residencies.length >= pruneAt + (2 * worker.tasks.size)) {
-			worker.residencies = worker.residencies.filter(({endMs}) => endMs > nowMs - keptMs);
+			worker.residencies = worker.residencies.filter(({endMs}) => endMs > nowMs - retentionMs);
 		}
 
 		entry.residency = {
@@ -54,7 +54,7 @@
 		worker.residencies.push(entry.residency);
 	}
 
-	/** A task leaves its worker; to be told while it is still there. */
+	/** Records that a task leaves its worker; to be called while `entry.worker` is still set. */
 	end(entry: TaskEntry, nowMs: number): void {
 		const {worker, job: {kindId, spec}, task: {taskId}} = entry;
 		if (!worker) {
@@ -67,7 +67,7 @@
 			worker, kindId, taskClass: spec.taskClass, endMs: nowMs,
 		});
 		for (const [oldId, {endMs}] of this.#ended) {
-			if (endMs > nowMs - keptMs) {
+			if (endMs > nowMs - retentionMs) {
 				break;
 			}
 
@@ -75,27 +75,27 @@
 		}
 	}
 
-	/** Takes over the measured processors of a running task. */
+	/** Updates the residency by the measured processors of a running task. */
 	measure(entry: TaskEntry): void {
 		if (entry.residency) {
 			entry.residency.processors = entry.usedProcessors;
 		}
 	}
 
-	/** Gets what stood beside the task at the time; undefined: not known any more. */
+	/** Gets the neighbours of the task at the time; undefined: not known, or no longer. */
 	getSurroundings(taskId: string, entry: TaskEntry | undefined, atMs: number): Surroundings | undefined {
-		if (entry?.worker && hasStay(entry.worker, taskId, atMs)) {
-			return describe(entry.worker, taskId, {victimId: entry.job.kindId, taskClass: entry.job.spec.taskClass, atMs});
+		if (entry?.worker && hasResidency(entry.worker, taskId, atMs)) {
+			return createColocation(entry.worker, taskId, {victimId: entry.job.kindId, taskClass: entry.job.spec.taskClass, atMs});
 		}
 
-		const stay = this.#ended.get(taskId);
-		return stay && hasStay(stay.worker, taskId, atMs)
-			? describe(stay.worker, taskId, {victimId: stay.kindId, taskClass: stay.taskClass, atMs})
+		const ended = this.#ended.get(taskId);
+		return ended && hasResidency(ended.worker, taskId, atMs)
+			? createColocation(ended.worker, taskId, {victimId: ended.kindId, taskClass: ended.taskClass, atMs})
 			: undefined;
 	}
 }
 
-/** Processors that the task is expected to use: measured when there is a report, else what is held for it. */
+/** Processors that the task is expected to use: measured if there is a report, else allocated. */
 export const getExpectedProcessors = (entry: TaskEntry): number => entry.usedProcessors >= 0 ? entry.usedProcessors : entry.reserved.processors;
 
 const isAt = ({startMs, endMs}: Residency, atMs: number): boolean => startMs <= atMs && atMs < endMs;
@@ -107,10 +107,10 @@
 	}
 };
 
-const hasStay = ({residencies}: WorkerEntry, taskId: string, atMs: number): boolean =>
+const hasResidency = ({residencies}: WorkerEntry, taskId: string, atMs: number): boolean =>
 	residencies.some(residency => residency.taskId === taskId && isAt(residency, atMs));
 
-const describe = (worker: WorkerEntry, taskId: string, victim: {victimId: number; taskClass: TaskClass; atMs: number}): Surroundings => {
+const createColocation = (worker: WorkerEntry, taskId: string, victim: {victimId: number; taskClass: TaskClass; atMs: number}): Surroundings => {
 	const {victimId, taskClass, atMs} = victim;
 	const neighbours: Neighbour[] = [];
 	let processors = 0;
--- a/src/jobs/harm-model.ts
+++ b/src/jobs/harm-model.ts
@@ -1,10 +1,10 @@
 /**
-What each kind of task does to each other kind, learned from measured slowdowns.
+Model of the interference between kinds of tasks, learned from measured slowdowns.
 
-The slowdown of a task beyond 1 is the sum of the effects of its neighbours, and of the host itself, which is kind 0.
-Each effect is a line over the load of the host: its value on an idle host and on a full one, each with a variance.
-A report updates all of them at once, those in doubt most (a Kalman filter that keeps the diagonal alone). What was
-learned fades: means go back to what the neighbour does to others, variances to those of the unknown.
+The slowdown of a task above 1 is modelled as the sum of the effects of its neighbours and of the host itself, which is
+kind 0. Each effect is linear in the load of the host: one value for an idle host and one for a full host, each with a
+variance. A report updates all effects that it involves, the uncertain ones most (a Kalman filter that keeps only the
+diagonal of the covariance). Uncertainty grows back over time: standard deviations return to that of an unknown pair.
 */
 import {TaskClass} from '../types/jobs.ts';
 
@@ -17,16 +17,16 @@
 const noiseFloor = 0.01;
 const noiseStart = 0.1;
 const noiseRate = 0.02;
-// One wild report moves an effect no more than three deviations would.
+// Bound on the innovation: an outlier changes an effect no more than a report three standard deviations off.
 const clipDeviations = 3;
 const maxSlowdown = 10;
-const neighbourRate = 0.05;
-const fadeSteps = 20;
+const averageEffectRate = 0.05;
+const decaySteps = 20;
 const epochMs = 5000;
-const usualHarmStart = 0.03;
-const usualHarmRate = 0.005;
+const batchInterferenceStart = 0.03;
+const batchInterferenceRate = 0.005;
 
-/** Kinds by number. The least recently used one makes room when there are too many. */
+/** Assigns numeric ids to kinds. When the ids are used up, a new kind takes that of the oldest. */
 export class KindTable {
 	readonly #ids = new Map<string, number>();
 	readonly #onReuse: (kindId: number) => void;
@@ -57,11 +57,11 @@
 /** A neighbour of a measured task. */
 export type Neighbour = {
 	kindId: number;
-	/** Number of its tasks, throttled ones in part. */
+	/** Sum of its tasks' throttle shares: a task at half speed counts as half a neighbour. */
 	amount: number;
 };
 
-/** One measured slowdown and what stood beside it at that time. */
+/** One measured slowdown, and the neighbours and load at that time. */
 export type HarmReport = {
 	victimId: number;
 	taskClass: TaskClass;
@@ -71,45 +71,45 @@
 	slowdown: number;
 };
 
-/** Learned effects between kinds. */
+/** Learned effects of kinds on each other. */
 export class HarmModel {
-	/** Changes every few seconds: what was worked out from the model before is to be worked out again. */
+	/** Changes every few seconds: results computed from the model in an earlier epoch are to be recomputed. */
 	epoch = 0;
 	readonly #halfLifeMs: number;
-	// Pairs at [victim * maxKinds + neighbour]; idle and full are the ends of the line over load.
+	// Indexed by victim * maxKinds + neighbour; values for an idle and for a full host, linear in the load between them.
 	readonly #idle = new Float64Array(maxKinds * maxKinds).fill(priorMean);
 	readonly #full = new Float64Array(maxKinds * maxKinds).fill(priorMean);
 	readonly #idleDeviation = new Float64Array(maxKinds * maxKinds).fill(priorDeviation);
 	readonly #fullDeviation = new Float64Array(maxKinds * maxKinds).fill(priorDeviation);
 	readonly #isSeen = new Uint8Array(maxKinds * maxKinds);
-	// What a kind does on average to services and to batch tasks, for pairs not seen yet.
-	readonly #usual = {
+	// Average effect of a kind on latency-critical and on batch tasks, used for pairs without reports.
+	readonly #averageEffects = {
 		[TaskClass.LatencyCritical]: new Float64Array(maxKinds).fill(priorMean),
 		[TaskClass.Batch]: new Float64Array(maxKinds).fill(priorMean),
 	};
 
 	readonly #noise = new Float64Array(maxKinds).fill(noiseStart);
-	#usualHarm = usualHarmStart;
-	#fadedAtMs = Number.NaN;
+	#batchInterference = batchInterferenceStart;
+	#decayedAtMs = Number.NaN;
 
 	constructor(halfLifeMs: number) {
 		this.#halfLifeMs = halfLifeMs;
 	}
 
-	/** Harm that a service suffers on average for each processor of batch work beside it. */
+	/** Average slowdown above 1 of a latency-critical task for each processor that batch tasks beside it use. */
 	get usualHarm(): number {
-		return this.#usualHarm;
+		return this.#batchInterference;
 	}
 
-	/** Learns it from a service's report. */
+	/** Updates `batchInterference` by a report of a latency-critical task. */
 	noteUsualHarm(slowdown: number, batchProcessors: number): void {
 		if (batchProcessors >= 1) {
-			const harm = Math.max(0, Math.min(slowdown, maxSlowdown) - 1) / batchProcessors;
-			this.#usualHarm += usualHarmRate * (harm - this.#usualHarm);
+			const interference = Math.max(0, Math.min(slowdown, maxSlowdown) - 1) / batchProcessors;
+			this.#batchInterference += batchInterferenceRate * (interference - this.#batchInterference);
 		}
 	}
 
-	/** Forgets all that was learned of the kind. */
+	/** Resets all that was learned about the kind. */
 	forget(kindId: number): void {
 		for (let other = 0; other < maxKinds; other++) {
 			for (const pair of [(kindId * maxKinds) + other, (other * maxKinds) + kindId]) {
@@ -121,108 +121,108 @@
 			}
 		}
 
-		this.#usual[TaskClass.LatencyCritical][kindId] = priorMean;
-		this.#usual[TaskClass.Batch][kindId] = priorMean;
+		this.#averageEffects[TaskClass.LatencyCritical][kindId] = priorMean;
+		this.#averageEffects[TaskClass.Batch][kindId] = priorMean;
 		this.#noise[kindId] = noiseStart;
 	}
 
-	/** Learns from one report. */
+	/** Updates the effects by one report. */
 	note({victimId, taskClass, neighbours, load, slowdown}: HarmReport): void {
 		const full = clampLoad(load);
 		const idle = 1 - full;
 		const all = [{kindId: hostKindId, amount: 1}, ...neighbours];
 		let expected = 0;
-		let doubt = 0;
+		let variance = 0;
 		for (const {kindId, amount} of all) {
-			const pair = this.#open(victimId, kindId, taskClass);
+			const pair = this.#initializePair(victimId, kindId, taskClass);
 			expected += amount * ((idle * this.#idle[pair]!) + (full * this.#full[pair]!));
-			doubt += (amount ** 2) * (((idle * this.#idleDeviation[pair]!) ** 2) + ((full * this.#fullDeviation[pair]!) ** 2));
+			variance += (amount ** 2) * (((idle * this.#idleDeviation[pair]!) ** 2) + ((full * this.#fullDeviation[pair]!) ** 2));
 		}
 
 		const noise = this.#noise[victimId]!;
-		const deviation = Math.sqrt(doubt + noise);
+		const deviation = Math.sqrt(variance + noise);
 		const raw = Math.min(slowdown, maxSlowdown) - 1 - expected;
-		const surprise = Math.max(-clipDeviations * deviation, Math.min(clipDeviations * deviation, raw));
-		this.#noise[victimId] = Math.max(noiseFloor, noise + (noiseRate * ((surprise ** 2) - doubt - noise)));
+		const innovation = Math.max(-clipDeviations * deviation, Math.min(clipDeviations * deviation, raw));
+		this.#noise[victimId] = Math.max(noiseFloor, noise + (noiseRate * ((innovation ** 2) - variance - noise)));
 		for (const {kindId, amount} of all) {
 			const pair = (victimId * maxKinds) + kindId;
 			this.#correct(pair, {
-				idle: amount * idle, full: amount * full, surprise, total: doubt + noise,
+				idle: amount * idle, full: amount * full, innovation, total: variance + noise,
 			});
-			const usual = this.#usual[taskClass];
-			usual[kindId]! += neighbourRate * (((this.#idle[pair]! + this.#full[pair]!) / 2) - usual[kindId]!);
+			const averages = this.#averageEffects[taskClass];
+			averages[kindId]! += averageEffectRate * (((this.#idle[pair]! + this.#full[pair]!) / 2) - averages[kindId]!);
 		}
 	}
 
-	/** Effect of one neighbour on the victim on an idle host, moved by so many deviations. */
+	/** Effect of one neighbour on the victim on an idle host, plus `deviations` times its standard deviation. */
 	getIdleEffect(victimId: number, taskClass: TaskClass, neighbourId: number, deviations: number): number {
 		const pair = (victimId * maxKinds) + neighbourId;
-		const mean = this.#isSeen[pair] ? this.#idle[pair]! : this.#usual[taskClass][neighbourId]!;
+		const mean = this.#isSeen[pair] ? this.#idle[pair]! : this.#averageEffects[taskClass][neighbourId]!;
 		return mean + (deviations * this.#idleDeviation[pair]!);
 	}
 
-	/** The same on a full host; between the two the effect is a line over the load. */
+	/** The same on a full host. */
 	getFullEffect(victimId: number, taskClass: TaskClass, neighbourId: number, deviations: number): number {
 		const pair = (victimId * maxKinds) + neighbourId;
-		const mean = this.#isSeen[pair] ? this.#full[pair]! : this.#usual[taskClass][neighbourId]!;
+		const mean = this.#isSeen[pair] ? this.#full[pair]! : this.#averageEffects[taskClass][neighbourId]!;
 		return mean + (deviations * this.#fullDeviation[pair]!);
 	}
 
-	/** The effect at a load between the two. */
+	/** The same at a given load, interpolated between idle and full. */
 	getEffect(victimId: number, taskClass: TaskClass, neighbourId: number, load: number, deviations: number): number {
 		const pair = (victimId * maxKinds) + neighbourId;
-		const doubt = ((1 - load) * this.#idleDeviation[pair]!) + (load * this.#fullDeviation[pair]!);
+		const effectDeviation = ((1 - load) * this.#idleDeviation[pair]!) + (load * this.#fullDeviation[pair]!);
 		const mean = this.#isSeen[pair]
 			? ((1 - load) * this.#idle[pair]!) + (load * this.#full[pair]!)
-			: this.#usual[taskClass][neighbourId]!;
-		return mean + (deviations * doubt);
+			: this.#averageEffects[taskClass][neighbourId]!;
+		return mean + (deviations * effectDeviation);
 	}
 
-	/** Lets what was learned fade by the time that passed. */
+	/** Lets standard deviations grow back towards that of an unknown pair, by the time that has passed. */
 	fade(nowMs: number): void {
 		this.epoch = Math.floor(nowMs / epochMs);
-		if (Number.isNaN(this.#fadedAtMs)) {
-			this.#fadedAtMs = nowMs;
+		if (Number.isNaN(this.#decayedAtMs)) {
+			this.#decayedAtMs = nowMs;
 		}
 
-		const passedMs = nowMs - this.#fadedAtMs;
-		if (passedMs < this.#halfLifeMs / fadeSteps) {
+		const passedMs = nowMs - this.#decayedAtMs;
+		if (passedMs < this.#halfLifeMs / decaySteps) {
 			return;
 		}
 
-		this.#fadedAtMs = nowMs;
-		const kept = 2 ** (-passedMs / this.#halfLifeMs);
+		this.#decayedAtMs = nowMs;
+		const retained = 2 ** (-passedMs / this.#halfLifeMs);
 		for (let pair = 0; pair < this.#isSeen.length; pair++) {
 			if (this.#isSeen[pair]) {
-				this.#idleDeviation[pair] = fadeDeviation(this.#idleDeviation[pair]!, kept);
-				this.#fullDeviation[pair] = fadeDeviation(this.#fullDeviation[pair]!, kept);
+				this.#idleDeviation[pair] = decayDeviation(this.#idleDeviation[pair]!, retained);
+				this.#fullDeviation[pair] = decayDeviation(this.#fullDeviation[pair]!, retained);
 			}
 		}
 	}
 
-	#open(victimId: number, kindId: number, taskClass: TaskClass): number {
+	#initializePair(victimId: number, kindId: number, taskClass: TaskClass): number {
 		const pair = (victimId * maxKinds) + kindId;
 		if (!this.#isSeen[pair]) {
 			this.#isSeen[pair] = 1;
-			this.#idle[pair] = this.#usual[taskClass][kindId]!;
-			this.#full[pair] = this.#usual[taskClass][kindId]!;
+			this.#idle[pair] = this.#averageEffects[taskClass][kindId]!;
+			this.#full[pair] = this.#averageEffects[taskClass][kindId]!;
 		}
 
 		return pair;
 	}
 
-	#correct(pair: number, {idle, full, surprise, total}: {idle: number; full: number; surprise: number; total: number}): void {
+	#correct(pair: number, {idle, full, innovation, total}: {idle: number; full: number; innovation: number; total: number}): void {
 		const idleGain = idle * (this.#idleDeviation[pair]! ** 2) / total;
 		const fullGain = full * (this.#fullDeviation[pair]! ** 2) / total;
-		this.#idle[pair]! += idleGain * surprise;
-		this.#full[pair]! += fullGain * surprise;
+		this.#idle[pair]! += idleGain * innovation;
+		this.#full[pair]! += fullGain * innovation;
 		this.#idleDeviation[pair]! *= Math.sqrt(1 - (idleGain * idle));
 		this.#fullDeviation[pair]! *= Math.sqrt(1 - (fullGain * full));
 	}
 }
 
-const fadeDeviation = (deviation: number, kept: number): number =>
-	Math.sqrt((priorDeviation ** 2) + (((deviation ** 2) - (priorDeviation ** 2)) * kept));
+const decayDeviation = (deviation: number, retained: number): number =>
+	Math.sqrt((priorDeviation ** 2) + (((deviation ** 2) - (priorDeviation ** 2)) * retained));
 
-/** Keeps a load within what the line over it holds for. */
+/** Bounds a load to the range in which the linear model is valid. */
 export const clampLoad = (load: number): number => Math.max(0, Math.min(1.2, load));
--- a/src/jobs/harm-response.ts
+++ b/src/jobs/harm-response.ts
@@ -1,8 +1,8 @@
 /**
-What is done about harm to a running service: throttle the neighbour that causes it, then move that neighbour.
+Reactions to interference with running latency-critical tasks: throttles the neighbour that causes it, then evicts it.
 
-Each step is given time to show its effect in reports that come late, and has to pay for itself: noisy tasks come in
-waves, and a response that follows each report would evict work that the next report exonerates.
+After each step the pass waits until late reports can show its effect, and a step must gain more than it costs. Interference
+comes in waves: a reaction to each report would evict tasks that the next report shows to be harmless.
 */
 import {DecisionType, EvictionReason} from '../types/placement.ts';
 import {TaskClass} from '../types/jobs.ts';
@@ -11,17 +11,17 @@
 	isAvailable, TaskPhase, type TaskEntry, type WorkerEntry,
 } from './placement-state.ts';
 
-const leastShare = 0.25;
-// A step must gain more than it costs by this factor.
-const hysteresis = 1.5;
-// What a move is expected to gain for at the most.
-const horizonMs = 120_000;
-const reactionsPerRound = 32;
-
-/** Throttles or moves neighbours of harmed services, and lets throttled ones go again. */
-export const runHarmPass = (round: Round): void => {
-	const {harmed, settings} = round.context;
-	let left = reactionsPerRound;
+const minThrottleShare = 0.25;
+// The gain of a step must exceed its cost by this factor.
+const minGainFactor = 1.5;
+// Longest time for which the gain of a move is counted.
+const maxGainPeriodMs = 120_000;
+const maxReactionsPerCycle = 32;
+
+/** Throttles or evicts neighbours of slowed latency-critical tasks, and restores throttled tasks to full speed. */
+export const runHarmPass = (cycle: Round): void => {
+	const {harmed, settings} = cycle.context;
+	let remaining = maxReactionsPerCycle;
 	for (const victim of harmed) {
 		const {worker} = victim;
 		if (!worker || victim.phase !== TaskPhase.Placed) {
@@ -29,26 +29,26 @@
 			continue;
 		}
 
-		if (left > 0 && !round.isFull && worker.settledAtMs <= round.nowMs && relieve(round, worker)) {
-			left--;
-			worker.settledAtMs = round.nowMs + settings.harmSettleMs;
+		if (remaining > 0 && !cycle.isFull && worker.settledAtMs <= cycle.nowMs && mitigate(cycle, worker)) {
+			remaining--;
+			worker.settledAtMs = cycle.nowMs + settings.harmSettleMs;
 		}
 	}
 
-	throttleKnown(round);
-	releaseThrottled(round);
+	throttleNewOffenders(cycle);
+	restoreThrottled(cycle);
 };
 
-const relieve = (round: Round, worker: WorkerEntry): boolean => {
-	const {harmCost} = round.context;
+const mitigate = (cycle: Round, worker: WorkerEntry): boolean => {
+	const {harmCost} = cycle.context;
 	let neighbour: TaskEntry | undefined;
-	let most = 0;
+	let maxContribution = 0;
 	for (const entry of worker.tasks) {
 		if (entry.phase === TaskPhase.Placed && entry.job.spec.taskClass === TaskClass.Batch) {
 			const contribution = harmCost.getContribution(worker, entry, 0);
-			if (contribution > most) {
+			if (contribution > maxContribution) {
 				neighbour = entry;
-				most = contribution;
+				maxContribution = contribution;
 			}
 		}
 	}
@@ -57,51 +57,51 @@
 		return false;
 	}
 
-	if (neighbour.throttleShare > leastShare) {
-		return isThrottlePaying(round, neighbour, most) && setShare(round, neighbour, neighbour.throttleShare / 2);
+	if (neighbour.throttleShare > minThrottleShare) {
+		return isThrottlePaying(cycle, neighbour, maxContribution) && setThrottleShare(cycle, neighbour, neighbour.throttleShare / 2);
 	}
 
-	return isMovePaying(round, neighbour, most) && move(round, neighbour);
+	return isMovePaying(cycle, neighbour, maxContribution) && move(cycle, neighbour);
 };
 
-/** Halving the neighbour's share costs half of its throughput and gains half of its harm. */
+/** Halving the neighbour's share costs half of its throughput and removes half of its interference. */
 const isThrottlePaying = ({context: {settings}}: Round, entry: TaskEntry, contribution: number): boolean =>
-	contribution > settings.throughputWeight * entry.throttleShare * hysteresis;
+	contribution > settings.throughputWeight * entry.throttleShare * minGainFactor;
 
-/** Throttles new tasks that are known to harm: their reports would come when the harm is long done. */
-const throttleKnown = (round: Round): void => {
-	const {started, harmCost, queue} = round.context;
+/** Throttles new tasks whose kind is known to interfere, as reports would arrive too late to prevent it. */
+const throttleNewOffenders = (cycle: Round): void => {
+	const {started, harmCost, queue} = cycle.context;
 	for (const entry of started) {
 		const {worker, phase, job} = entry;
-		if (worker && phase === TaskPhase.Placed && !queue.isUrgent(job) && isThrottlePaying(round, entry, harmCost.getContribution(worker, entry, -1))) {
-			setShare(round, entry, 1 / 2);
+		if (worker && phase === TaskPhase.Placed && !queue.isUrgent(job) && isThrottlePaying(cycle, entry, harmCost.getContribution(worker, entry, -1))) {
+			setThrottleShare(cycle, entry, 1 / 2);
 		}
 	}
 
 	started.length = 0;
 };
 
-const isMovePaying = (round: Round, entry: TaskEntry, contribution: number): boolean => {
-	const {context, nowMs} = round;
+const isMovePaying = (cycle: Round, entry: TaskEntry, contribution: number): boolean => {
+	const {context, nowMs} = cycle;
 	const {settings, queue, evictions, sizes} = context;
 	const {spec, kindId} = entry.job;
-	const isHeld = nowMs - evictions.getLastMs(entry.task.taskId) < settings.evictionHoldMs;
-	if (isHeld || queue.isUrgent(entry.job)) {
+	const wasEvictedRecently = nowMs - evictions.getLastMs(entry.task.taskId) < settings.evictionHoldMs;
+	if (wasEvictedRecently || queue.isUrgent(entry.job)) {
 		return false;
 	}
 
-	const elsewhere = getCostElsewhere(round, entry);
-	const gainPerSecond = contribution + (settings.throughputWeight * (1 - entry.throttleShare)) - elsewhere;
+	const costElsewhere = getCostElsewhere(cycle, entry);
+	const gainPerSecond = contribution + (settings.throughputWeight * (1 - entry.throttleShare)) - costElsewhere;
 	const remainingMs = sizes.getRemainingMs(kindId, spec.declaredRunTimeMs, nowMs - entry.startedAtMs);
-	const gain = gainPerSecond * Math.min(horizonMs, remainingMs) / 1000;
-	return gain > context.getEvictionCost(entry, nowMs) * hysteresis;
+	const gain = gainPerSecond * Math.min(maxGainPeriodMs, remainingMs) / 1000;
+	return gain > context.getEvictionCost(entry, nowMs) * minGainFactor;
 };
 
-/** Least cost of harm at another worker with room; without one a move would only make the task wait. */
-const getCostElsewhere = (round: Round, entry: TaskEntry): number => {
-	const {search, harmCost} = round.context;
+/** Least cost of interference on another worker with enough capacity; infinite if there is none, as the task would only wait. */
+const getCostElsewhere = (cycle: Round, entry: TaskEntry): number => {
+	const {search, harmCost} = cycle.context;
 	let least = Number.POSITIVE_INFINITY;
-	for (const worker of search.collect(entry, round.nowMs)) {
+	for (const worker of search.collect(entry, cycle.nowMs)) {
 		if (worker !== entry.worker && isAvailable(worker)) {
 			least = Math.min(least, harmCost.getAdded(worker, entry, entry.reserved.processors));
 		}
@@ -110,38 +110,38 @@
 	return least;
 };
 
-const move = (round: Round, entry: TaskEntry): boolean => {
-	if (!round.context.otherBudget.take(1, round.nowMs)) {
+const move = (cycle: Round, entry: TaskEntry): boolean => {
+	if (!cycle.context.otherBudget.take(1, cycle.nowMs)) {
 		return false;
 	}
 
-	round.evict(entry, EvictionReason.Harm);
+	cycle.evict(entry, EvictionReason.Harm);
 	return true;
 };
 
-const setShare = (round: Round, entry: TaskEntry, share: number): boolean => {
-	const {history, throttled} = round.context;
+const setThrottleShare = (cycle: Round, entry: TaskEntry, share: number): boolean => {
+	const {history, throttled} = cycle.context;
 	const worker = entry.worker!;
 	entry.throttleShare = share;
-	entry.throttledAtMs = round.nowMs;
+	entry.throttledAtMs = cycle.nowMs;
 	worker.mix = undefined;
-	history.begin(entry, round.nowMs);
+	history.begin(entry, cycle.nowMs);
 	if (share < 1) {
 		throttled.add(entry);
 	} else {
 		throttled.delete(entry);
 	}
 
-	round.decisions.push({
+	cycle.decisions.push({
 		type: DecisionType.Throttle, taskId: entry.task.taskId, workerId: worker.spec.workerId, share,
 	});
 	return true;
 };
 
-/** Lets a throttled task go when the services beside it are well and it is not expected to harm them as before. */
-const releaseThrottled = (round: Round): void => {
-	const {throttled, harmCost, settings} = round.context;
-	const clear = 1 + ((settings.harmThreshold - 1) / 2);
+/** Restores a throttled task to full speed when the latency-critical tasks beside it run well and it is not expected to slow them again. */
+const restoreThrottled = (cycle: Round): void => {
+	const {throttled, harmCost, settings} = cycle.context;
+	const clearSlowdown = 1 + ((settings.harmThreshold - 1) / 2);
 	for (const entry of throttled) {
 		const {worker} = entry;
 		if (!worker || entry.phase !== TaskPhase.Placed) {
@@ -149,14 +149,14 @@
 			continue;
 		}
 
-		if (round.isFull || round.nowMs - entry.throttledAtMs < 2 * settings.harmSettleMs) {
+		if (cycle.isFull || cycle.nowMs - entry.throttledAtMs < 2 * settings.harmSettleMs) {
 			continue;
 		}
 
-		const isWell = [...worker.tasks].every(other => other.job.spec.taskClass === TaskClass.Batch || other.slowdown < clear);
+		const areOthersWell = [...worker.tasks].every(other => other.job.spec.taskClass === TaskClass.Batch || other.slowdown < clearSlowdown);
 		const expected = harmCost.getContribution(worker, entry, 0) / entry.throttleShare;
-		if (isWell && expected < settings.throughputWeight) {
-			setShare(round, entry, 1);
+		if (areOthersWell && expected < settings.throughputWeight) {
+			setThrottleShare(cycle, entry, 1);
 		}
 	}
 };
--- a/src/jobs/index-of-workers.ts
+++ b/src/jobs/index-of-workers.ts
@@ -1,8 +1,8 @@
 /**
-Index of workers by failure domain and free room, so that a search reads few workers out of many.
+Index of workers by failure domain and free capacity, so that a search reads few workers out of many.
 
 Each failure domain divides its workers into cells by free accelerators, processors and memory. A worker in a cell
-above the wanted amounts fits for certain; only cells on the border have to be checked one worker at a time.
+above the wanted amounts always fits; a worker in a cell on the border may fit or not.
 */
 import {type Random} from '../types/random.ts';
 import {type Resources} from '../types/platform.ts';
@@ -22,11 +22,11 @@
 	failureDomain: string;
 	region: string;
 	count: number;
-	/** Cells with workers, tightest first: hosts without free accelerators, then little free room before much. */
+	/** Cells with workers, in ascending order of free accelerators, then processors, then memory. */
 	cells: Cell[];
 };
 
-/** How workers are collected, and where to. */
+/** How workers are collected; `found` receives them. */
 export type CollectOptions = {
 	limit: number;
 	random: Random;
@@ -34,40 +34,40 @@
 	isAllowed(worker: WorkerEntry): boolean;
 };
 
-const processorSteps = [0, 0.25, 0.5, 1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256];
-const memorySteps = [0, 512, 1024, 2048, 4096, 6144, 8192, 12_288, 16_384, 24_576, 32_768, 49_152, 65_536, 98_304, 131_072, 262_144, 524_288];
-const acceleratorSteps = [0, 1, 2, 4, 8, 16];
-const slack = 1e-6;
+const processorBounds = [0, 0.25, 0.5, 1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256];
+const memoryBounds = [0, 512, 1024, 2048, 4096, 6144, 8192, 12_288, 16_384, 24_576, 32_768, 49_152, 65_536, 98_304, 131_072, 262_144, 524_288];
+const acceleratorBounds = [0, 1, 2, 4, 8, 16];
+const tolerance = 1e-6;
 
-const getStep = (steps: number[], amount: number): number => {
-	let step = steps.length - 1;
-	while (step > 0 && steps[step]! > amount + slack) {
+const getBucket = (bounds: number[], amount: number): number => {
+	let step = bounds.length - 1;
+	while (step > 0 && bounds[step]! > amount + tolerance) {
 		step--;
 	}
 
 	return step;
 };
 
-const getKey = (accelerators: number, processors: number, memory: number): number =>
-	(((accelerators * processorSteps.length) + processors) * memorySteps.length) + memory;
+const createCellKey = (accelerators: number, processors: number, memory: number): number =>
+	(((accelerators * processorBounds.length) + processors) * memoryBounds.length) + memory;
 
-/** Workers that may take something new, by free room. */
+/** Available workers by free capacity. */
 export class WorkerIndex {
 	readonly #domains = new Map<string, DomainIndex>();
-	#order: DomainIndex[] = [];
+	#domainList: DomainIndex[] = [];
 	#size = 0;
 
 	/** Failure domains with at least one worker. */
 	get domains(): readonly DomainIndex[] {
-		return this.#order;
+		return this.#domainList;
 	}
 
-	/** Number of workers that may take something. */
+	/** Number of available workers. */
 	get size(): number {
 		return this.#size;
 	}
 
-	/** Puts the worker where its free room belongs, or out of the index when nothing may be placed on it. */
+	/** Moves the worker to the cell of its free capacity, or out of the index if nothing may be placed on it. */
 	update(worker: WorkerEntry): void {
 		const key = isAvailable(worker) ? getCellKey(worker.free) : -1;
 		if (key === worker.cellKey) {
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Takes the worker out of the index. */
+	/** Removes the worker from the index. */
 	remove(worker: WorkerEntry): void {
 		if (worker.cellKey < 0) {
 			return;
@@ -104,17 +104,17 @@
 
 		if (domain.count === 0) {
 			this.#domains.delete(getDomainKey(worker));
-			this.#order = [...this.#domains.values()];
+			this.#domainList = [...this.#domains.values()];
 		}
 	}
 
 	/**
-	Adds up to `limit` workers of the domain with room for the need: half of them the tightest, half drawn at random.
-	When fewer fit, it finds all of them.
+	Adds up to `limit` workers of the domain on which the need fits: half of them with the least free capacity, half at
+	random. If no more than `limit` workers are in fitting cells, all that fit are added.
 	*/
 	collect(domain: DomainIndex, need: Resources, options: CollectOptions): void {
 		const {limit, random, found, isAllowed} = options;
-		const cells = listPossible(domain.cells, need);
+		const cells = listFittingCells(domain.cells, need);
 		const total = cells.reduce((sum, cell) => sum + cell.workers.length, 0);
 		const tightLimit = found.length + (total <= limit ? limit : Math.ceil(limit / 2));
 		collectTightest(cells, need, {...options, limit: tightLimit});
@@ -139,7 +139,7 @@
 				failureDomain, region, count: 0, cells: [],
 			};
 			this.#domains.set(domainKey, domain);
-			this.#order = [...this.#domains.values()];
+			this.#domainList = [...this.#domains.values()];
 		}
 
 		const position = findCell(domain.cells, key);
@@ -161,15 +161,15 @@
 
 const createCell = (key: number, free: Resources): Cell => ({
 	key,
-	processors: getStep(processorSteps, free.processors),
-	memory: getStep(memorySteps, free.memoryMb),
-	accelerators: getStep(acceleratorSteps, free.accelerators),
+	processors: getBucket(processorBounds, free.processors),
+	memory: getBucket(memoryBounds, free.memoryMb),
+	accelerators: getBucket(acceleratorBounds, free.accelerators),
 	workers: [],
 });
 
-const getCellKey = ({processors, memoryMb, accelerators}: Resources): number => processors < -slack || memoryMb < -slack || accelerators < -slack
+const getCellKey = ({processors, memoryMb, accelerators}: Resources): number => processors < -tolerance || memoryMb < -tolerance || accelerators < -tolerance
 	? -1
-	: getKey(getStep(acceleratorSteps, accelerators), getStep(processorSteps, processors), getStep(memorySteps, memoryMb));
+	: createCellKey(getBucket(acceleratorBounds, accelerators), getBucket(processorBounds, processors), getBucket(memoryBounds, memoryMb));
 
 const findCell = (cells: Cell[], key: number): number => {
 	let low = 0;
@@ -186,10 +186,10 @@
 	return low;
 };
 
-const listPossible = (cells: Cell[], need: Resources): Cell[] => {
-	const processors = getStep(processorSteps, need.processors);
-	const memory = getStep(memorySteps, need.memoryMb);
-	const accelerators = getStep(acceleratorSteps, need.accelerators);
+const listFittingCells = (cells: Cell[], need: Resources): Cell[] => {
+	const processors = getBucket(processorBounds, need.processors);
+	const memory = getBucket(memoryBounds, need.memoryMb);
+	const accelerators = getBucket(acceleratorBounds, need.accelerators);
 	return cells.filter(cell => cell.processors >= processors && cell.memory >= memory && cell.accelerators >= accelerators);
 };
 
--- a/src/jobs/placement-context.ts
+++ b/src/jobs/placement-context.ts
@@ -1,5 +1,5 @@
 /**
-Puts the parts of the placement engine together.
+Creates the parts of the placement engine and connects them.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {HarmCost} from './harm-cost.ts';
@@ -18,10 +18,10 @@
 import {type WorkerEntry} from './placement-state.ts';
 import {WorkerHealth} from './worker-health.ts';
 
-// Urgent work may evict this share of a fleet's workers a minute, or the budget of the settings when that is more.
-const urgentPerWorker = 4;
+// Urgent work may evict this many tasks a minute for each worker of the fleet, or `evictionsPerMinute` of the settings if that is more.
+const urgentEvictionsPerWorker = 4;
 
-/** Creates what the engine decides from. */
+/** Creates the parts and the state that the engine decides with. */
 export const createContext = (options: PlacementOptions): PlacementContext => {
 	const {settings, random} = options;
 	const quotas = new QuotaLedger();
@@ -50,7 +50,7 @@
 		headroom: new UrgencyHeadroom({fleet, search, halfLifeMs: settings.headroomHalfLifeMs}),
 		health: new WorkerHealth<WorkerEntry>(settings),
 		history: new HarmHistory(),
-		urgentBudget: new EvictionBudget(() => Math.max(settings.evictionsPerMinute, urgentPerWorker * fleet.size)),
+		urgentBudget: new EvictionBudget(() => Math.max(settings.evictionsPerMinute, urgentEvictionsPerWorker * fleet.size)),
 		otherBudget: new EvictionBudget(() => settings.evictionsPerMinute),
 		getEvictionCost: createEvictionCost({...settings, getEvictions: taskId => evictions.getCount(taskId)}),
 		blocked: new Map(),
@@ -70,8 +70,8 @@
 			const {kindId, spec} = entry.job;
 			return harmCost.getAdded(worker, entry, sizes.getExpectedProcessors(kindId, entry.reserved, spec.resources));
 		},
-		// A batch task that would do more harm than its own progress is worth is held back. The limit doubles with the
-		// time, so that the task runs in the end wherever it harms least.
+		// A batch task whose interference would cost more than its own progress is worth is deferred. The limit doubles
+		// every `deferMs`, so that in the end the task runs where it interferes least.
 		({job}, nowMs) => {
 			if (job.spec.taskClass !== TaskClass.Batch || queue.isUrgent(job) || settings.deferMs === 0) {
 				return Number.POSITIVE_INFINITY;
--- a/src/jobs/placement-engine.ts
+++ b/src/jobs/placement-engine.ts
@@ -1,8 +1,8 @@
 /**
-The placement engine: takes note of all that happens to tasks and workers, and decides in rounds.
+The placement engine: tracks tasks and workers, and decides in scheduling cycles which tasks to start, evict or throttle.
 
-Room is taken when a start is decided and given back when an end is confirmed, so that decisions never give a worker
-more than it has, whatever becomes of the orders in between.
+Capacity is allocated when a start is decided and released when the end of the run is confirmed. So decisions never
+overcommit a worker, whether the orders in between succeed, fail or stay unanswered.
 */
 import {type Settings} from '../core/settings-schema.ts';
 import {
@@ -22,15 +22,15 @@
 import {TaskPhase, type JobEntry, type TaskEntry} from './placement-state.ts';
 import {learnHarm, noteRunningUsage} from './placement-usage.ts';
 
-/** What the engine is made from. */
+/** Dependencies of the engine. */
 export type PlacementOptions = {
 	settings: Settings['placement'];
 	random: Random;
-	/** Replaces the choice among the workers with room: for comparison. */
+	/** Replaces the choice among the workers with enough free capacity; used to compare policies. */
 	choose?: ChooseWorker;
 };
 
-const avoidMs = 2000;
+const refusalAvoidMs = 2000;
 
 /** Creates a placement engine. */
 export const createPlacementEngine = (options: PlacementOptions): PlacementEngine => new Engine(options);
@@ -40,12 +40,12 @@
 	readonly #kinds: KindTable;
 	readonly #tasks = new Map<string, TaskEntry>();
 	readonly #jobs = new Map<string, JobEntry>();
-	/** Jobs of which something is to be told. */
-	readonly #toCheck = new Set<JobEntry>();
-	readonly #finals = new Map<string, string>();
-	#checkedFleet = -1;
+	/** Jobs that the next cycle checks for being unplaceable. */
+	readonly #jobsToCheck = new Set<JobEntry>();
+	readonly #failingEverywhere = new Map<string, string>();
+	#checkedFleetVersion = -1;
 	#nowMs = 0;
-	#order = 0;
+	#nextSequence = 0;
 
 	constructor(options: PlacementOptions) {
 		this.#context = createContext(options);
@@ -78,7 +78,7 @@
 	enqueue(task: PendingTask): void {
 		const known = this.#tasks.get(task.taskId);
 		if (known?.worker) {
-			// The former attempt still holds its room: this one waits for its confirmed end.
+			// The previous attempt still holds its capacity: this one waits until the end of that attempt is confirmed.
 			known.next = task;
 			return;
 		}
@@ -88,16 +88,16 @@
 			return;
 		}
 
-		const job = this.#openJob(task);
+		const job = this.#getOrCreateJob(task);
 		const entry = createEntry(task, job);
 		this.#tasks.set(task.taskId, entry);
 		if (task.spec.isGang) {
-			// Room kept for a part of the gang would start that part alone.
+			// Capacity reserved for a part of the gang would start that part alone.
 			this.#context.reservations.cancelJob(job);
 		}
 
 		this.#context.queue.add(entry);
-		this.#toCheck.add(job);
+		this.#jobsToCheck.add(job);
 	}
 
 	cancel(taskId: string): void {
@@ -109,8 +109,8 @@
 		entry.next = undefined;
 		entry.isBlameless = true;
 		if (!entry.worker) {
-			this.#leaveQueue(entry);
-			this.#drop(entry);
+			this.#removeFromQueue(entry);
+			this.#removeTask(entry);
 		}
 	}
 
@@ -128,11 +128,11 @@
 		}
 
 		if (known) {
-			this.#leaveQueue(known);
+			this.#removeFromQueue(known);
 			fleet.release(known);
 		}
 
-		const entry = known ?? createEntry(task, this.#openJob(task));
+		const entry = known ?? createEntry(task, this.#getOrCreateJob(task));
 		entry.task = task;
 		entry.reserved = task.reserved ?? entry.job.need;
 		entry.startedAtMs = startedAtMs;
@@ -146,7 +146,7 @@
 		const entry = this.#tasks.get(taskId);
 		if (entry?.worker?.spec.workerId === workerId) {
 			entry.isBlameless = true;
-			entry.worker.avoidUntilMs = this.#nowMs + avoidMs;
+			entry.worker.avoidUntilMs = this.#nowMs + refusalAvoidMs;
 		}
 	}
 
@@ -159,12 +159,12 @@
 
 		const {next} = entry;
 		if (entry.worker) {
-			this.#leaveWorker(entry, isSuccess, nowMs);
+			this.#recordRunEnd(entry, isSuccess, nowMs);
 		} else {
-			this.#leaveQueue(entry);
+			this.#removeFromQueue(entry);
 		}
 
-		this.#drop(entry);
+		this.#removeTask(entry);
 		if (isSuccess) {
 			this.#context.evictions.forget(taskId);
 		} else if (next) {
@@ -189,31 +189,31 @@
 		}
 
 		context.model.fade(nowMs);
-		const round = new Round(context, nowMs, maxDecisions);
-		this.#tellUnplaceable(round);
+		const cycle = new Round(context, nowMs, maxDecisions);
+		this.#reportUnplaceable(cycle);
 		context.reservations.giveUp(nowMs);
-		const noteStarted = round.noteStarted.bind(round);
-		context.reservations.startReady(false, noteStarted);
-		runUrgentPass(round);
-		context.reservations.startReady(true, noteStarted);
-		runFairPass(round);
-		runReturnPass(round);
-		runReservePass(round);
+		const recordStart = cycle.noteStarted.bind(cycle);
+		context.reservations.startReady(false, recordStart);
+		runUrgentPass(cycle);
+		context.reservations.startReady(true, recordStart);
+		runFairPass(cycle);
+		runReturnPass(cycle);
+		runReservePass(cycle);
 		if (context.settings.isHarmAware) {
-			runHarmPass(round);
+			runHarmPass(cycle);
 		}
 
-		return round.decisions;
+		return cycle.decisions;
 	}
 
-	#openJob(task: PendingTask): JobEntry {
+	#getOrCreateJob(task: PendingTask): JobEntry {
 		const {spec, queuedAtMs, region} = task;
 		let job = this.#jobs.get(spec.jobId);
 		if (!job) {
-			job = createJob(task, this.#kinds.get(spec.kind), this.#order++);
+			job = createJob(task, this.#kinds.get(spec.kind), this.#nextSequence++);
 			job.need = getNeed(this.#context, job);
 			job.needAtMs = queuedAtMs;
-			job.isFinal = this.#noteIfFinal(spec.jobId);
+			job.isFinal = this.#recordIfFailingEverywhere(spec.jobId);
 			this.#jobs.set(spec.jobId, job);
 		}
 
@@ -233,7 +233,7 @@
 		return this.#context.fleet.get(workerId)!;
 	}
 
-	#leaveQueue(entry: TaskEntry): void {
+	#removeFromQueue(entry: TaskEntry): void {
 		if (entry.phase === TaskPhase.Claiming) {
 			this.#context.reservations.cancel(entry);
 		}
@@ -244,7 +244,7 @@
 		}
 	}
 
-	#leaveWorker(entry: TaskEntry, isSuccess: boolean, nowMs: number): void {
+	#recordRunEnd(entry: TaskEntry, isSuccess: boolean, nowMs: number): void {
 		const {fleet, history, health, sizes, quotas} = this.#context;
 		const {job: {spec, kindId}, phase, isBlameless} = entry;
 		const worker = entry.worker!;
@@ -272,20 +272,20 @@
 		}
 
 		if (!isSuccess && !entry.job.isFinal) {
-			entry.job.isFinal = this.#noteIfFinal(spec.jobId);
+			entry.job.isFinal = this.#recordIfFailingEverywhere(spec.jobId);
 		}
 	}
 
-	#noteIfFinal(jobId: string): boolean {
+	#recordIfFailingEverywhere(jobId: string): boolean {
 		const reason = this.#context.health.describeFailure(jobId, this.#context.fleet.size);
 		if (reason !== undefined) {
-			this.#finals.set(jobId, reason);
+			this.#failingEverywhere.set(jobId, reason);
 		}
 
 		return reason !== undefined;
 	}
 
-	#drop(entry: TaskEntry): void {
+	#removeTask(entry: TaskEntry): void {
 		const {job} = entry;
 		entry.phase = TaskPhase.Gone;
 		this.#tasks.delete(entry.task.taskId);
@@ -293,40 +293,40 @@
 		this.#context.throttled.delete(entry);
 		if (job.waitingCount === 0 && job.placedCount === 0 && !this.#context.reservations.has(job)) {
 			this.#jobs.delete(job.spec.jobId);
-			this.#toCheck.delete(job);
+			this.#jobsToCheck.delete(job);
 		} else if (job.missing !== undefined) {
-			// What is left of a gang may fit.
+			// The remaining tasks of a gang may fit.
 			job.checkedAtFleet = -1;
-			this.#toCheck.add(job);
+			this.#jobsToCheck.add(job);
 		}
 	}
 
-	#tellUnplaceable(round: Round): void {
+	#reportUnplaceable(cycle: Round): void {
 		const {fleet, queue} = this.#context;
-		for (const [jobId, reason] of this.#finals) {
-			round.decisions.push({
+		for (const [jobId, reason] of this.#failingEverywhere) {
+			cycle.decisions.push({
 				type: DecisionType.Unplaceable, jobId, missing: reason, isFinal: true,
 			});
 		}
 
-		this.#finals.clear();
-		if (this.#checkedFleet !== fleet.version) {
-			this.#checkedFleet = fleet.version;
+		this.#failingEverywhere.clear();
+		if (this.#checkedFleetVersion !== fleet.version) {
+			this.#checkedFleetVersion = fleet.version;
 			for (const jobs of [queue.urgent, ...queue.teams.values()]) {
 				for (const job of jobs) {
-					this.#toCheck.add(job);
+					this.#jobsToCheck.add(job);
 				}
 			}
 		}
 
-		for (const job of this.#toCheck) {
-			this.#check(job, round);
+		for (const job of this.#jobsToCheck) {
+			this.#checkPlaceable(job, cycle);
 		}
 
-		this.#toCheck.clear();
+		this.#jobsToCheck.clear();
 	}
 
-	#check(job: JobEntry, round: Round): void {
+	#checkPlaceable(job: JobEntry, cycle: Round): void {
 		const {fleet} = this.#context;
 		if (job.checkedAtFleet === fleet.version || job.waitingCount === 0) {
 			return;
@@ -336,7 +336,7 @@
 		const taskCount = job.spec.isGang ? job.waitingCount + job.placedCount : 1;
 		const missing = fleet.describeMissing(job.spec.resources, taskCount, job.region);
 		if (missing !== undefined && missing !== job.missing) {
-			round.decisions.push({
+			cycle.decisions.push({
 				type: DecisionType.Unplaceable, jobId: job.spec.jobId, missing, isFinal: false,
 			});
 		}
--- a/src/jobs/placement-entries.ts
+++ b/src/jobs/placement-entries.ts
@@ -1,10 +1,10 @@
 /**
-Creates what the engine keeps for jobs and tasks.
+Creates the engine's state of jobs and tasks.
 */
 import {type PendingTask} from '../types/placement.ts';
 import {TaskPhase, type JobEntry, type TaskEntry} from './placement-state.ts';
 
-/** Creates a job of which nothing waits yet. */
+/** Creates a job without waiting tasks. */
 export const createJob = ({spec, region, queuedAtMs}: PendingTask, kindId: number, order: number): JobEntry => {
 	const job: JobEntry = {
 		spec,
@@ -31,11 +31,11 @@
 	return job;
 };
 
-/** Key that is equal for jobs which the same search answers alike. */
+/** Key that is equal for jobs whose search for a worker has the same result. */
 export const getShapeKey = ({spec: {resources, taskClass, kind}, region = ''}: JobEntry): string =>
 	`${resources.processors}/${resources.memoryMb}/${resources.accelerators}/${taskClass}/${region}/${kind}`;
 
-/** Creates a task that neither waits nor holds room yet. */
+/** Creates a task that neither waits nor holds capacity. */
 export const createEntry = (task: PendingTask, job: JobEntry): TaskEntry => ({
 	task,
 	job,
--- a/src/jobs/placement-evictions.ts
+++ b/src/jobs/placement-evictions.ts
@@ -1,5 +1,5 @@
 /**
-Evictions for waiting work: for urgent tasks at once, and for demand within a quota after a wait.
+Evictions for waiting tasks: for urgent ones after a short wait, and for demand within a quota after a longer one.
 */
 import {EvictionReason} from '../types/placement.ts';
 import {type Place} from './placement-reservations.ts';
@@ -9,9 +9,9 @@
 } from './placement-state.ts';
 import {planEviction, type EvictionBudget, type EvictionPlan} from './urgency-eviction.ts';
 
-const drawnWorkers = 256;
-const returnsPerRound = 16;
-const returnTries = 4;
+const sampledWorkers = 256;
+const maxReclaimsPerCycle = 16;
+const maxPlanAttempts = 4;
 
 type EvictionOptions = {
 	entries: TaskEntry[];
@@ -22,80 +22,80 @@
 };
 
 /**
-Makes room for urgent work. Urgent tasks are never victims, and only urgent tasks evict for urgency: an evicted task
-cannot evict in turn, so one eviction never leads to the next.
+Evicts tasks of lower priority for urgent work. Urgent tasks are never victims, and only urgent tasks evict for urgency: an
+evicted task cannot evict others in turn, so evictions do not cascade.
 */
-export const evictForUrgent = (round: Round, job: JobEntry): boolean => {
-	const {queue, urgentBudget, settings} = round.context;
-	if (job.missing !== undefined || job.isFinal || round.nowMs - job.queuedAtMs < settings.urgentPatienceMs) {
+export const evictForUrgent = (cycle: Round, job: JobEntry): boolean => {
+	const {queue, urgentBudget, settings} = cycle.context;
+	if (job.missing !== undefined || job.isFinal || cycle.nowMs - job.queuedAtMs < settings.urgentPatienceMs) {
 		return false;
 	}
 
 	const isEligible = ({job: other}: TaskEntry) => !queue.isUrgent(other) && other.spec.priority < job.spec.priority;
-	return evict(round, job, {
-		entries: listEntries(round, job),
+	return evict(cycle, job, {
+		entries: listEntries(cycle, job),
 		reason: EvictionReason.Urgent,
 		budget: urgentBudget,
 		claimMs: settings.urgentClaimMs,
-		plan: entry => findPlan(round, entry, isEligible),
+		plan: entry => findPlan(cycle, entry, isEligible),
 	});
 };
 
-/** Takes borrowed room back for demand within a quota that has waited too long. */
-export const runReturnPass = (round: Round): void => {
-	const {queue, quotas} = round.context;
+/** Reclaims borrowed capacity for demand within a quota that has waited too long. */
+export const runReturnPass = (cycle: Round): void => {
+	const {queue, quotas} = cycle.context;
 	if (!quotas.hasQuotas) {
 		return;
 	}
 
 	const waiting = [...queue.teams.values()].flat();
-	let left = returnsPerRound;
+	let remaining = maxReclaimsPerCycle;
 	for (const job of waiting) {
-		while (left > 0 && !round.isFull && isOwed(round, job)) {
-			left--;
-			if (!takeBack(round, job)) {
+		while (remaining > 0 && !cycle.isFull && isReclaimDue(cycle, job)) {
+			remaining--;
+			if (!reclaim(cycle, job)) {
 				break;
 			}
 		}
 	}
 };
 
-/** Tells whether the job has waited too long for room that its team's quota grants. */
-const isOwed = ({context: {quotas, settings}, nowMs}: Round, job: JobEntry): boolean =>
+/** Tells whether the job has waited too long for capacity that its team's quota grants. */
+const isReclaimDue = ({context: {quotas, settings}, nowMs}: Round, job: JobEntry): boolean =>
 	job.waitingCount > 0 && job.missing === undefined && !job.isFinal
 	&& nowMs - job.queuedAtMs >= settings.quotaReturnMs
 	&& quotas.hasQuotaFor(job.spec.team, job.need, job.spec.isGang ? job.waitingCount : 1);
 
-const takeBack = (round: Round, job: JobEntry): boolean => {
-	const {queue, quotas, otherBudget, settings} = round.context;
+const reclaim = (cycle: Round, job: JobEntry): boolean => {
+	const {queue, quotas, otherBudget, settings} = cycle.context;
 	const isBorrowed = ({job: other}: TaskEntry) =>
 		other.spec.team !== job.spec.team && !queue.isUrgent(other) && quotas.isOver(other.spec.team);
-	return evict(round, job, {
-		entries: listEntries(round, job),
+	return evict(cycle, job, {
+		entries: listEntries(cycle, job),
 		reason: EvictionReason.QuotaReturn,
 		budget: otherBudget,
 		claimMs: 4 * settings.urgentClaimMs,
-		plan: entry => findReturnPlan(round, entry, isBorrowed),
+		plan: entry => findReclaimPlan(cycle, entry, isBorrowed),
 	});
 };
 
 const listEntries = ({context: {queue}}: Round, job: JobEntry): TaskEntry[] =>
 	job.spec.isGang ? queue.listWaiting(job) : [queue.peek(job)!];
 
-/** Evicts what makes room for all of the entries, and keeps that room for them; or does nothing. */
-const evict = (round: Round, job: JobEntry, options: EvictionOptions): boolean => {
+/** Evicts what is needed for all of the entries and reserves the capacity for them, or does nothing. */
+const evict = (cycle: Round, job: JobEntry, options: EvictionOptions): boolean => {
 	const {entries, plan, budget, claimMs, reason} = options;
-	const {fleet, quotas, reservations} = round.context;
+	const {fleet, quotas, reservations} = cycle.context;
 	const places: Place[] = [];
 	const victims: TaskEntry[] = [];
 	for (const entry of entries) {
-		round.refreshNeed(entry);
+		cycle.refreshNeed(entry);
 		const found = plan(entry);
 		if (!found) {
 			break;
 		}
 
-		// Counted at once, so that the next task of a gang plans with what is left.
+		// Claimed at once, so that the plan for the next task of a gang uses what is left.
 		fleet.claim(found.worker, entry.reserved, 1);
 		places.push({entry, worker: found.worker});
 		for (const victim of found.victims) {
@@ -114,43 +114,43 @@
 		quotas.changeLeaving(victim.job.spec.team, victim.reserved, -1);
 	}
 
-	if (places.length < entries.length || !budget.take(victims.length, round.nowMs)) {
+	if (places.length < entries.length || !budget.take(victims.length, cycle.nowMs)) {
 		return false;
 	}
 
 	reservations.reserve({
-		job, places, deadlineMs: round.nowMs + claimMs, isPassive: false,
+		job, places, deadlineMs: cycle.nowMs + claimMs, isPassive: false,
 	});
 	for (const victim of victims) {
-		round.evict(victim, reason, entries[0]!.task.taskId);
+		cycle.evict(victim, reason, entries[0]!.task.taskId);
 	}
 
 	return true;
 };
 
-const findPlan = (round: Round, entry: TaskEntry, isEligible: (entry: TaskEntry) => boolean): EvictionPlan | undefined => {
-	const {fleet, random, getEvictionCost} = round.context;
+const findPlan = (cycle: Round, entry: TaskEntry, isEligible: (entry: TaskEntry) => boolean): EvictionPlan | undefined => {
+	const {fleet, random, getEvictionCost} = cycle.context;
 	const {region} = entry.job;
 	const policy = {
 		isAllowed: (worker: WorkerEntry) =>
-			isAvailable(worker) && !worker.isProbing && worker.avoidUntilMs <= round.nowMs && (region === undefined || worker.spec.region === region),
+			isAvailable(worker) && !worker.isProbing && worker.avoidUntilMs <= cycle.nowMs && (region === undefined || worker.spec.region === region),
 		isEligible,
-		getCost: (victim: TaskEntry) => getEvictionCost(victim, round.nowMs),
+		getCost: (victim: TaskEntry) => getEvictionCost(victim, cycle.nowMs),
 	};
-	return planEviction(entry.reserved, fleet.draw(drawnWorkers, random), policy)
-		?? (fleet.size > drawnWorkers ? planEviction(entry.reserved, fleet.list(), policy) : undefined);
+	return planEviction(entry.reserved, fleet.draw(sampledWorkers, random), policy)
+		?? (fleet.size > sampledWorkers ? planEviction(entry.reserved, fleet.list(), policy) : undefined);
 };
 
-const findReturnPlan = (round: Round, entry: TaskEntry, isBorrowed: (entry: TaskEntry) => boolean): EvictionPlan | undefined => {
+const findReclaimPlan = (cycle: Round, entry: TaskEntry, isBorrowed: (entry: TaskEntry) => boolean): EvictionPlan | undefined => {
 	const spared = new Set<TaskEntry>();
-	for (let tries = 0; tries < returnTries; tries++) {
-		const plan = findPlan(round, entry, victim => !spared.has(victim) && isBorrowed(victim));
-		const excess = plan && round.context.quotas.findUnborrowed(plan.victims.map(({job, reserved}) => ({team: job.spec.team, amount: reserved})));
+	for (let attempt = 0; attempt < maxPlanAttempts; attempt++) {
+		const plan = findPlan(cycle, entry, victim => !spared.has(victim) && isBorrowed(victim));
+		const excess = plan && cycle.context.quotas.findUnborrowed(plan.victims.map(({job, reserved}) => ({team: job.spec.team, amount: reserved})));
 		if (excess === undefined) {
 			return plan;
 		}
 
-		// The victims before it already bring its team within the quota.
+		// Evicting the victims before it already brings its team within the quota.
 		spared.add(plan!.victims[excess]!);
 	}
 
--- a/src/jobs/placement-fleet.ts
+++ b/src/jobs/placement-fleet.ts
@@ -1,5 +1,5 @@
 /**
-The workers and the room on them: what is held, what is kept, and what the fleet could hold at all.
+The workers with their allocated, reserved and free capacity, and what would fit on the whole fleet if it were empty.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type PlacementWorker} from '../types/placement.ts';
@@ -20,25 +20,25 @@
 	count: number;
 };
 
-const nothing = createNone();
-const maxAnswers = 10_000;
+const noResources = createNone();
+const maxCachedNeeds = 10_000;
 
-/** Workers with their room. All changes of room pass here. */
+/** Workers with their capacity. All allocations, reservations and releases of capacity go through this class. */
 export class Fleet {
 	readonly index = new WorkerIndex();
-	/** Rises when what the fleet could hold changes. */
+	/** Incremented when the total schedulable capacity changes. */
 	version = 0;
-	/** Rises when room may have come free. */
+	/** Incremented when free capacity may have increased. */
 	freedVersion = 0;
 	readonly #workers = new Map<string, WorkerEntry>();
 	readonly #list: WorkerEntry[] = [];
-	readonly #groups = new Map<string, CapacityGroup>();
+	readonly #capacityGroups = new Map<string, CapacityGroup>();
 	readonly #quotas: QuotaLedger;
-	// Many jobs ask the same of a fleet that seldom changes.
-	readonly #answers = new Map<string, string | undefined>();
-	#answeredVersion = -1;
+	// Results of `describeMissing` for one version: many jobs ask the same of a fleet that seldom changes.
+	readonly #missingByNeed = new Map<string, string | undefined>();
+	#missingVersion = -1;
 	#usedProcessors = 0;
-	#openProcessors = 0;
+	#schedulableProcessors = 0;
 
 	constructor(quotas: QuotaLedger) {
 		this.#quotas = quotas;
@@ -49,14 +49,14 @@
 		return this.#workers.size;
 	}
 
-	/** Processors of all open workers. */
+	/** Processors of all schedulable workers. */
 	get openProcessors(): number {
-		return this.#openProcessors;
+		return this.#schedulableProcessors;
 	}
 
-	/** Share of the open workers' processors that is held. */
+	/** Allocated processors as a share of those of the schedulable workers, at most 1. */
 	get busyness(): number {
-		return this.#openProcessors > 0 ? Math.min(1, this.#usedProcessors / this.#openProcessors) : 0;
+		return this.#schedulableProcessors > 0 ? Math.min(1, this.#usedProcessors / this.#schedulableProcessors) : 0;
 	}
 
 	get(workerId: string): WorkerEntry | undefined {
@@ -67,13 +67,13 @@
 		return this.#list;
 	}
 
-	/** Draws so many workers, or lists all when there are not more. */
+	/** Draws `count` workers at random, with repetition, or lists all if there are no more than that. */
 	draw(count: number, random: Random): readonly WorkerEntry[] {
 		const size = this.#list.length;
 		return size <= count ? this.#list : Array.from({length: count}, () => this.#list[random.below(size)]!);
 	}
 
-	/** Adds the worker, or takes over what changed of it. Returns whether it may take less than before. */
+	/** Adds or updates the worker. Returns whether anything but `usedByOthers` of a known worker changed. */
 	set(spec: PlacementWorker): boolean {
 		const worker = this.#workers.get(spec.workerId);
 		if (!worker) {
@@ -82,53 +82,53 @@
 		}
 
 		if (!worker.isRemoved && isSameSpec(worker.spec, spec)) {
-			this.#setForeign(worker, spec.foreign);
+			this.#setUsedByOthers(worker, spec.foreign);
 			return false;
 		}
 
-		this.#countGroup(worker, -1);
+		this.#countCapacity(worker, -1);
 		this.index.remove(worker);
 		worker.spec = {...spec};
 		worker.isRemoved = false;
-		this.#countGroup(worker, 1);
+		this.#countCapacity(worker, 1);
 		this.freedVersion++;
 		this.refresh(worker);
 		return true;
 	}
 
-	/** Takes the worker out of use; what it holds stays counted until its tasks have ended. */
+	/** Removes the worker; its allocations are counted until its tasks have ended. */
 	remove(workerId: string): WorkerEntry | undefined {
 		const worker = this.#workers.get(workerId);
 		if (!worker || worker.isRemoved) {
 			return undefined;
 		}
 
-		this.#countGroup(worker, -1);
+		this.#countCapacity(worker, -1);
 		worker.isRemoved = true;
 		this.index.remove(worker);
 		this.#dropIfEmpty(worker);
 		return worker;
 	}
 
-	/** Takes room for the task. */
+	/** Allocates capacity for the task. */
 	take(worker: WorkerEntry, entry: TaskEntry): void {
 		addTo(worker.used, entry.reserved);
 		worker.tasks.add(entry);
 		worker.mix = undefined;
 		entry.worker = worker;
 		entry.phase = TaskPhase.Placed;
-		this.#count(worker, entry, 1);
+		this.#countPlacement(worker, entry, 1);
 		this.#quotas.change(entry.job.spec.team, entry.reserved, 1);
 		this.refresh(worker);
 	}
 
-	/** Gives the task's room back. */
+	/** Releases the task's capacity. */
 	release(entry: TaskEntry): void {
 		this.undoTake(entry);
 		this.freedVersion++;
 	}
 
-	/** Gives back room that was taken in the same round: no more is free than before. */
+	/** Reverts an allocation of the same cycle: `freedVersion` stays, as no more is free than before. */
 	undoTake(entry: TaskEntry): void {
 		const {worker} = entry;
 		if (!worker) {
@@ -143,13 +143,13 @@
 		}
 
 		entry.worker = undefined;
-		this.#count(worker, entry, -1);
+		this.#countPlacement(worker, entry, -1);
 		this.#quotas.change(entry.job.spec.team, entry.reserved, -1);
 		this.refresh(worker);
 		this.#dropIfEmpty(worker);
 	}
 
-	/** Counts a placed task by what it was measured to use. */
+	/** Changes the allocation of a placed task to its measured usage. */
 	resize(entry: TaskEntry, reserved: Resources): void {
 		const {worker} = entry;
 		if (!worker) {
@@ -165,7 +165,7 @@
 		this.refresh(worker);
 	}
 
-	/** Keeps room for a task that waits, or no longer with -1. */
+	/** Reserves capacity on the worker (1), or releases a reservation (-1). */
 	claim(worker: WorkerEntry, amount: Resources, times: 1 | -1): void {
 		addTo(worker.claimed, amount, times);
 		if (times < 0) {
@@ -175,15 +175,15 @@
 		this.refresh(worker);
 	}
 
-	/** Tells whether the amount fits beside what is held now, whatever is kept for others. */
+	/** Tells whether the amount fits beside current allocations; reservations are ignored. */
 	hasRoomNow(worker: WorkerEntry, amount: Resources): boolean {
-		const {capacity, foreign = nothing} = worker.spec;
+		const {capacity, foreign = noResources} = worker.spec;
 		return isAvailable(worker) && isWithin(getSum(amount, foreign), getDifference(capacity, worker.used));
 	}
 
-	/** Works out the free room again and moves the worker in the index. */
+	/** Recomputes the free capacity and updates the index. */
 	refresh(worker: WorkerEntry): void {
-		const {capacity, foreign = nothing} = worker.spec;
+		const {capacity, foreign = noResources} = worker.spec;
 		const {used, claimed, free} = worker;
 		free.processors = capacity.processors - foreign.processors - used.processors - claimed.processors;
 		free.memoryMb = capacity.memoryMb - foreign.memoryMb - used.memoryMb - claimed.memoryMb;
@@ -191,23 +191,23 @@
 		this.index.update(worker);
 	}
 
-	/** Says what is missing for the tasks even on an empty fleet; undefined: nothing. */
+	/** Describes why the tasks would not fit even on an empty fleet; undefined: they would. */
 	describeMissing(need: Resources, taskCount: number, region?: string): string | undefined {
-		if (this.#answeredVersion !== this.version || this.#answers.size > maxAnswers) {
-			this.#answers.clear();
-			this.#answeredVersion = this.version;
+		if (this.#missingVersion !== this.version || this.#missingByNeed.size > maxCachedNeeds) {
+			this.#missingByNeed.clear();
+			this.#missingVersion = this.version;
 		}
 
 		const key = `${need.processors}/${need.memoryMb}/${need.accelerators}/${taskCount}/${region ?? ''}`;
-		if (!this.#answers.has(key)) {
-			this.#answers.set(key, this.#findMissing(need, taskCount, region));
+		if (!this.#missingByNeed.has(key)) {
+			this.#missingByNeed.set(key, this.#findMissing(need, taskCount, region));
 		}
 
-		return this.#answers.get(key);
+		return this.#missingByNeed.get(key);
 	}
 
 	#findMissing(need: Resources, taskCount: number, region?: string): string | undefined {
-		const groups = [...this.#groups.values()].filter(group => region === undefined || group.region === region);
+		const groups = [...this.#capacityGroups.values()].filter(group => region === undefined || group.region === region);
 		const where = region === undefined ? '' : ` in ${region}`;
 		if (groups.length === 0) {
 			return this.size === 0 ? undefined : `no worker${where} takes tasks`;
@@ -226,9 +226,9 @@
 		return fitting < taskCount ? `the gang needs room for ${taskCount} tasks at once; the whole fleet${where} has room for ${fitting}` : undefined;
 	}
 
-	/** What others take comes and goes; it is no change of what the fleet could hold. */
-	#setForeign(worker: WorkerEntry, foreign: Resources = nothing): void {
-		if (isSameAmount(worker.spec.foreign ?? nothing, foreign)) {
+	/** Capacity used by others varies; it does not change the fleet's total, hence not its version. */
+	#setUsedByOthers(worker: WorkerEntry, foreign: Resources = noResources): void {
+		if (isSameAmount(worker.spec.foreign ?? noResources, foreign)) {
 			return;
 		}
 
@@ -259,31 +259,31 @@
 		};
 		this.#workers.set(spec.workerId, worker);
 		this.#list.push(worker);
-		this.#countGroup(worker, 1);
+		this.#countCapacity(worker, 1);
 		this.freedVersion++;
 		this.refresh(worker);
 	}
 
-	#countGroup({spec, isRemoved}: WorkerEntry, times: 1 | -1): void {
+	#countCapacity({spec, isRemoved}: WorkerEntry, times: 1 | -1): void {
 		if (isRemoved || !spec.isOpen) {
 			return;
 		}
 
 		const {region, capacity} = spec;
 		const key = `${region}/${capacity.processors}/${capacity.memoryMb}/${capacity.accelerators}`;
-		const group = this.#groups.get(key) ?? {region, capacity: {...capacity}, count: 0};
+		const group = this.#capacityGroups.get(key) ?? {region, capacity: {...capacity}, count: 0};
 		group.count += times;
-		this.#groups.set(key, group);
+		this.#capacityGroups.set(key, group);
 		if (group.count === 0) {
-			this.#groups.delete(key);
+			this.#capacityGroups.delete(key);
 		}
 
-		this.#openProcessors += times * capacity.processors;
+		this.#schedulableProcessors += times * capacity.processors;
 		this.#quotas.changeTotal(capacity, times);
 		this.version++;
 	}
 
-	#count({spec}: WorkerEntry, {job, reserved}: TaskEntry, times: 1 | -1): void {
+	#countPlacement({spec}: WorkerEntry, {job, reserved}: TaskEntry, times: 1 | -1): void {
 		job.placedCount += times;
 		this.#usedProcessors += times * reserved.processors;
 		if (job.spec.taskClass !== TaskClass.LatencyCritical || job.spec.taskCount < 2) {
@@ -327,7 +327,7 @@
 	a.isOpen === b.isOpen && a.region === b.region && a.failureDomain === b.failureDomain && a.rack === b.rack
 	&& isSameAmount(a.capacity, b.capacity);
 
-/** Gets the capacity that lacks the need in the fewest dimensions; the larger one of equals. */
+/** Gets the capacity that falls short in the fewest dimensions; of equal ones that with the most processors. */
 const getNearestCapacity = (need: Resources, groups: CapacityGroup[]): Resources => {
 	const countLacking = ({capacity}: CapacityGroup) =>
 		Number(need.processors > capacity.processors) + Number(need.memoryMb > capacity.memoryMb) + Number(need.accelerators > capacity.accelerators);
--- a/src/jobs/placement-passes.ts
+++ b/src/jobs/placement-passes.ts
@@ -1,5 +1,5 @@
 /**
-The passes of a round: urgent work first, then teams by their shares, then room kept for large work.
+Passes of a scheduling cycle: urgent work first, then teams by fair share, then reservations for gangs and large tasks.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type Resources} from '../types/platform.ts';
@@ -12,91 +12,91 @@
 } from './placement-state.ts';
 import {evictForUrgent} from './placement-evictions.ts';
 
-const drawnWorkers = 256;
-const reservedMs = 120_000;
-const reserveRetryMs = 1000;
+const sampledWorkers = 256;
+const reservationMs = 120_000;
+const reservationRetryMs = 1000;
 const maxReservations = 4;
-// Tasks that take less than this share of a worker find room as others end.
+// Tasks below this share of the reference worker fit as soon as others end, without a reservation.
 const largeShare = 0.5;
-// Waits longer by this factor when an eviction may bring the room instead.
-const patience = 3;
+// Waits this many times as long when a quota eviction may free the capacity instead.
+const evictionWaitFactor = 3;
 
-/** Starts urgent work, by eviction where no room is free. */
-export const runUrgentPass = (round: Round): void => {
-	const {queue, headroom, reservations} = round.context;
+/** Starts urgent work, by eviction where no capacity is free. */
+export const runUrgentPass = (cycle: Round): void => {
+	const {queue, headroom, reservations} = cycle.context;
 	const jobs = [...queue.urgent];
 	const waiting = jobs.reduce((sum, {waitingCount}) => sum + waitingCount, 0);
 	for (const job of jobs) {
 		const entry = queue.peek(job);
 		if (entry) {
-			headroom.note(entry, waiting, round.nowMs);
+			headroom.note(entry, waiting, cycle.nowMs);
 		}
 
-		while (!round.isFull && job.waitingCount > 0 && placeUrgent(round, job)) {
-			// Goes on until the job is served or nothing more can be done for it.
+		while (!cycle.isFull && job.waitingCount > 0 && placeUrgent(cycle, job)) {
+			// Repeats until all tasks of the job have left the queue or no more can be done for it.
 		}
 	}
 
-	// A gang may need every host: no room is kept free for what may come while one waits.
+	// A waiting gang may need every host: no headroom is reserved for future urgent work meanwhile.
 	if (!reservations.hasPassive()) {
-		headroom.refill(round.nowMs);
+		headroom.refill(cycle.nowMs);
 	}
 };
 
 /**
-Room kept free for urgent work is used first, then room kept for large work behind ends: that work gets it back at the
-end of the round.
+Tries free capacity first, then the headroom, then capacity of passive reservations (their jobs may get a new one at the
+end of the cycle), and evicts last.
 */
-const placeUrgent = (round: Round, job: JobEntry): boolean => {
-	const {headroom, reservations} = round.context;
-	return round.place(job)
-		|| (headroom.release() && round.place(job))
-		|| (reservations.cancelPassive() && round.place(job))
-		|| evictForUrgent(round, job);
+const placeUrgent = (cycle: Round, job: JobEntry): boolean => {
+	const {headroom, reservations} = cycle.context;
+	return cycle.place(job)
+		|| (headroom.release() && cycle.place(job))
+		|| (reservations.cancelPassive() && cycle.place(job))
+		|| evictForUrgent(cycle, job);
 };
 
-/** Starts tasks of all teams: those within their quota first, then by dominant share; inside a team by priority. */
-export const runFairPass = (round: Round): void => {
-	const {queue, quotas} = round.context;
-	const cursors = [...queue.teams].map(([team, jobs]): Cursor => ({
+/** Starts tasks of all teams: teams within their quota first, then by dominant share; within a team by priority. */
+export const runFairPass = (cycle: Round): void => {
+	const {queue, quotas} = cycle.context;
+	const cursors = [...queue.teams].map(([team, jobs]): TeamCursor => ({
 		team, jobs, position: 0, key: 0,
 	}));
 	for (const cursor of cursors) {
-		setKey(cursor, quotas);
+		updateKey(cursor, quotas);
 	}
 
-	while (!round.isFull) {
-		const best = findFirst(cursors);
+	while (!cycle.isFull) {
+		const best = findLowestKey(cursors);
 		if (!best) {
 			return;
 		}
 
-		// Jobs that cannot start now cost little: the search remembers that there was no room for their shape.
-		while (best.position < best.jobs.length && !round.place(best.jobs[best.position]!)) {
+		// Jobs that cannot start now cost little: the cycle remembers that a search for their shape failed.
+		while (best.position < best.jobs.length && !cycle.place(best.jobs[best.position]!)) {
 			best.position++;
 		}
 
-		setKey(best, quotas);
+		updateKey(best, quotas);
 	}
 };
 
-type Cursor = {
+type TeamCursor = {
 	team: string;
 	jobs: JobEntry[];
 	position: number;
-	/** Dominant share, behind all others for a borrower; infinite when nothing is left to start. */
+	/** Dominant share, plus an offset if the team would exceed its quota; infinite when no job is left to try. */
 	key: number;
 };
 
-const setKey = (cursor: Cursor, quotas: QuotaLedger): void => {
+const updateKey = (cursor: TeamCursor, quotas: QuotaLedger): void => {
 	const job = cursor.jobs[cursor.position];
 	cursor.key = job
-		? quotas.getShare(cursor.team) + (quotas.hasQuotaFor(cursor.team, job.need) ? 0 : overQuota)
+		? quotas.getShare(cursor.team) + (quotas.hasQuotaFor(cursor.team, job.need) ? 0 : overQuotaOffset)
 		: Number.POSITIVE_INFINITY;
 };
 
-const findFirst = (cursors: Cursor[]): Cursor | undefined => {
-	let best: Cursor | undefined;
+const findLowestKey = (cursors: TeamCursor[]): TeamCursor | undefined => {
+	let best: TeamCursor | undefined;
 	for (const cursor of cursors) {
 		if (cursor.key < (best?.key ?? Number.POSITIVE_INFINITY)) {
 			best = cursor;
@@ -106,12 +106,12 @@
 	return best;
 };
 
-// Above any share, so that borrowers come after all teams within their quotas.
-const overQuota = 1e9;
+// Larger than any share, so that teams beyond their quotas come after all teams within theirs.
+const overQuotaOffset = 1e9;
 
-/** Keeps room for the gang or large task that has waited longest, so that smaller ones cannot pass it for ever. */
-export const runReservePass = (round: Round): void => {
-	const {queue, reservations, fleet, headroom} = round.context;
+/** Reserves capacity for the gang or large task that has waited longest, so that smaller tasks cannot starve it. */
+export const runReservePass = (cycle: Round): void => {
+	const {queue, reservations, fleet, headroom} = cycle.context;
 	if (reservations.size >= maxReservations) {
 		return;
 	}
@@ -119,7 +119,7 @@
 	let oldest: JobEntry | undefined;
 	for (const jobs of queue.teams.values()) {
 		for (const job of jobs) {
-			if (isWaitingForRoom(round, job) && (!oldest || job.queuedAtMs < oldest.queuedAtMs)) {
+			if (isReservationDue(cycle, job) && (!oldest || job.queuedAtMs < oldest.queuedAtMs)) {
 				oldest = job;
 			}
 		}
@@ -130,45 +130,45 @@
 		return;
 	}
 
-	oldest.reserveAtMs = round.nowMs + reserveRetryMs;
+	oldest.reserveAtMs = cycle.nowMs + reservationRetryMs;
 	headroom.release();
 	const entries = oldest.spec.isGang ? queue.listWaiting(oldest) : [entry];
 	for (const each of entries) {
-		round.refreshNeed(each);
+		cycle.refreshNeed(each);
 	}
 
-	const places = planPlaces(round, entries, fleet.draw(2 * drawnWorkers, round.context.random));
+	const places = planPlaces(cycle, entries, fleet.draw(2 * sampledWorkers, cycle.context.random));
 	if (places) {
 		reservations.reserve({
-			job: oldest, places, deadlineMs: round.nowMs + reservedMs, isPassive: true,
+			job: oldest, places, deadlineMs: cycle.nowMs + reservationMs, isPassive: true,
 		});
 	}
 };
 
-const isWaitingForRoom = ({context: {quotas, settings}, nowMs}: Round, job: JobEntry): boolean => {
+const isReservationDue = ({context: {quotas, settings}, nowMs}: Round, job: JobEntry): boolean => {
 	const waitedMs = nowMs - job.queuedAtMs;
 	if (job.missing !== undefined || job.isFinal || job.reserveAtMs > nowMs || waitedMs < settings.reserveAfterMs || !(job.spec.isGang || isLarge(job))) {
 		return false;
 	}
 
-	// Borrowed room is taken back for it by then; only if that does not help, it waits for ends.
+	// Within the quota, capacity is first reclaimed from borrowers; a reservation is made only if that takes too long.
 	const canBeReturned = quotas.hasBorrower() && quotas.hasQuotaFor(job.spec.team, job.need);
-	return !canBeReturned || waitedMs >= patience * Math.max(settings.reserveAfterMs, settings.quotaReturnMs);
+	return !canBeReturned || waitedMs >= evictionWaitFactor * Math.max(settings.reserveAfterMs, settings.quotaReturnMs);
 };
 
-const isLarge = ({need, spec}: JobEntry): boolean => spec.taskCount > 0 && getDominantShare(need, largeUnit) >= largeShare;
+const isLarge = ({need, spec}: JobEntry): boolean => spec.taskCount > 0 && getDominantShare(need, referenceWorker) >= largeShare;
 
-// About a worker of today; on larger ones the share only becomes more cautious.
-const largeUnit: Resources = {processors: 16, memoryMb: 61_440, accelerators: 8};
+// Capacity of a usual worker. Where workers are larger, tasks are only treated as large somewhat earlier.
+const referenceWorker: Resources = {processors: 16, memoryMb: 61_440, accelerators: 8};
 
-/** Chooses the places that batch work leaves soonest, for all of the entries or none. */
-const planPlaces = (round: Round, entries: TaskEntry[], workers: readonly WorkerEntry[]): Place[] | undefined => {
+/** Chooses the workers on which batch tasks are expected to free the capacity soonest, for all of the entries or none. */
+const planPlaces = (cycle: Round, entries: TaskEntry[], workers: readonly WorkerEntry[]): Place[] | undefined => {
 	const first = entries[0]!;
 	const {region} = first.job;
 	const options: Array<{worker: WorkerEntry; waitMs: number}> = [];
 	for (const worker of new Set(workers)) {
 		if (isAvailable(worker) && !worker.isProbing && (region === undefined || worker.spec.region === region)) {
-			for (const waitMs of listWaits(round, worker, first.reserved)) {
+			for (const waitMs of listWaitTimes(cycle, worker, first.reserved)) {
 				options.push({worker, waitMs});
 			}
 		}
@@ -182,8 +182,8 @@
 	return entries.map((entry, index) => ({entry, worker: options[index]!.worker}));
 };
 
-/** Lists after which times one, two, … tasks of the size would fit as batch tasks end. */
-const listWaits = ({context, nowMs}: Round, worker: WorkerEntry, need: Resources): number[] => {
+/** Lists the times until one, two, … tasks of this size fit, as batch tasks are expected to end. */
+const listWaitTimes = ({context, nowMs}: Round, worker: WorkerEntry, need: Resources): number[] => {
 	const ends: Array<{remainingMs: number; entry: TaskEntry}> = [];
 	for (const entry of worker.tasks) {
 		const {job: {kindId, spec}, phase, startedAtMs} = entry;
@@ -195,19 +195,19 @@
 	}
 
 	ends.sort((a, b) => a.remainingMs - b.remainingMs);
-	const room = {...worker.free};
+	const free = {...worker.free};
 	const waits: number[] = [];
 	let waitMs = 0;
 	for (let next = 0; next <= ends.length; next++) {
-		while (isWithin(need, room) && waits.length < 64) {
+		while (isWithin(need, free) && waits.length < 64) {
 			waits.push(waitMs);
-			addTo(room, need, -1);
+			addTo(free, need, -1);
 		}
 
 		const end = ends[next];
 		if (end) {
 			waitMs = end.remainingMs;
-			addTo(room, end.entry.reserved);
+			addTo(free, end.entry.reserved);
 		}
 	}
 
--- a/src/jobs/placement-queue.ts
+++ b/src/jobs/placement-queue.ts
@@ -1,11 +1,11 @@
 /**
-Waiting tasks: by team and priority, and urgent work apart.
+Queues of waiting tasks: by team and priority, with a separate queue for urgent work.
 */
 import {TaskPhase, type JobEntry, type TaskEntry} from './placement-state.ts';
 
-const compactAt = 1024;
+const minCompactSize = 1024;
 
-/** Jobs with waiting tasks, those to be served first at the front. */
+/** Jobs with waiting tasks, by priority and age. */
 export class WaitingQueue {
 	/** Jobs at or above the urgent priority, of all teams. */
 	readonly urgent: JobEntry[] = [];
@@ -34,7 +34,7 @@
 	/** Adds a waiting task at the end of its job. */
 	add(entry: TaskEntry): void {
 		entry.job.waiting.push(entry);
-		this.#count(entry);
+		this.#countWaiting(entry);
 	}
 
 	/** Puts a task back at the front of its job. */
@@ -46,10 +46,10 @@
 			job.waiting.unshift(entry);
 		}
 
-		this.#count(entry);
+		this.#countWaiting(entry);
 	}
 
-	/** Counts a task out that waits no longer; its phase is the caller's to set. */
+	/** Removes a task from the counts; the caller sets its phase. */
 	remove(entry: TaskEntry): void {
 		const {job} = entry;
 		this.#size--;
@@ -87,12 +87,12 @@
 		return [...new Set(waiting)];
 	}
 
-	#count(entry: TaskEntry): void {
+	#countWaiting(entry: TaskEntry): void {
 		const {job} = entry;
 		entry.phase = TaskPhase.Waiting;
 		this.#size++;
 		job.waitingCount++;
-		if (job.head > compactAt && job.head > job.waiting.length / 2) {
+		if (job.head > minCompactSize && job.head > job.waiting.length / 2) {
 			job.waiting.splice(0, job.head);
 			job.head = 0;
 		}
--- a/src/jobs/placement-reservations.ts
+++ b/src/jobs/placement-reservations.ts
@@ -1,8 +1,9 @@
 /**
-Room kept for tasks that wait for it: urgent work behind evictions, gangs and large tasks behind ends.
+Capacity reserved for waiting tasks: for urgent work until evictions are confirmed, for gangs and large tasks until running
+tasks end.
 
-A reservation names a worker for each of its tasks at once, and nothing waits while it holds only a part: two gangs
-cannot block each other by each holding half of what they need.
+A reservation names a worker for each of its tasks at once; no job reserves a part and waits for the rest. So two gangs
+cannot deadlock by each holding half of what they need.
 */
 import {type Resources} from '../types/platform.ts';
 import {type Fleet} from './placement-fleet.ts';
@@ -13,24 +14,24 @@
 import {type WaitingQueue} from './placement-queue.ts';
 import {type QuotaLedger} from './quota-ledger.ts';
 
-const avoidMs = 5000;
+const expiryAvoidMs = 5000;
 
-/** A task and the worker that is to take it. */
+/** A task and the worker that is to run it. */
 export type Place = {
 	entry: TaskEntry;
 	worker: WorkerEntry;
 };
 
-/** Places kept together. They start together. */
+/** Tasks that start together, each on a named worker. */
 export type Reservation = {
 	job: JobEntry;
 	places: Place[];
 	deadlineMs: number;
-	/** Waits for tasks to end by themselves; urgent work goes before it. */
+	/** Waits until running tasks end without eviction; urgent work takes precedence. */
 	isPassive: boolean;
 };
 
-/** Reservations in the order in which they were made. */
+/** All reservations, in order of creation. */
 export class Reservations {
 	readonly #fleet: Fleet;
 	readonly #queue: WaitingQueue;
@@ -51,22 +52,22 @@
 		return [...this.#all].some(reservation => reservation.job === job);
 	}
 
-	/** Keeps room for the tasks, which leave the queue. */
+	/** Reserves the capacity; the tasks leave the queue. */
 	reserve(reservation: Reservation): void {
 		const {places} = reservation;
 		for (const {entry, worker} of places) {
 			this.#queue.remove(entry);
 			entry.phase = TaskPhase.Claiming;
-			this.#claim({entry, worker}, 1);
+			this.#changeClaim({entry, worker}, 1);
 		}
 
 		this.#all.add(reservation);
 	}
 
-	/** Starts the tasks of every reservation of the sort whose room is free by now. */
+	/** Starts the tasks of each reservation, passive or not as given, whose capacity is free now. */
 	startReady(isPassive: boolean, start: (entry: TaskEntry, worker: WorkerEntry) => void): void {
 		for (const reservation of this.#all) {
-			if (reservation.isPassive === isPassive && this.#takeAll(reservation)) {
+			if (reservation.isPassive === isPassive && this.#allocateAll(reservation)) {
 				this.#all.delete(reservation);
 				for (const {entry, worker} of reservation.places) {
 					start(entry, worker);
@@ -75,7 +76,7 @@
 		}
 	}
 
-	/** Gives up reservations past their deadline or with a worker that takes nothing; their tasks wait again, in front. */
+	/** Releases reservations past their deadline or with an unavailable worker; their tasks return to the front of their jobs. */
 	giveUp(nowMs: number): void {
 		for (const reservation of this.#all) {
 			if (reservation.deadlineMs <= nowMs) {
@@ -87,12 +88,12 @@
 		}
 	}
 
-	/** Tells whether any waits for tasks to end by themselves. */
+	/** Tells whether there is any passive reservation. */
 	hasPassive(): boolean {
 		return [...this.#all].some(({isPassive}) => isPassive);
 	}
 
-	/** Gives up all that waits for ends by themselves; returns whether there was any. */
+	/** Releases all passive reservations; returns whether there were any. */
 	cancelPassive(): boolean {
 		const passive = [...this.#all].filter(({isPassive}) => isPassive);
 		for (const reservation of passive) {
@@ -102,7 +103,7 @@
 		return passive.length > 0;
 	}
 
-	/** Gives up what is kept for the job; its tasks wait again. */
+	/** Releases the reservations of the job; its tasks return to the queue. */
 	cancelJob(job: JobEntry): void {
 		for (const reservation of this.#all) {
 			if (reservation.job === job) {
@@ -111,7 +112,7 @@
 		}
 	}
 
-	/** Drops the task from its reservation; the others of it wait again. */
+	/** Releases the reservation that contains the task; all of its tasks return to the queue. */
 	cancel(entry: TaskEntry): void {
 		for (const reservation of this.#all) {
 			if (reservation.places.some(place => place.entry === entry)) {
@@ -121,11 +122,11 @@
 		}
 	}
 
-	/** Evictions that were not confirmed in time hold up the next attempt just the same: it goes elsewhere. */
+	/** Avoids workers whose capacity was not freed in time, so that the next attempt goes elsewhere. */
 	#avoid({places}: Reservation, nowMs: number): void {
 		for (const {entry, worker} of places) {
 			if (!this.#fleet.hasRoomNow(worker, entry.reserved)) {
-				worker.avoidUntilMs = Math.max(worker.avoidUntilMs, nowMs + avoidMs);
+				worker.avoidUntilMs = Math.max(worker.avoidUntilMs, nowMs + expiryAvoidMs);
 			}
 		}
 	}
@@ -133,17 +134,17 @@
 	#release(reservation: Reservation): void {
 		this.#all.delete(reservation);
 		for (const {entry, worker} of reservation.places.toReversed()) {
-			this.#claim({entry, worker}, -1);
+			this.#changeClaim({entry, worker}, -1);
 			this.#queue.putBack(entry);
 		}
 	}
 
-	#claim({entry, worker}: Place, times: 1 | -1): void {
+	#changeClaim({entry, worker}: Place, times: 1 | -1): void {
 		this.#fleet.claim(worker, entry.reserved, times);
 		this.#quotas.changeClaimed(entry.job.spec.team, entry.reserved, times);
 	}
 
-	#takeAll({places}: Reservation): boolean {
+	#allocateAll({places}: Reservation): boolean {
 		const needs = new Map<WorkerEntry, Resources>();
 		for (const {entry, worker} of places) {
 			const need = needs.get(worker) ?? createNone();
@@ -158,7 +159,7 @@
 		}
 
 		for (const {entry, worker} of places) {
-			this.#claim({entry, worker}, -1);
+			this.#changeClaim({entry, worker}, -1);
 			this.#fleet.take(worker, entry);
 		}
 
--- a/src/jobs/placement-round.ts
+++ b/src/jobs/placement-round.ts
@@ -1,5 +1,5 @@
 /**
-One round of decisions, and what all its passes share.
+One scheduling cycle of the placement engine, and the state that its passes share.
 */
 import {type Settings} from '../core/settings-schema.ts';
 import {TaskClass} from '../types/jobs.ts';
@@ -21,7 +21,7 @@
 import {type EvictionBudget, type EvictionMemory} from './urgency-eviction.ts';
 import {type WorkerHealth} from './worker-health.ts';
 
-/** All that decisions are made from. */
+/** Parts and state of the engine that decisions are based on. */
 export type PlacementContext = {
 	settings: Settings['placement'];
 	random: Random;
@@ -39,36 +39,36 @@
 	evictions: EvictionMemory;
 	urgentBudget: EvictionBudget;
 	otherBudget: EvictionBudget;
-	/** Searches that found no room, with the version of the freed room at that time. */
+	/** Searches that found no candidate: `freedVersion` of the fleet at that time, and when to search again anyway. */
 	blocked: Map<string, {version: number; untilMs: number}>;
-	/** Services that are slowed down, and batch tasks that are throttled. */
+	/** Latency-critical tasks slowed beyond the threshold, and throttled batch tasks. */
 	harmed: Set<TaskEntry>;
 	throttled: Set<TaskEntry>;
-	/** Batch tasks started in this round. */
+	/** Batch tasks started in this cycle. */
 	started: TaskEntry[];
 	getEvictionCost(entry: TaskEntry, nowMs: number): number;
 };
 
-// Workers avoided after a refusal come back without any room being freed.
-const blockedMs = 1000;
-const needKeptMs = 1000;
-const deferredRetryMs = 1000;
+// Workers that were avoided after a refusal become candidates again without any capacity being freed.
+const searchRetryMs = 1000;
+const needValidityMs = 1000;
+const deferRetryMs = 1000;
 
-/** The decisions of one round. */
+/** The decisions of one scheduling cycle. */
 export class Round {
 	readonly decisions: Decision[] = [];
 	readonly context: PlacementContext;
 	readonly nowMs: number;
-	readonly #limit: number;
+	readonly #maxDecisions: number;
 
-	constructor(context: PlacementContext, nowMs: number, limit: number) {
+	constructor(context: PlacementContext, nowMs: number, maxDecisions: number) {
 		this.context = context;
 		this.nowMs = nowMs;
-		this.#limit = limit;
+		this.#maxDecisions = maxDecisions;
 	}
 
 	get isFull(): boolean {
-		return this.decisions.length >= this.#limit;
+		return this.decisions.length >= this.#maxDecisions;
 	}
 
 	/** Starts the task on the worker. */
@@ -78,7 +78,7 @@
 		this.noteStarted(entry, worker);
 	}
 
-	/** Records the start of a task that left the queue and holds its room. */
+	/** Records the start of a task that has left the queue and holds its capacity. */
 	noteStarted(entry: TaskEntry, worker: WorkerEntry): void {
 		entry.startedAtMs = this.nowMs;
 		this.context.history.begin(entry, this.nowMs);
@@ -91,7 +91,7 @@
 		});
 	}
 
-	/** Evicts the task; its room stays counted until its end is confirmed. */
+	/** Evicts the task; its capacity stays allocated until its end is confirmed. */
 	evict(entry: TaskEntry, reason: EvictionReason, forTaskId?: string): void {
 		entry.phase = TaskPhase.Evicting;
 		this.context.quotas.changeLeaving(entry.job.spec.team, entry.reserved, 1);
@@ -101,10 +101,10 @@
 		});
 	}
 
-	/** Works out what the task needs by now. */
+	/** Updates the capacity that the task needs, by the latest size estimates. */
 	refreshNeed(entry: TaskEntry): void {
 		const {job} = entry;
-		if (job.needAtMs + needKeptMs <= this.nowMs) {
+		if (job.needAtMs + needValidityMs <= this.nowMs) {
 			job.needAtMs = this.nowMs;
 			job.need = getNeed(this.context, job);
 		}
@@ -112,9 +112,9 @@
 		entry.reserved = job.need;
 	}
 
-	/** Places one waiting task, or all of a gang. Returns whether something was started. */
+	/** Starts one waiting task, or all tasks of a gang. Returns whether anything was started. */
 	place(job: JobEntry): boolean {
-		if (job.missing !== undefined || job.isFinal || job.retryAtMs > this.nowMs || this.#isBlocked(job)) {
+		if (job.missing !== undefined || job.isFinal || job.retryAtMs > this.nowMs || this.#hasSearchFailed(job)) {
 			return false;
 		}
 
@@ -128,7 +128,7 @@
 		}
 
 		this.refreshNeed(entry);
-		const worker = this.#find(entry);
+		const worker = this.#findWorker(entry);
 		if (!worker) {
 			return false;
 		}
@@ -142,14 +142,14 @@
 		const places: Place[] = [];
 		for (const entry of queue.listWaiting(job)) {
 			this.refreshNeed(entry);
-			const worker = this.#find(entry);
+			const worker = this.#findWorker(entry);
 			if (!worker) {
 				for (const place of places.toReversed()) {
 					fleet.undoTake(place.entry);
 					place.entry.phase = TaskPhase.Waiting;
 				}
 
-				// The gang's own room was taken while the search for its last task failed.
+				// The last search failed while the gang's other tasks held their capacity.
 				return false;
 			}
 
@@ -165,34 +165,34 @@
 		return places.length > 0;
 	}
 
-	#find(entry: TaskEntry): WorkerEntry | undefined {
+	#findWorker(entry: TaskEntry): WorkerEntry | undefined {
 		const {search, blocked, fleet} = this.context;
 		const candidates = search.collect(entry, this.nowMs);
 		if (candidates.length === 0) {
-			blocked.set(getBlockedKey(entry.job), {version: fleet.freedVersion, untilMs: this.nowMs + blockedMs});
+			blocked.set(getSearchKey(entry.job), {version: fleet.freedVersion, untilMs: this.nowMs + searchRetryMs});
 			return undefined;
 		}
 
 		const worker = search.choose(candidates, entry, this.nowMs);
 		if (!worker) {
 			entry.job.deferredAtMs = Math.min(entry.job.deferredAtMs, this.nowMs);
-			entry.job.retryAtMs = this.nowMs + deferredRetryMs;
+			entry.job.retryAtMs = this.nowMs + deferRetryMs;
 		}
 
 		return worker;
 	}
 
-	/** Tells whether the last search for the job found no room, and nothing came free since. */
-	#isBlocked(job: JobEntry): boolean {
-		const found = this.context.blocked.get(getBlockedKey(job));
-		return found?.version === this.context.fleet.freedVersion && this.nowMs < found.untilMs;
+	/** Tells whether the latest search for the job found no candidate and no capacity was freed since. */
+	#hasSearchFailed(job: JobEntry): boolean {
+		const failure = this.context.blocked.get(getSearchKey(job));
+		return failure?.version === this.context.fleet.freedVersion && this.nowMs < failure.untilMs;
 	}
 }
 
-// A gang is blocked for its own size; its tasks may well fit one by one.
-const getBlockedKey = ({shapeKey, spec, waitingCount}: JobEntry): string => spec.isGang ? `${shapeKey}/${waitingCount}` : shapeKey;
+// The key of a gang includes its number of tasks: single tasks of the same shape may still fit.
+const getSearchKey = ({shapeKey, spec, waitingCount}: JobEntry): string => spec.isGang ? `${shapeKey}/${waitingCount}` : shapeKey;
 
-/** Gets what is to be held for one task: corrected by its kind, unless then no worker could take it. */
+/** Gets the capacity to allocate for one task: corrected by the estimate for its kind, unless it would then fit nowhere. */
 export const getNeed = ({sizes, fleet}: PlacementContext, {kindId, spec, region}: JobEntry): JobEntry['need'] => {
 	const need = sizes.getReserved(kindId, spec);
 	const count = spec.isGang ? spec.taskCount : 1;
--- a/src/jobs/placement-search.ts
+++ b/src/jobs/placement-search.ts
@@ -1,5 +1,5 @@
 /**
-Search for the worker of one task: a few candidates from the index, the cheapest of them by fit, spread and harm.
+Search for a worker for one task: a few candidates from the index, of which the cheapest by fit, spread and interference is chosen.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type Resources} from '../types/platform.ts';
@@ -9,22 +9,22 @@
 import {getDominantShare, getDifference} from './placement-resources.ts';
 import {type TaskEntry, type WorkerEntry} from './placement-state.ts';
 
-// Small fleets are searched whole. On large ones a few candidates come near the best of all, at a rate that does not
-// depend on the size.
-const smallFleet = 32;
+// Small fleets are searched completely. On large ones the best of a few candidates is close to the best of all, and the
+// cost of a search does not depend on the size of the fleet.
+const smallFleetSize = 32;
 const largeFleetCandidates = 8;
 const fitWeight = 0.2;
 const emptyHostCost = 0.25;
 const acceleratorHostCost = 2;
 const sameDomainCost = 0.5;
 const sameRackCost = 0.25;
-// The loss of one host should cost one replica, whatever the harm.
+// Outweighs interference, so that the loss of one host costs only one replica.
 const sameHostCost = 5;
 
-/** Chooses one of the candidates; undefined: none of them yet. */
+/** Chooses one of the candidates; undefined: the start is deferred. */
 export type ChooseWorker = (candidates: readonly WorkerEntry[], entry: TaskEntry, nowMs: number) => WorkerEntry | undefined;
 
-/** Expected cost of harm if the task ran on the worker. */
+/** Expected cost of interference if the task ran on the worker. */
 export type GetHarmCost = (worker: WorkerEntry, entry: TaskEntry, nowMs: number) => number;
 
 /** Finds workers for tasks. */
@@ -35,13 +35,13 @@
 		this.#options = options;
 	}
 
-	/** Lists candidates with room for the task. */
+	/** Lists candidates with enough free capacity for the task. */
 	collect(entry: TaskEntry, nowMs: number): WorkerEntry[] {
 		const {index, random} = this.#options;
-		const isService = entry.job.spec.taskClass === TaskClass.LatencyCritical;
+		const isLatencyCritical = entry.job.spec.taskClass === TaskClass.LatencyCritical;
 		const isAllowed = (worker: WorkerEntry) =>
-			worker.avoidUntilMs <= nowMs && (!worker.isProbing || (worker.tasks.size === 0 && !isService));
-		const limit = index.size <= smallFleet ? smallFleet : largeFleetCandidates;
+			worker.avoidUntilMs <= nowMs && (!worker.isProbing || (worker.tasks.size === 0 && !isLatencyCritical));
+		const limit = index.size <= smallFleetSize ? smallFleetSize : largeFleetCandidates;
 		const found: WorkerEntry[] = [];
 		for (const domain of this.#orderDomains(entry)) {
 			if (found.length >= limit) {
@@ -61,7 +61,7 @@
 		return candidates.length === 0 ? undefined : this.#options.choose(candidates, entry, nowMs);
 	}
 
-	/** Failure domains of the region, the ones with the fewest replicas of the job first and else from a random one on. */
+	/** Failure domains of the job's region, rotated at random; for replicated jobs those with the fewest replicas first. */
 	#orderDomains({job}: TaskEntry): DomainIndex[] {
 		const {index, random} = this.#options;
 		const all = job.region === undefined ? index.domains : index.domains.filter(({region}) => region === job.region);
@@ -76,11 +76,11 @@
 	}
 }
 
-/** Cost of the place by room left over, spread and whether it breaks up a host that large tasks need. */
+/** Cost of the worker by capacity left over, spread of replicas, and use of empty or accelerator hosts that other tasks need. */
 export const getFitCost = (worker: WorkerEntry, entry: TaskEntry): number => {
 	const {spec, free, tasks} = worker;
-	const left = getDominantShare(getPositive(getDifference(free, entry.reserved)), spec.capacity);
-	let cost = fitWeight * left;
+	const leftShare = getDominantShare(clampToZero(getDifference(free, entry.reserved)), spec.capacity);
+	let cost = fitWeight * leftShare;
 	if (tasks.size === 0) {
 		cost += emptyHostCost * fitWeight;
 	}
@@ -98,20 +98,20 @@
 	return cost;
 };
 
-const getPositive = ({processors, memoryMb, accelerators}: Resources): Resources => ({
+const clampToZero = ({processors, memoryMb, accelerators}: Resources): Resources => ({
 	processors: Math.max(0, processors), memoryMb: Math.max(0, memoryMb), accelerators: Math.max(0, accelerators),
 });
 
-/** Creates the choice by least cost; a place whose harm costs more than `getHarmLimit` is left for later. */
-export const createCheapestChoice = (getHarmCost: GetHarmCost, getHarmLimit: (entry: TaskEntry, nowMs: number) => number): ChooseWorker =>
+/** Creates the choice by least cost; workers where interference costs more than the limit are not chosen. */
+export const createCheapestChoice = (getInterferenceCost: GetHarmCost, getInterferenceLimit: (entry: TaskEntry, nowMs: number) => number): ChooseWorker =>
 	(candidates, entry, nowMs) => {
-		const limit = getHarmLimit(entry, nowMs);
+		const limit = getInterferenceLimit(entry, nowMs);
 		let best: WorkerEntry | undefined;
 		let bestCost = Number.POSITIVE_INFINITY;
 		for (const worker of candidates) {
-			const harm = getHarmCost(worker, entry, nowMs);
-			const cost = harm + getFitCost(worker, entry);
-			if (harm <= limit && cost < bestCost) {
+			const interference = getInterferenceCost(worker, entry, nowMs);
+			const cost = interference + getFitCost(worker, entry);
+			if (interference <= limit && cost < bestCost) {
 				best = worker;
 				bestCost = cost;
 			}
--- a/src/jobs/placement-state.ts
+++ b/src/jobs/placement-state.ts
@@ -1,83 +1,83 @@
 /**
-What the placement engine keeps for each job, task and worker.
+State of the placement engine for each job, task and worker.
 */
 import {type JobSpec, type TaskClass} from '../types/jobs.ts';
 import {type PendingTask, type PlacementWorker} from '../types/placement.ts';
 import {type Resources} from '../types/platform.ts';
 
-/** Where a task stands as the engine knows it. */
+/** Phase of a task as the engine knows it. */
 export enum TaskPhase {
 	Waiting,
-	/** Waits for room that is being freed for it at one worker. */
+	/** Has reserved capacity on one worker and waits until running tasks release it. */
 	Claiming,
-	/** Holds room: started, running, or its start unanswered. */
+	/** Holds capacity: a start was decided, is unanswered, or the task runs. */
 	Placed,
-	/** Holds room until its eviction is confirmed. */
+	/** Holds capacity until its eviction is confirmed. */
 	Evicting,
 	Gone,
 }
 
-/** A job with tasks that wait or hold room. */
+/** A job with tasks that wait or hold capacity. */
 export type JobEntry = {
 	spec: JobSpec;
 	kindId: number;
 	region: string | undefined;
-	/** Equal for jobs that the same search answers alike. */
+	/** Equal for jobs whose search for a worker has the same result. */
 	shapeKey: string;
-	/** Waiting tasks in order; those before `head` and those of another phase are skipped. */
+	/** Waiting tasks in order; entries before `head` and tasks in another phase are skipped. */
 	waiting: TaskEntry[];
 	head: number;
 	waitingCount: number;
 	placedCount: number;
 	queuedAtMs: number;
 	order: number;
-	/** What is to be held for one task, and when that was worked out. */
+	/** Capacity to allocate for one task, and when it was computed. */
 	need: Resources;
 	needAtMs: number;
-	/** First held back from harmful places, and when it is tried again. */
+	/** When a start was first deferred because of interference, and when the next attempt is made. */
 	deferredAtMs: number;
 	retryAtMs: number;
-	/** When room may be kept for it again. */
+	/** When capacity may next be reserved for it. */
 	reserveAtMs: number;
-	/** Placed tasks by failure domain, rack and worker; kept for services alone. */
+	/** Number of placed tasks by failure domain, rack and worker; only for latency-critical jobs of several tasks. */
 	spread: Map<string, number> | undefined;
-	/** Version of the fleet for which `missing` was worked out. */
+	/** Version of the fleet for which `missing` was computed. */
 	checkedAtFleet: number;
-	/** Why no worker of the fleet can take it. */
+	/** Why the job would not fit even on an empty fleet; undefined: it would. */
 	missing: string | undefined;
-	/** Fails on every worker: nothing more is started. */
+	/** Fails on every worker: no further task is started. */
 	isFinal: boolean;
 };
 
-/** A task that waits or holds room. */
+/** A task that waits or holds capacity. */
 export type TaskEntry = {
 	task: PendingTask;
 	job: JobEntry;
 	phase: TaskPhase;
 	worker: WorkerEntry | undefined;
-	/** What is held for it. */
+	/** Capacity that is allocated for it, or will be when it starts. */
 	reserved: Resources;
 	startedAtMs: number;
-	/** Refused, cancelled or lost with its worker: its end says nothing of worker or job. */
+	/** Refused, cancelled or lost with its worker: its end does not count for the health of worker or job. */
 	isBlameless: boolean;
-	/** A newer attempt that waits for the end of this one. */
+	/** Attempt that waits until the end of this one is confirmed. */
 	next: PendingTask | undefined;
-	/** Smoothed measured slowdown, and processors as last measured. */
+	/** Smoothed measured slowdown (1: none), and processors in the latest report (-1: no report yet). */
 	slowdown: number;
 	usedProcessors: number;
 	throttleShare: number;
 	throttledAtMs: number;
-	/** Its stay on the worker, while it lasts. */
+	/** Its current residency on the worker. */
 	residency: Residency | undefined;
 };
 
-/** One stay of a task on a worker at one share of its processors, kept for a while after its end. */
+/** A period in which a task runs on a worker at one throttle share; retained for a while after its end. */
 export type Residency = {
 	taskId: string;
 	kindId: number;
 	isBatch: boolean;
 	share: number;
-	/** Processors as last measured, or as held for it. */
+	/** Processors in the latest report, or allocated if there is none. */
 	processors: number;
 	startMs: number;
 	endMs: number;
@@ -88,42 +88,42 @@
 	kindId: number;
 	taskClass: TaskClass;
 	count: number;
-	/** Sum of the throttle shares. */
+	/** Sum of the tasks' throttle shares: a task at half speed counts as half a neighbour. */
 	amount: number;
-	/** Expected slowdown beyond 1 of one of them on this host, were it idle and were it full. */
+	/** Expected slowdown above 1 of one of these tasks if the host were idle, and if it were fully loaded. */
 	idleExcess: number;
 	fullExcess: number;
 };
 
-/** A worker, what it holds and where the index keeps it. */
+/** A worker, its allocations and its position in the index. */
 export type WorkerEntry = {
 	spec: PlacementWorker;
-	/** Held by placed and evicting tasks. */
+	/** Allocated to placed and evicting tasks. */
 	used: Resources;
-	/** Kept for tasks that wait for room here. */
+	/** Reserved for tasks that are to start here, and for the headroom of urgent work. */
 	claimed: Resources;
-	/** Capacity less used and claimed; negative while an eviction is under way. */
+	/** Capacity less `usedByOthers`, used and claimed; negative while an eviction is pending. */
 	free: Resources;
 	tasks: Set<TaskEntry>;
-	/** Who was here when, for reports that come late. */
+	/** Which tasks ran here at which time, to attribute reports that arrive late. */
 	residencies: Residency[];
-	/** Kinds that run here, and the processors that they are expected to use; undefined: to be worked out. */
+	/** Kinds that run here (undefined: to be computed), the model epoch of that, and their expected use of processors. */
 	mix: MixItem[] | undefined;
 	mixEpoch: number;
 	expectedProcessors: number;
-	/** No response to harm before this time: the last one is still taking effect. */
+	/** No reaction to interference before this time: the effect of the last one is not yet visible in reports. */
 	settledAtMs: number;
-	/** Nothing new before this time, after a refusal. */
+	/** Nothing is started here before this time, after a refused start or an expired reservation. */
 	avoidUntilMs: number;
 	isRemoved: boolean;
-	/** Held down by its failures. */
+	/** Held down: nothing is started here for a time, because too many tasks failed. */
 	isHeld: boolean;
-	/** Let at most one task through after having been held down. */
+	/** Takes one batch task at a time after having been held down, until one succeeds. */
 	isProbing: boolean;
 	listPosition: number;
 	cellKey: number;
 	cellPosition: number;
 };
 
-/** Tells whether anything new may be placed on the worker. */
+/** Tells whether tasks may be started on the worker. */
 export const isAvailable = (worker: WorkerEntry): boolean => worker.spec.isOpen && !worker.isRemoved && !worker.isHeld;
--- a/src/jobs/placement-usage.ts
+++ b/src/jobs/placement-usage.ts
@@ -1,5 +1,5 @@
 /**
-What usage reports change: learned harm and sizes, the room held for the task, and which services count as harmed.
+Processes usage reports: updates learned interference and sizes, the allocation of the task, and which tasks count as slowed.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type TaskUsage} from '../types/platform.ts';
@@ -7,34 +7,34 @@
 import {type PlacementContext} from './placement-round.ts';
 import {TaskPhase, type TaskEntry, type WorkerEntry} from './placement-state.ts';
 
-const smoothing = 0.3;
-// Measured use this far above what is held is no noise.
+const slowdownSmoothing = 0.3;
+// Usage above this multiple of the allocation is not measurement noise.
 const excessRatio = 1.05;
 
-/** Learns harm from a report, which may speak of a stay that has ended. */
+/** Learns interference from a report, which may describe a residency that has ended. */
 export const learnHarm = (context: PlacementContext, {taskId, entry, usage}: {taskId: string; entry: TaskEntry | undefined; usage: TaskUsage}): void => {
 	const {settings, history, model} = context;
 	if (!settings.isHarmAware) {
 		return;
 	}
 
-	const surroundings = history.getSurroundings(taskId, entry, usage.measuredAtMs);
-	if (!surroundings) {
+	const colocation = history.getSurroundings(taskId, entry, usage.measuredAtMs);
+	if (!colocation) {
 		return;
 	}
 
-	model.note({...surroundings, slowdown: usage.slowdown});
-	if (surroundings.taskClass === TaskClass.LatencyCritical) {
-		model.noteUsualHarm(usage.slowdown, surroundings.batchProcessors);
+	model.note({...colocation, slowdown: usage.slowdown});
+	if (colocation.taskClass === TaskClass.LatencyCritical) {
+		model.noteUsualHarm(usage.slowdown, colocation.batchProcessors);
 	}
 };
 
-/** Takes a report of the stay that goes on. */
+/** Processes a report on a run that is still on its worker. */
 export const noteRunningUsage = (context: PlacementContext, entry: TaskEntry, usage: TaskUsage): void => {
 	const {settings, history, sizes, harmed} = context;
 	const {job: {kindId, spec}} = entry;
 	const worker: WorkerEntry = entry.worker!;
-	entry.slowdown += smoothing * (usage.slowdown - entry.slowdown);
+	entry.slowdown += slowdownSmoothing * (usage.slowdown - entry.slowdown);
 	worker.expectedProcessors += usage.processors - getExpectedProcessors(entry);
 	entry.usedProcessors = usage.processors;
 	history.measure(entry);
@@ -42,7 +42,7 @@
 		sizes.noteUsage(kindId, spec.resources, usage);
 	}
 
-	coverExcess(context, entry, usage);
+	raiseAllocation(context, entry, usage);
 	if (!settings.isHarmAware || spec.taskClass !== TaskClass.LatencyCritical) {
 		return;
 	}
@@ -54,8 +54,8 @@
 	}
 };
 
-/** A host that is in truth fuller than what is held on it gets nothing more. */
-const coverExcess = ({fleet}: PlacementContext, entry: TaskEntry, usage: TaskUsage): void => {
+/** Raises the allocation to the measured usage, so that no more is started on a host that is fuller than declared. */
+const raiseAllocation = ({fleet}: PlacementContext, entry: TaskEntry, usage: TaskUsage): void => {
 	const {reserved, phase} = entry;
 	const isCovered = usage.processors <= reserved.processors * excessRatio && usage.memoryMb <= reserved.memoryMb * excessRatio;
 	if (isCovered || phase !== TaskPhase.Placed) {
--- a/src/jobs/quota-ledger.ts
+++ b/src/jobs/quota-ledger.ts
@@ -1,27 +1,27 @@
 /**
-Quotas of teams: what each holds, and which is served next by dominant share.
+Quotas and usage of teams; their dominant shares decide which team is served next.
 */
 import {type Resources} from '../types/platform.ts';
 import {
 	addTo, createNone, getDifference, getDominantShare, getSum, isWithin,
 } from './placement-resources.ts';
 
-/** What a team may hold and holds. */
+/** Quota and usage of a team. */
 export type TeamEntry = {
 	team: string;
-	/** None: all that the team holds is borrowed. */
+	/** Undefined: no quota, all that the team uses is borrowed. */
 	quota: Resources | undefined;
 	weight: number;
 	used: Resources;
-	/** Kept for tasks that wait for room to come free. */
+	/** Reserved for tasks that wait until capacity is free. */
 	claimed: Resources;
-	/** Held by tasks whose eviction is under way. */
+	/** Part of `used` that is held by tasks with a pending eviction. */
 	leaving: Resources;
 };
 
-const nothing = createNone();
+const noResources = createNone();
 
-/** Holdings of all teams. */
+/** Quotas and usage of all teams. */
 export class QuotaLedger {
 	readonly #teams = new Map<string, TeamEntry>();
 	readonly #total = createNone();
@@ -40,7 +40,7 @@
 		entry.weight = Math.max(weight, Number.EPSILON);
 	}
 
-	/** Gets the team, made up on first use. */
+	/** Gets the team, created on first use. */
 	get(team: string): TeamEntry {
 		let entry = this.#teams.get(team);
 		if (!entry) {
@@ -53,60 +53,60 @@
 		return entry;
 	}
 
-	/** Counts capacity of the fleet that comes, or goes with -1. */
+	/** Adds schedulable capacity to the fleet's total (1), or subtracts it (-1). */
 	changeTotal(capacity: Resources, times: 1 | -1): void {
 		addTo(this.#total, capacity, times);
 	}
 
-	/** Counts an amount that the team takes, or gives back with -1. */
+	/** Adds to the capacity allocated to the team (1), or subtracts (-1). */
 	change(team: string, amount: Resources, times: 1 | -1): void {
 		addTo(this.get(team).used, amount, times);
 	}
 
-	/** Counts an amount that is kept for the team, or no longer with -1. */
+	/** Adds to the capacity reserved for the team (1), or subtracts (-1). */
 	changeClaimed(team: string, amount: Resources, times: 1 | -1): void {
 		addTo(this.get(team).claimed, amount, times);
 	}
 
-	/** Counts an amount whose eviction is under way, or confirmed with -1. */
+	/** Adds to the team's capacity under eviction (1), or subtracts once that is confirmed (-1). */
 	changeLeaving(team: string, amount: Resources, times: 1 | -1): void {
 		addTo(this.get(team).leaving, amount, times);
 	}
 
-	/** Gets the dominant share of what the team holds, by its weight. */
+	/** Gets the dominant share of the team's usage, divided by its weight. */
 	getShare(team: string): number {
 		const {used, weight} = this.get(team);
 		return getDominantShare(used, this.#total) / weight;
 	}
 
-	/** Tells whether the team holds more than its quota, even when `besides` and all that is leaving is gone. */
-	isOver(team: string, besides: Resources = nothing): boolean {
+	/** Tells whether the team exceeds its quota even without `besides` and the capacity under eviction. */
+	isOver(team: string, besides: Resources = noResources): boolean {
 		const {quota, used, leaving} = this.get(team);
 		return !quota || !isWithin(getDifference(getDifference(used, leaving), besides), quota);
 	}
 
-	/** Tells whether any team holds more than its quota. */
+	/** Tells whether any team exceeds its quota. */
 	hasBorrower(): boolean {
 		return [...this.#teams.values()].some(({team, used}) => used.processors > 0 && this.isOver(team));
 	}
 
-	/** Finds the first holding that is not borrowed any more once those before it are gone. */
-	findUnborrowed(holdings: Array<{team: string; amount: Resources}>): number | undefined {
-		const gone = new Map<string, Resources>();
-		for (const [index, {team, amount}] of holdings.entries()) {
-			const before = gone.get(team) ?? createNone();
+	/** Finds the index of the first allocation that is within its team's quota once those before it are released. */
+	findUnborrowed(allocations: Array<{team: string; amount: Resources}>): number | undefined {
+		const released = new Map<string, Resources>();
+		for (const [index, {team, amount}] of allocations.entries()) {
+			const before = released.get(team) ?? createNone();
 			if (!this.isOver(team, before)) {
 				return index;
 			}
 
 			addTo(before, amount);
-			gone.set(team, before);
+			released.set(team, before);
 		}
 
 		return undefined;
 	}
 
-	/** Tells whether the team would still be within its quota after taking the amount so many times. */
+	/** Tells whether the team would still be within its quota with `times` times the amount more. */
 	hasQuotaFor(team: string, amount: Resources, times = 1): boolean {
 		const {quota, used, claimed} = this.get(team);
 		if (!quota) {
--- a/src/jobs/size-estimates.ts
+++ b/src/jobs/size-estimates.ts
@@ -1,19 +1,19 @@
 /**
-What tasks of a kind really use and how long they run, against what they declare.
+Learned resource usage and run times of each kind of task, relative to what its jobs declare.
 */
 import {TaskClass, type JobSpec} from '../types/jobs.ts';
 import {type Resources, type TaskUsage} from '../types/platform.ts';
 
 const highQuantile = 0.95;
-const wellKnownCount = 40;
-const margin = 1.1;
-// Reports scatter by a few percent; only what is above that is room that has to be held.
+const minSamples = 40;
+const shrinkMargin = 1.1;
+// Reports scatter by a few percent; only usage above this ratio raises the allocation.
 const excessRatio = 1.05;
-const leastRatio = 0.25;
+const minRatio = 0.25;
 const maxRatio = 20;
-const firstStep = 0.25;
+const initialStep = 0.25;
 
-/** Tracks one quantile of a stream of ratios without keeping them. */
+/** Estimates one quantile of a stream of ratios without storing them. */
 export class RunningQuantile {
 	count = 0;
 	value = 1;
@@ -33,8 +33,8 @@
 			return;
 		}
 
-		// Steps shrink to a floor, so that the estimate settles and still follows a change.
-		const step = Math.max(0.02, firstStep / Math.sqrt(this.count)) * Math.max(this.value, 0.05);
+		// Steps shrink to a lower bound, so that the estimate converges and still follows changes.
+		const step = Math.max(0.02, initialStep / Math.sqrt(this.count)) * Math.max(this.value, 0.05);
 		this.value = Math.max(0, this.value + (bounded > this.value ? step * this.#quantile : -step * (1 - this.#quantile)));
 	}
 }
@@ -45,7 +45,7 @@
 	runTime: RunningQuantile;
 };
 
-/** Sizes and run times by kind. */
+/** Estimates of sizes and run times by kind. */
 export class SizeEstimates {
 	readonly #kinds = new Map<number, KindSizes>();
 	readonly #isShrinkAllowed: boolean;
@@ -54,12 +54,12 @@
 		this.#isShrinkAllowed = isShrinkAllowed;
 	}
 
-	/** Forgets the kind. */
+	/** Deletes the estimates of the kind. */
 	forget(kindId: number): void {
 		this.#kinds.delete(kindId);
 	}
 
-	/** Learns from a report of a task that was not throttled. */
+	/** Adds a usage report of a task that was not throttled. */
 	noteUsage(kindId: number, declared: Resources, usage: TaskUsage): void {
 		const sizes = this.#get(kindId);
 		sizes.processors.note(usage.processors / declared.processors);
@@ -68,19 +68,19 @@
 		}
 	}
 
-	/** Learns how long a task ran that ended by itself. */
+	/** Adds the run time of a task that succeeded. */
 	noteRunTime(kindId: number, declaredMs: number, ranMs: number): void {
 		this.#get(kindId).runTime.note(ranMs / declaredMs);
 	}
 
-	/** Gets what is to be held for one task: the larger of declared and measured, less only for a well-known kind. */
+	/** Gets the capacity to allocate for one task: the larger of declared and measured; less only with enough samples. */
 	getReserved(kindId: number, {resources, taskClass}: JobSpec): Resources {
 		const sizes = this.#kinds.get(kindId);
 		if (!sizes) {
 			return {...resources};
 		}
 
-		// What a service uses follows its callers; a quiet hour says nothing of the next.
+		// The usage of a latency-critical task follows its load: an hour of low load does not predict the next.
 		const isShrinkable = this.#isShrinkAllowed && taskClass === TaskClass.Batch;
 		return {
 			processors: resources.processors * getRatio(sizes.processors, isShrinkable),
@@ -89,17 +89,17 @@
 		};
 	}
 
-	/** Gets the expected processors of a task about to start. */
+	/** Gets the expected processor usage of a task that is about to start. */
 	getExpectedProcessors(kindId: number, reserved: Resources, declared: Resources): number {
 		const ratio = this.#kinds.get(kindId)?.processors;
-		return ratio && ratio.count >= wellKnownCount ? Math.min(reserved.processors, declared.processors * ratio.value) : reserved.processors;
+		return ratio && ratio.count >= minSamples ? Math.min(reserved.processors, declared.processors * ratio.value) : reserved.processors;
 	}
 
-	/** Gets the time that a task may still run. */
+	/** Gets the expected remaining run time of a task. */
 	getRemainingMs(kindId: number, declaredMs: number, ranMs: number): number {
 		const ratio = this.#kinds.get(kindId)?.runTime;
 		const expectedMs = declaredMs * (ratio && ratio.count > 0 ? ratio.value : 1);
-		// A task past its expected end is expected to run on for a quarter of it.
+		// Never less than a quarter of the expected run time, also for a task past it.
 		return Math.max(expectedMs - ranMs, expectedMs / 4);
 	}
 
@@ -117,11 +117,11 @@
 }
 
 const getRatio = ({count, value, largest}: RunningQuantile, isShrinkable: boolean): number => {
-	const isWellKnown = count >= wellKnownCount;
-	const measured = isWellKnown ? value : largest;
+	const hasEnoughSamples = count >= minSamples;
+	const measured = hasEnoughSamples ? value : largest;
 	if (measured > excessRatio) {
 		return measured;
 	}
 
-	return isWellKnown && isShrinkable ? Math.min(1, Math.max(leastRatio, measured * margin)) : 1;
+	return hasEnoughSamples && isShrinkable ? Math.min(1, Math.max(minRatio, measured * shrinkMargin)) : 1;
 };
--- a/src/jobs/urgency-eviction.ts
+++ b/src/jobs/urgency-eviction.ts
@@ -1,5 +1,5 @@
 /**
-The cheapest sufficient eviction: which tasks of which worker have to go so that another fits.
+Finds the cheapest sufficient eviction: the tasks of one worker to evict so that another task fits.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type Resources} from '../types/platform.ts';
@@ -7,8 +7,8 @@
 import {TaskPhase, type TaskEntry, type WorkerEntry} from './placement-state.ts';
 
 const minuteMs = 60_000;
-// One service task costs more than all the batch work that a host can hold.
-const serviceCost = 10_000;
+// One latency-critical task costs more than all batch tasks that a host can hold.
+const latencyCriticalCost = 10_000;
 const taskCost = 0.5;
 
 /** Tasks to evict from one worker, and what that costs. */
@@ -18,14 +18,14 @@
 	cost: number;
 };
 
-/** Who may be evicted, and at which cost. */
+/** Which tasks may be evicted from which workers, and at which cost. */
 export type EvictionPolicy = {
 	isAllowed(worker: WorkerEntry): boolean;
 	isEligible(entry: TaskEntry): boolean;
 	getCost(entry: TaskEntry): number;
 };
 
-/** Finds the cheapest set of victims over the workers; undefined: none suffices. */
+/** Finds the cheapest set of victims on any one of the workers; undefined: no set suffices. */
 export const planEviction = (need: Resources, workers: Iterable<WorkerEntry>, policy: EvictionPolicy): EvictionPlan | undefined => {
 	let best: EvictionPlan | undefined;
 	for (const worker of workers) {
@@ -41,31 +41,31 @@
 };
 
 const planOnWorker = (need: Resources, worker: WorkerEntry, policy: EvictionPolicy): EvictionPlan | undefined => {
-	const room = {...worker.free};
+	const free = {...worker.free};
 	const priced: Array<{entry: TaskEntry; cost: number; rate: number}> = [];
 	for (const entry of worker.tasks) {
 		if (entry.phase === TaskPhase.Evicting) {
-			// Its room comes free anyway; what is kept of it for others is already counted out.
-			addTo(room, entry.reserved);
+			// Its capacity is released anyway; what is reserved of it is already subtracted from `free`.
+			addTo(free, entry.reserved);
 		} else if (policy.isEligible(entry)) {
 			const cost = policy.getCost(entry);
 			priced.push({entry, cost, rate: cost / Math.max(getDominantShare(entry.reserved, worker.spec.capacity), 1e-6)});
-			addTo(room, entry.reserved);
+			addTo(free, entry.reserved);
 		}
 	}
 
-	if (!isWithin(need, room)) {
+	if (!isWithin(need, free)) {
 		return undefined;
 	}
 
-	// All eligible tasks together suffice: keep the dear ones that need not go.
+	// All eligible tasks together suffice: spare those that need not be evicted, the most expensive first.
 	let cost = 0;
 	const victims: TaskEntry[] = [];
 	priced.sort((a, b) => b.rate - a.rate);
 	for (const {entry, cost: entryCost} of priced) {
-		addTo(room, entry.reserved, -1);
-		if (!isWithin(need, room)) {
-			addTo(room, entry.reserved);
+		addTo(free, entry.reserved, -1);
+		if (!isWithin(need, free)) {
+			addTo(free, entry.reserved);
 			victims.push(entry);
 			cost += entryCost;
 		}
@@ -74,7 +74,7 @@
 	return {worker, victims, cost};
 };
 
-/** What an eviction costs: work lost, more for services, for gangs and for tasks that were evicted before. */
+/** Creates the cost of an eviction: lost work, and more for latency-critical tasks, gangs and tasks evicted before. */
 export const createEvictionCost = (options: {
 	evictionWeight: number;
 	restartCostMs: number;
@@ -84,27 +84,27 @@
 	const ranMs = Math.max(0, nowMs - entry.startedAtMs);
 	const lostMs = entry.task.isCheckpointable === false ? ranMs : Math.min(ranMs, options.restartCostMs);
 	const gangSize = spec.isGang ? placedCount : 1;
-	const classCost = spec.taskClass === TaskClass.LatencyCritical ? serviceCost : 0;
+	const classCost = spec.taskClass === TaskClass.LatencyCritical ? latencyCriticalCost : 0;
 	const batchCost = options.evictionWeight * (taskCost + ((lostMs / 1000) * entry.reserved.processors)) * gangSize;
 	return classCost + (batchCost * (1 + options.getEvictions(entry.task.taskId)));
 };
 
-/** Budget of evictions a minute, and memory of who was evicted. */
+/** Token bucket that limits evictions per minute. */
 export class EvictionBudget {
 	readonly #perMinute: () => number;
 	#tokens: number;
-	#filledAtMs = 0;
+	#refilledAtMs = 0;
 
 	constructor(perMinute: () => number) {
 		this.#perMinute = perMinute;
 		this.#tokens = perMinute();
 	}
 
-	/** Takes so many evictions from the budget, or none when it holds fewer. */
+	/** Takes `count` evictions from the budget, or none and returns false if it has fewer. */
 	take(count: number, nowMs: number): boolean {
 		const limit = this.#perMinute();
-		const passedMs = Math.max(0, nowMs - this.#filledAtMs);
-		this.#filledAtMs = nowMs;
+		const passedMs = Math.max(0, nowMs - this.#refilledAtMs);
+		this.#refilledAtMs = nowMs;
 		this.#tokens = Math.min(limit, this.#tokens + ((limit * passedMs) / minuteMs));
 		if (this.#tokens < count) {
 			return false;
@@ -115,7 +115,7 @@
 	}
 }
 
-/** Which tasks were evicted how often. */
+/** How often and when each task was evicted. */
 export class EvictionMemory {
 	readonly #evicted = new Map<string, {count: number; atMs: number}>();
 
@@ -131,7 +131,7 @@
 		return this.#evicted.get(taskId)?.count ?? 0;
 	}
 
-	/** Time of the last eviction; long ago when there was none. */
+	/** Time of the last eviction; negative infinity if there was none. */
 	getLastMs(taskId: string): number {
 		return this.#evicted.get(taskId)?.atMs ?? Number.NEGATIVE_INFINITY;
 	}
--- a/src/jobs/urgency-headroom.ts
+++ b/src/jobs/urgency-headroom.ts
@@ -1,5 +1,5 @@
 /**
-Room kept free for the next urgent work, as much as came at once of late, so that it seldom has to evict.
+Headroom: capacity reserved for future urgent tasks, for as many as recently waited at once, so that they rarely need evictions.
 */
 import {type Resources} from '../types/platform.ts';
 import {type Fleet} from './placement-fleet.ts';
@@ -7,18 +7,18 @@
 import {type PlacementSearch} from './placement-search.ts';
 
 const maxSlots = 64;
-// Headroom beyond this share of the fleet would cost more work than evictions do.
+// Headroom above this share of the fleet would cost more work than evictions do.
 const maxShare = 0.05;
 
-/** Slots of free room on some workers, of the size of the urgent tasks seen last. */
+/** Reserved slots on some workers, each of the size of recent urgent tasks. */
 export class UrgencyHeadroom {
 	readonly #fleet: Fleet;
 	readonly #search: PlacementSearch;
 	readonly #halfLifeMs: number;
 	#slots: Array<{worker: WorkerEntry; size: Resources}> = [];
-	#model: TaskEntry | undefined;
+	#template: TaskEntry | undefined;
 	#target = 0;
-	#notedAtMs = 0;
+	#observedAtMs = 0;
 
 	constructor({fleet, search, halfLifeMs}: {fleet: Fleet; search: PlacementSearch; halfLifeMs: number}) {
 		this.#fleet = fleet;
@@ -26,16 +26,16 @@
 		this.#halfLifeMs = halfLifeMs;
 	}
 
-	/** Learns how much urgent work waits at once. */
+	/** Adds an observation of how many urgent tasks wait at once. */
 	note(entry: TaskEntry, count: number, nowMs: number): void {
-		const known = this.#getTarget(nowMs);
-		this.#notedAtMs = nowMs;
-		this.#target = Math.max(known, Math.min(count, maxSlots));
-		const isLarger = this.#model === undefined || entry.reserved.processors >= this.#model.reserved.processors;
-		this.#model = isLarger || known < 1 ? entry : this.#model;
+		const target = this.#getTarget(nowMs);
+		this.#observedAtMs = nowMs;
+		this.#target = Math.max(target, Math.min(count, maxSlots));
+		const isLarger = this.#template === undefined || entry.reserved.processors >= this.#template.reserved.processors;
+		this.#template = isLarger || target < 1 ? entry : this.#template;
 	}
 
-	/** Gives all kept room free for urgent work. Returns whether there was any. */
+	/** Releases all slots for urgent work. Returns whether there were any. */
 	release(): boolean {
 		const slots = this.#slots;
 		this.#slots = [];
@@ -46,24 +46,24 @@
 		return slots.length > 0;
 	}
 
-	/** Keeps free room up to the target, before other work takes it. */
+	/** Reserves or releases slots up to the target, before other work takes the capacity. */
 	refill(nowMs: number): void {
 		this.#dropUnavailable();
-		const model = this.#model;
-		if (!model || this.#halfLifeMs === 0) {
+		const template = this.#template;
+		if (!template || this.#halfLifeMs === 0) {
 			return;
 		}
 
-		const limit = Math.floor(maxShare * this.#fleet.openProcessors / model.reserved.processors);
+		const limit = Math.floor(maxShare * this.#fleet.openProcessors / template.reserved.processors);
 		const target = Math.min(limit, Math.round(this.#getTarget(nowMs)));
 		while (this.#slots.length < target) {
-			const worker = this.#search.collect(model, nowMs)[0];
+			const worker = this.#search.collect(template, nowMs)[0];
 			if (!worker) {
 				return;
 			}
 
-			this.#fleet.claim(worker, model.reserved, 1);
-			this.#slots.push({worker, size: model.reserved});
+			this.#fleet.claim(worker, template.reserved, 1);
+			this.#slots.push({worker, size: template.reserved});
 		}
 
 		while (this.#slots.length > target) {
@@ -73,7 +73,7 @@
 	}
 
 	#getTarget(nowMs: number): number {
-		return this.#halfLifeMs === 0 ? 0 : this.#target * (2 ** (-(nowMs - this.#notedAtMs) / this.#halfLifeMs));
+		return this.#halfLifeMs === 0 ? 0 : this.#target * (2 ** (-(nowMs - this.#observedAtMs) / this.#halfLifeMs));
 	}
 
 	#dropUnavailable(): void {
--- a/src/jobs/worker-health.ts
+++ b/src/jobs/worker-health.ts
@@ -1,21 +1,22 @@
 /**
-Tells workers that fail everything from jobs that fail everywhere.
+Distinguishes workers on which every job fails from jobs that fail on every worker.
 
-Each failure is divided between its worker and its job by how often the worker fails other jobs and how often the job
-fails on other workers. A worker that bears the blame is held down and probed; a job that bears it ends.
+The blame for each failure is divided between worker and job, by the worker's failure rate with other jobs and the job's
+failure rate on other workers. A worker with too much blame is held down, which means that nothing is started on it for a
+time, and then probed with one task. A job with too much blame ends.
 */
 
 const priorFailures = 0.2;
 const priorEnds = 2;
-const leastBlame = 3;
-const badRate = 0.6;
-const fadeMs = 600_000;
+const minBlame = 3;
+const minBlameRate = 0.6;
+const scoreHalfLifeMs = 600_000;
 const maxHoldMs = 600_000;
-// More bad workers than this at once point to a common cause; holding them down would only lose their room.
+// More bad workers than this at once indicate a common cause; holding them down would only lose their capacity.
 const maxHeldShare = 0.25;
-const leastWorkers = 3;
-const keptJobs = 10_000;
-const keptPairs = 64;
+const minFailingWorkers = 3;
+const maxJobs = 10_000;
+const maxPairsPerJob = 64;
 
 type Score = {
 	failures: number;
@@ -24,21 +25,21 @@
 	atMs: number;
 };
 
-/** What the scores say of a worker: held down, or open for one task that shows whether it has recovered. */
+/** A worker with its state: held down, or probing, that is open for one task that shows whether it has recovered. */
 export type HealthSubject = {
 	spec: {workerId: string};
 	isHeld: boolean;
 	isProbing: boolean;
 };
 
-/** Ends of one job on one worker. */
+/** Ended runs of one job on one worker. */
 type PairScore = {
 	failures: number;
 	ends: number;
 };
 
 type JobScore = Score & {
-	/** By worker, for the first of those on which it failed. */
+	/** By worker, for the first workers on which the job ran. */
 	pairs: Map<string, PairScore>;
 	hasSucceeded: boolean;
 };
@@ -49,7 +50,7 @@
 	heldUntilMs: number;
 };
 
-/** How a task ended, for the blame. */
+/** End of one run. */
 export type HealthReport<Subject extends HealthSubject = HealthSubject> = {
 	jobId: string;
 	worker: Subject;
@@ -58,7 +59,7 @@
 	fleetSize: number;
 };
 
-/** Keeps the scores of workers and jobs. */
+/** Failure scores of workers and jobs. */
 export class WorkerHealth<Subject extends HealthSubject = HealthSubject> {
 	readonly #jobs = new Map<string, JobScore>();
 	readonly #workers = new Map<string, WorkerScore>();
@@ -69,12 +70,12 @@
 		this.#options = options;
 	}
 
-	/** Workers held down now. */
+	/** Number of workers held down now. */
 	get heldCount(): number {
 		return this.#held.size;
 	}
 
-	/** Learns from an end. Returns whether the worker's availability changed. */
+	/** Records the end of a run. Returns whether the worker's availability changed. */
 	note(report: HealthReport<Subject>): boolean {
 		const {jobId, worker, isSuccess, nowMs} = report;
 		const job = this.#getJob(jobId, nowMs);
@@ -95,22 +96,22 @@
 		score.jobs.add(jobId);
 		job.blame += 1 - workerBlame;
 		score.blame += workerBlame;
-		return this.#judge(report, score);
+		return this.#holdIfFailing(report, score);
 	}
 
-	/** Says why the job ends, when it fails everywhere. */
+	/** Gets why the job is to end, if it fails on every worker; undefined: it does not. */
 	describeFailure(jobId: string, fleetSize: number): string | undefined {
 		const job = this.#jobs.get(jobId);
 		if (!job || job.hasSucceeded || job.blame < this.#options.maxTries / 2 || job.failures < this.#options.maxTries) {
 			return undefined;
 		}
 
-		return job.pairs.size >= Math.min(leastWorkers, fleetSize)
+		return job.pairs.size >= Math.min(minFailingWorkers, fleetSize)
 			? `fails everywhere: ${job.failures} failures on ${job.pairs.size} workers, no success`
 			: undefined;
 	}
 
-	/** Lets workers whose time is over take one task as a probe; returns them. */
+	/** Lets workers whose hold-down has expired take one task as a probe; returns them. */
 	release(nowMs: number): Subject[] {
 		const released: Subject[] = [];
 		for (const worker of this.#held) {
@@ -125,7 +126,7 @@
 		return released;
 	}
 
-	/** Forgets a worker that is gone: its successor starts afresh. */
+	/** Deletes the score of a removed worker: a new worker of this id starts without one. */
 	forget(worker: Subject): void {
 		this.#held.delete(worker);
 		this.#workers.delete(worker.spec.workerId);
@@ -133,10 +134,10 @@
 		worker.isProbing = false;
 	}
 
-	#judge({worker, nowMs, fleetSize}: HealthReport<Subject>, score: WorkerScore): boolean {
+	#holdIfFailing({worker, nowMs, fleetSize}: HealthReport<Subject>, score: WorkerScore): boolean {
 		const isBad = worker.isProbing
 			? score.blame > 0.5
-			: score.blame >= leastBlame && score.jobs.size > 1 && score.blame / score.ends >= badRate;
+			: score.blame >= minBlame && score.jobs.size > 1 && score.blame / score.ends >= minBlameRate;
 		if (!isBad || worker.isHeld || this.#held.size + 1 > Math.max(1, maxHeldShare * fleetSize)) {
 			return false;
 		}
@@ -169,7 +170,7 @@
 				failures: 0, ends: 0, blame: 0, atMs: nowMs, pairs: new Map(), hasSucceeded: false,
 			};
 			this.#jobs.set(jobId, score);
-			if (this.#jobs.size > keptJobs) {
+			if (this.#jobs.size > maxJobs) {
 				this.#jobs.delete(this.#jobs.keys().next().value!);
 			}
 		}
@@ -186,23 +187,23 @@
 			this.#workers.set(workerId, score);
 		}
 
-		const kept = 2 ** (-Math.max(0, nowMs - score.atMs) / fadeMs);
-		score.failures *= kept;
-		score.ends *= kept;
-		score.blame *= kept;
+		const retained = 2 ** (-Math.max(0, nowMs - score.atMs) / scoreHalfLifeMs);
+		score.failures *= retained;
+		score.ends *= retained;
+		score.blame *= retained;
 		score.atMs = nowMs;
 		return score;
 	}
 }
 
-/** Share of a failure that the worker bears: how often it fails other jobs, against how often the job fails elsewhere. */
+/** Worker's share of the blame: its failure rate with other jobs, against the job's failure rate on other workers. */
 const getBlame = (worker: Score, job: Score, pair: PairScore): number => {
-	const workerRate = getRateWithout(worker, pair);
-	const jobRate = getRateWithout(job, pair);
+	const workerRate = getFailureRateWithout(worker, pair);
+	const jobRate = getFailureRateWithout(job, pair);
 	return workerRate / (workerRate + jobRate);
 };
 
-const getRateWithout = ({failures, ends}: Score, pair: PairScore): number =>
+const getFailureRateWithout = ({failures, ends}: Score, pair: PairScore): number =>
 	(Math.max(0, failures - pair.failures) + priorFailures) / (Math.max(0, ends - pair.ends) + priorEnds);
 
 const getPair = (job: JobScore, workerId: string): PairScore => {
@@ -212,7 +213,7 @@
 	}
 
 	const pair = {failures: 0, ends: 0};
-	if (job.pairs.size < keptPairs) {
+	if (job.pairs.size < maxPairsPerJob) {
 		job.pairs.set(workerId, pair);
 	}
 
