--- a/src/jobs/harm-cost.ts
+++ b/src/jobs/harm-cost.ts
@@ -60,7 +60,7 @@
 		return cost;
 	}
 
-	/** Cost that the neighbour causes to latency-critical tasks of the worker, at its expected effect plus `deviations` standard deviations. */
+	/** Cost that the neighbour causes to latency-critical tasks of the worker, with its effect moved by `deviations` standard deviations. */
 	getContribution(worker: WorkerEntry, neighbour: TaskEntry, deviations: number): number {
 		const mix = this.#getMix(worker);
 		const load = clampLoad(worker.expectedProcessors / worker.spec.capacity.processors);
@@ -93,7 +93,7 @@
 			: this.#weights.throughputWeight * excess;
 	}
 
-	/** Gets the kinds on the worker with their expected slowdown, cached while the same tasks run there and for one epoch of the model. */
+	/** Gets the kinds on the worker with their expected slowdown; cached until its tasks or the model's epoch change. */
 	#getMix(worker: WorkerEntry): MixItem[] {
 		if (worker.mix && worker.mixEpoch === this.#model.epoch) {
 			return worker.mix;
--- a/src/jobs/harm-history.ts
+++ b/src/jobs/harm-history.ts
@@ -1,5 +1,6 @@
 /**
-Which tasks ran beside each other at which time, so that a late report is attributed to the neighbours at the time it was measured.
+Which tasks ran beside each other at which time, so that a late report is attributed to the neighbours at the time of its
+measurement.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type Neighbour} from './harm-model.ts';
--- a/src/jobs/harm-response.ts
+++ b/src/jobs/harm-response.ts
@@ -97,7 +97,7 @@
 	return gain > context.getEvictionCost(entry, nowMs) * minGainFactor;
 };
 
-/** Least cost of interference on another worker with enough capacity; infinite if there is none, as the task would only wait. */
+/** Least cost of interference on another worker with enough capacity; infinite if there is none, as the task would have to wait. */
 const getCostElsewhere = (cycle: Round, entry: TaskEntry): number => {
 	const {search, harmCost} = cycle.context;
 	let least = Number.POSITIVE_INFINITY;
@@ -138,7 +138,7 @@
 	return true;
 };
 
-/** Restores a throttled task to full speed when the latency-critical tasks beside it run well and it is not expected to slow them again. */
+/** Restores throttled tasks to full speed when the latency-critical tasks beside them run well and are expected to stay so. */
 const restoreThrottled = (cycle: Round): void => {
 	const {throttled, harmCost, settings} = cycle.context;
 	const clearSlowdown = 1 + ((settings.harmThreshold - 1) / 2);
--- a/src/jobs/placement-context.ts
+++ b/src/jobs/placement-context.ts
@@ -18,7 +18,7 @@
 import {type WorkerEntry} from './placement-state.ts';
 import {WorkerHealth} from './worker-health.ts';
 
-// Urgent work may evict this many tasks a minute for each worker of the fleet, or `evictionsPerMinute` of the settings if that is more.
+// Limit of evictions for urgent work, per worker of the fleet and minute; `evictionsPerMinute` of the settings applies if higher.
 const urgentEvictionsPerWorker = 4;
 
 /** Creates the parts and the state that the engine decides with. */
--- a/test/eviction.test.ts
+++ b/test/eviction.test.ts
@@ -32,9 +32,9 @@
 	expect((await world.workers.get(from)!.list()).tasks).toEqual([]);
 });
 
-// A stop takes effect and its answer is lost. The worker is asked what it has and the stop is ordered again, so that the end
-// of the attempt is told more than once. Only the first may resume the task.
-test('an eviction answered twice gives one resume', async () => {
+// A stop takes effect and its answer is lost. The owner lists the worker's tasks and orders the stop again, so that the end of
+// the attempt is reported more than once. Only the first report may resume the task.
+test('an eviction that is answered twice resumes the task once', async () => {
 	const from = await startTask();
 	world.workers.get(from)!.faults.loseAnswerChance = 1;
 	world.evict('a/0');
@@ -47,9 +47,9 @@
 	expect(world.violations).toEqual([]);
 });
 
-// The stop never reaches the worker, which is cut off. The task runs there until its lease lapses; the resume elsewhere must
-// wait for that, and the worker that comes back with the old attempt must not cause another.
-test('a resume waits for the lapse of the old lease when the end is not confirmed', async () => {
+// The stop does not reach the worker, which is unreachable. The task runs there until its lease expires. The resume elsewhere
+// must wait for that, and the worker that returns with the old attempt must not cause another resume.
+test('a resume waits until the old lease has expired if the end is not confirmed', async () => {
 	const from = await startTask();
 	const worker = world.workers.get(from)!;
 	worker.faults.isCut = true;
@@ -64,9 +64,9 @@
 	expect(world.violations).toEqual([]);
 });
 
-// The stop takes effect, its answer is lost and the worker is cut off until the lease has lapsed by the owner's clock, so the
-// task was started again. Then the worker returns and tells of the stop with a checkpoint: a second reason to resume.
-test('a resume raced by the lapse of the old lease happens once', async () => {
+// The stop takes effect, its answer is lost and the worker is unreachable until the lease has expired by the owner's clock, so
+// the task is started again. Then the worker returns and reports the stop with a checkpoint: a second reason to resume.
+test('a task resumes once if its old lease expires while the answer to the stop is late', async () => {
 	const from = await startTask();
 	const worker = world.workers.get(from)!;
 	worker.faults.loseAnswerChance = 1;
@@ -81,9 +81,9 @@
 	expect(world.violations).toEqual([]);
 });
 
-// The owner stops a task for an eviction and dies before it starts it again. The worker still has the checkpoint: the next
-// owner must find it there and resume once, not begin anew, and not forget the task.
-test.each([true, false])('a new owner resumes what the old one had stopped (idempotent: %s)', async isIdempotent => {
+// The owner stops a task for an eviction and crashes before it starts the task again. The worker still has the checkpoint: the
+// next owner must find it there and resume once. It must neither start the task from the beginning nor lose it.
+test.each([true, false])('a new owner resumes a task that the old one had stopped (idempotent: %s)', async isIdempotent => {
 	const from = await startTask({entries: 2, shards: 1, workers: 1}, {isIdempotent});
 	const owner = world.getOwner('a')!;
 	world.announced.delete(from);
@@ -97,7 +97,7 @@
 	expect(getOrders()[1]!.checkpointId).toBe(`a/0/${getOrders()[0]!.attempt}`);
 });
 
-test('work lost to an eviction without a checkpoint is counted, and none with one', async () => {
+test('work lost to an eviction is counted without a checkpoint, and is zero with one', async () => {
 	const from = await startTask();
 	await world.clock.advance(10_000);
 	world.evict('a/0');
--- a/test/first-fit.test.ts
+++ b/test/first-fit.test.ts
@@ -7,9 +7,9 @@
 	workerId: 'w', region: 'r', failureDomain: 'd', rack: 'k', capacity: defaultCapacity, isOpen: true,
 };
 
-// The tasks of another entry fill the only worker. A job that fits it when it is empty must wait,
-// and not be told that no worker is large enough.
-test('what others hold of a worker delays a job and does not make it unplaceable', () => {
+// Tasks of another entry fill the only worker. A job that fits on the empty worker must wait,
+// and not be reported as unplaceable.
+test('capacity used by others delays a job and does not make it unplaceable', () => {
 	const engine = new FirstFitEngine();
 	engine.setWorker({...worker, foreign: defaultCapacity});
 	engine.enqueue({
--- a/test/harm.test.ts
+++ b/test/harm.test.ts
@@ -14,7 +14,7 @@
 	full: model.getFullEffect(1, TaskClass.LatencyCritical, neighbour, 0),
 });
 
-/** Reports of kind 1 beside kinds 2 and 3, of which 3 harms by 0.6 at full load and less below. */
+/** Feeds reports of kind 1 beside kinds 2 and 3. Kind 2 has no effect; kind 3 slows by 0.6 at full load, in proportion to load. */
 const learn = (model: HarmModel, reports: number, seed = 5): void => {
 	const random = createRandom(seed);
 	for (let count = 0; count < reports; count++) {
@@ -32,8 +32,8 @@
 	}
 };
 
-describe('harm between two kinds', () => {
-	test('is told apart from that of quiet neighbours, and shifts with load', () => {
+describe('interference between two kinds', () => {
+	test('is distinguished from that of quiet neighbours, and depends on load', () => {
 		const model = new HarmModel(600_000);
 		learn(model, 400);
 		expect(at(model, 3).full).toBeGreaterThan(0.45);
@@ -41,19 +41,19 @@
 		expect(Math.abs(at(model, 2).full)).toBeLessThan(0.1);
 	});
 
-	test('is less certain without reports, and the uncertainty comes back with time', () => {
+	test('is uncertain without reports, and the uncertainty grows back over time', () => {
 		const model = new HarmModel(60_000);
 		model.fade(0);
-		const getDoubt = () => model.getFullEffect(1, TaskClass.LatencyCritical, 3, 1) - model.getFullEffect(1, TaskClass.LatencyCritical, 3, 0);
-		const unknown = getDoubt();
+		const getUncertainty = () => model.getFullEffect(1, TaskClass.LatencyCritical, 3, 1) - model.getFullEffect(1, TaskClass.LatencyCritical, 3, 0);
+		const unknown = getUncertainty();
 		learn(model, 400);
-		const known = getDoubt();
+		const known = getUncertainty();
 		model.fade(240_000);
 		expect(known).toBeLessThan(unknown / 3);
-		expect(getDoubt()).toBeGreaterThan(2 * known);
+		expect(getUncertainty()).toBeGreaterThan(2 * known);
 	});
 
-	test('one wild report moves an effect little', () => {
+	test('an outlier changes an effect little', () => {
 		const model = new HarmModel(600_000);
 		learn(model, 400);
 		const before = at(model, 2).full;
@@ -63,13 +63,13 @@
 		expect(at(model, 2).full - before).toBeLessThan(0.1);
 	});
 
-	test('a kind not seen beside a victim is judged by what it does to others', () => {
+	test('the effect of a kind not seen beside a victim is estimated from its effect on others', () => {
 		const model = new HarmModel(600_000);
 		learn(model, 400);
 		expect(model.getFullEffect(9, TaskClass.LatencyCritical, 3, 0)).toBeGreaterThan(2 * model.getFullEffect(9, TaskClass.LatencyCritical, 2, 0));
 	});
 
-	test('the host itself is a neighbour of all', () => {
+	test('the host itself counts as a neighbour of every task', () => {
 		const model = new HarmModel(600_000);
 		for (let count = 0; count < 200; count++) {
 			model.note({
@@ -80,7 +80,7 @@
 		expect(at(model, hostKindId).full).toBeCloseTo(0.5, 1);
 	});
 
-	test('kinds beyond the table take the place of the oldest, whose harm is forgotten', () => {
+	test('kinds beyond the size of the table reuse the id of the oldest, whose effects are reset', () => {
 		const reused: number[] = [];
 		const kinds = new KindTable(kindId => {
 			reused.push(kindId);
@@ -95,12 +95,12 @@
 	});
 });
 
-const service: JobSpec = createSpec('desk', {
+const latencyCritical: JobSpec = createSpec('desk', {
 	kind: 'desk', taskClass: TaskClass.LatencyCritical, resources: {processors: 4, memoryMb: 1024, accelerators: 0}, declaredRunTimeMs: 1e9,
 });
 const noisy = (jobId: string): JobSpec => createSpec(jobId, {kind: 'noisy', resources: {processors: 8, memoryMb: 1024, accelerators: 0}, declaredRunTimeMs: 600_000});
 
-/** Reports on the service, each about a time that lies 20 s back. */
+/** Reports usage of the latency-critical task; each report was measured 20 s before it arrives. */
 const reportLate = (engine: PlacementEngine, {fromMs, toMs, slowdown}: {fromMs: number; toMs: number; slowdown(measuredAtMs: number): number}): Decision[] => {
 	const decisions: Decision[] = [];
 	for (let nowMs = fromMs; nowMs <= toMs; nowMs += 2000) {
@@ -115,13 +115,13 @@
 };
 
 /*
-A noisy task ran beside the service for a while and ended. Its harm shows in reports that arrive when a quiet task has
-taken its place. Blaming whoever is there at arrival would throttle the quiet one and let the noisy one in again.
+A noisy task ran beside a latency-critical one and ended. Its interference shows in reports that arrive when a quiet task
+has taken its place. Attribution to the tasks present at arrival would throttle the quiet task and admit the noisy one again.
 */
-test('late reports are credited to who stood there at the time that they speak of', () => {
+test('late reports are attributed to the neighbours at the time of measurement', () => {
 	const engine = createEngine({tailWeight: 8, deferMs: 3_600_000});
 	engine.setWorker(createWorker(0));
-	enqueueJob(engine, service);
+	enqueueJob(engine, latencyCritical);
 	enqueueJob(engine, noisy('n1'));
 	expect(getStarts(engine.decide(0, 10))).toHaveLength(2);
 	engine.noteEnded('n1/0', true, 100_000);
@@ -151,8 +151,8 @@
 	expect(getStarts(engine.decide(130_000, 10))).toMatchObject([{taskId: 'n2/0', workerId: 'w1'}]);
 });
 
-describe('a service that is harmed', () => {
-	const harm = (engine: PlacementEngine, isThrottled: () => boolean, toMs: number) => {
+describe('a latency-critical task that is slowed', () => {
+	const reportUntil = (engine: PlacementEngine, isThrottled: () => boolean, toMs: number) => {
 		const decisions: Decision[] = [];
 		for (let nowMs = 21_000; nowMs <= toMs; nowMs += 2000) {
 			decisions.push(...reportLate(engine, {fromMs: nowMs, toMs: nowMs, slowdown: () => isThrottled() ? 1.8 : 2.5}));
@@ -166,26 +166,26 @@
 			tailWeight: 8, deferMs: 0, harmSettleMs: 10_000, ...settings,
 		});
 		engine.setWorker(createWorker(0));
-		enqueueJob(engine, service);
+		enqueueJob(engine, latencyCritical);
 		enqueueJob(engine, noisy('n1'));
 		engine.decide(0, 10);
 		return engine;
 	};
 
-	test('has its worst neighbour throttled first and moved only when that does not suffice and there is a better place', () => {
+	test('has its worst neighbour throttled first, and evicted only if that does not suffice and another worker is better', () => {
 		const engine = start();
-		const alone = harm(engine, () => true, 150_000);
-		expect(alone.map(({type}) => type)).toEqual([DecisionType.Throttle, DecisionType.Throttle]);
+		const onOneWorker = reportUntil(engine, () => true, 150_000);
+		expect(onOneWorker.map(({type}) => type)).toEqual([DecisionType.Throttle, DecisionType.Throttle]);
 		engine.setWorker(createWorker(1));
-		const moved = reportLate(engine, {fromMs: 160_000, toMs: 200_000, slowdown: () => 1.8});
-		expect(getEvictions(moved)).toMatchObject([{taskId: 'n1/0', reason: EvictionReason.Harm}]);
+		const onTwoWorkers = reportLate(engine, {fromMs: 160_000, toMs: 200_000, slowdown: () => 1.8});
+		expect(getEvictions(onTwoWorkers)).toMatchObject([{taskId: 'n1/0', reason: EvictionReason.Harm}]);
 	});
 
 	/*
-	Noise comes in waves: harmed for 20 s, well for 20 s. A response to each report would throttle, release and evict
-	without end.
+	Interference comes in waves: 20 s with, 20 s without. A reaction to each report would throttle, restore and evict again
+	and again.
 	*/
-	test('is not answered by decisions that follow each wave', () => {
+	test('does not cause decisions at each wave of interference', () => {
 		const engine = start();
 		engine.setWorker(createWorker(1));
 		const decisions = reportLate(engine, {fromMs: 21_000, toMs: 620_000, slowdown: measuredAtMs => Math.floor(measuredAtMs / 20_000) % 2 === 0 ? 2.2 : 1});
@@ -193,14 +193,14 @@
 		expect(getEvictions(decisions).length).toBeLessThanOrEqual(1);
 	});
 
-	test('gives each step the time to show in reports before the next', () => {
+	test('causes the next step only after reports can show the effect of the last', () => {
 		const engine = start({harmSettleMs: 60_000});
-		expect(harm(engine, () => true, 75_000)).toMatchObject([{type: DecisionType.Throttle, share: 0.5}]);
-		expect(harm(engine, () => true, 120_000)).toMatchObject([{type: DecisionType.Throttle, share: 0.25}]);
+		expect(reportUntil(engine, () => true, 75_000)).toMatchObject([{type: DecisionType.Throttle, share: 0.5}]);
+		expect(reportUntil(engine, () => true, 120_000)).toMatchObject([{type: DecisionType.Throttle, share: 0.25}]);
 	});
 
-	test('leaves batch work alone where throughput weighs more', () => {
+	test('does not affect batch work where throughput has the higher weight', () => {
 		const engine = start({tailWeight: 0.1, throughputWeight: 1});
-		expect(harm(engine, () => false, 150_000)).toEqual([]);
+		expect(reportUntil(engine, () => false, 150_000)).toEqual([]);
 	});
 });
--- a/test/placement-properties.test.ts
+++ b/test/placement-properties.test.ts
@@ -17,7 +17,7 @@
 type Running = {task: PendingTask; workerId: string; resources: Resources; endMs: number; isEvicting: boolean};
 
 type Step
-	= | {type: 'submit'; team: number; size: number; count: number; isGang: boolean; priority: number; isService: boolean; runMs: number}
+	= | {type: 'submit'; team: number; size: number; count: number; isGang: boolean; priority: number; isLatencyCritical: boolean; runMs: number}
 		| {type: 'cancel'; pick: number}
 		| {type: 'refuse'; pick: number}
 		| {type: 'worker'; number: number; state: 'open' | 'closed' | 'lost'}
@@ -28,7 +28,7 @@
 	{
 		weight: 5, arbitrary: fc.record({
 			type: fc.constant('submit' as const), team: fc.nat(2), size: fc.constantFrom(1, 2, 4, 8, 16), count: fc.integer({min: 1, max: 6}),
-			isGang: fc.boolean(), priority: fc.constantFrom(10, 100, 950), isService: fc.boolean(), runMs: fc.integer({min: 200, max: 6000}),
+			isGang: fc.boolean(), priority: fc.constantFrom(10, 100, 950), isLatencyCritical: fc.boolean(), runMs: fc.integer({min: 200, max: 6000}),
 		}),
 	},
 	{weight: 1, arbitrary: fc.record({type: fc.constant('cancel' as const), pick: fc.nat(50)})},
@@ -42,8 +42,8 @@
 	{weight: 6, arbitrary: fc.record({type: fc.constant('pass' as const), steps: fc.integer({min: 1, max: 20})})},
 );
 
-/** A small world around the engine that does as decided and checks each decision. */
-class World {
+/** Simulated fleet that executes the engine's decisions and checks each of them. */
+class SimulatedFleet {
 	readonly engine = createEngine(settings);
 	readonly workers = new Map<string, PlacementWorker>();
 	readonly running = new Map<string, Running>();
@@ -66,7 +66,7 @@
 	submit(step: Extract<Step, {type: 'submit'}>): void {
 		const spec: JobSpec = createSpec(`j${this.jobs++}`, {
 			team: `team-${step.team}`, taskCount: step.count, isGang: step.isGang, priority: step.priority, kind: `kind-${step.size}`,
-			taskClass: step.isService ? TaskClass.LatencyCritical : TaskClass.Batch,
+			taskClass: step.isLatencyCritical ? TaskClass.LatencyCritical : TaskClass.Batch,
 			resources: {processors: step.size, memoryMb: 1024, accelerators: 0}, declaredRunTimeMs: step.runMs,
 		});
 		for (let index = 0; index < step.count; index++) {
@@ -237,8 +237,8 @@
 		}
 	}
 
-	/** Tells whether what waits of the job could run on the empty fleet. */
-	hasRoomFor({jobId, isGang, resources}: JobSpec): boolean {
+	/** Tells whether the waiting tasks of the job could run on the empty fleet. */
+	fitsOnEmptyFleet({jobId, isGang, resources}: JobSpec): boolean {
 		const count = isGang ? [...this.waiting.values()].filter(({spec}) => spec.jobId === jobId).length : 1;
 		let fits = 0;
 		for (const {capacity} of this.workers.values()) {
@@ -248,8 +248,8 @@
 		return fits >= count;
 	}
 
-	/** Opens the whole fleet and lets all work end. */
-	drainOut(): void {
+	/** Makes all workers schedulable and runs until all tasks have ended. */
+	runToEnd(): void {
 		for (let number = 0; number < 5; number++) {
 			this.setWorker(createWorker(number));
 		}
@@ -262,109 +262,109 @@
 
 describe('whatever happens to tasks and workers', () => {
 	/*
-	Capacity, gangs, priorities of victims are checked at each decision; at the end every task that was neither
-	cancelled nor told to be unplaceable must have run.
+	Capacity, gangs and priorities of victims are checked at each decision. At the end every task must have run that was
+	neither cancelled nor reported as unplaceable.
 	*/
-	test('capacity holds, gangs start whole, only lower priority is evicted, no task is lost', () => {
+	test('no worker is overcommitted, gangs start completely, only lower priority is evicted, no task is lost', () => {
 		fc.assert(fc.property(fc.array(stepArbitrary, {minLength: 5, maxLength: 40}), steps => {
-			const world = new World();
+			const fleet = new SimulatedFleet();
 			for (const step of steps) {
-				world.run(step);
+				fleet.run(step);
 			}
 
-			world.drainOut();
-			for (const {spec} of world.waiting.values()) {
-				expect(world.hasRoomFor(spec)).toBe(false);
-				expect(world.unplaceable).toContain(spec.jobId);
+			fleet.runToEnd();
+			for (const {spec} of fleet.waiting.values()) {
+				expect(fleet.fitsOnEmptyFleet(spec)).toBe(false);
+				expect(fleet.unplaceable).toContain(spec.jobId);
 			}
 		}), {numRuns: 300, seed: 20_261});
 	});
 });
 
 /*
-One task of a running gang is evicted and room is kept for it; then the other task fails and waits too. The two would
-start apart, the second one first: each would wait for the other and hold its room for nothing.
+One task of a running gang is evicted and capacity is reserved for it; then the other task fails and waits too. If the two
+started separately, the second one first, each would hold capacity while it waits for the other.
 */
-test('tasks of a gang that come back one after the other start together', () => {
-	const world = new World();
+test('tasks of a gang that return to the queue one after the other start together', () => {
+	const fleet = new SimulatedFleet();
 	const submit = (size: number, count: number, priority: number, runMs: number) => {
-		world.submit({
-			type: 'submit', team: 0, size, count, isGang: priority === 10, priority, isService: false, runMs,
+		fleet.submit({
+			type: 'submit', team: 0, size, count, isGang: priority === 10, priority, isLatencyCritical: false, runMs,
 		});
 	};
 
 	submit(8, 2, 10, 1801);
-	world.pass(8);
+	fleet.pass(8);
 	submit(16, 3, 950, 401);
-	world.run({
+	fleet.run({
 		type: 'usage', pick: 15, slowdown: 0.5, ratio: 1.25,
 	});
 	submit(2, 1, 950, 200);
 	submit(1, 5, 950, 200);
-	world.run({type: 'cancel', pick: 4});
-	world.run({type: 'refuse', pick: 0});
-	world.run({type: 'worker', number: 0, state: 'open'});
-	world.drainOut();
-	expect(world.waiting.size).toBe(0);
+	fleet.run({type: 'cancel', pick: 4});
+	fleet.run({type: 'refuse', pick: 0});
+	fleet.run({type: 'worker', number: 0, state: 'open'});
+	fleet.runToEnd();
+	expect(fleet.waiting.size).toBe(0);
 });
 
-describe('on a fleet that is full', () => {
+describe('on a full fleet', () => {
 	/*
-	Batch work of any sizes fills the fleet and each eviction takes a second to be confirmed. Urgent tasks that fit the
-	fleet beside its services must start within 3.9 s.
+	Batch work of any sizes fills the fleet, and evictions take up to 400 ms to be confirmed. Urgent tasks that fit on the
+	fleet together must start within 3.9 s.
 	*/
 	test('urgent work starts within 3.9 s', () => {
 		fc.assert(fc.property(
 			fc.array(fc.constantFrom(1, 2, 4, 8, 16), {minLength: 20, maxLength: 60}),
 			fc.array(fc.constantFrom(1, 2, 4, 8, 16), {minLength: 1, maxLength: 4}),
 			(batch, urgent) => {
-				const world = new World();
+				const fleet = new SimulatedFleet();
 				for (const size of batch) {
-					world.submit({
-						type: 'submit', team: 0, size, count: 2, isGang: false, priority: 100, isService: false, runMs: 100_000,
+					fleet.submit({
+						type: 'submit', team: 0, size, count: 2, isGang: false, priority: 100, isLatencyCritical: false, runMs: 100_000,
 					});
 				}
 
-				world.pass(3);
+				fleet.pass(3);
 				for (const size of urgent) {
-					world.submit({
-						type: 'submit', team: 1, size, count: 1, isGang: false, priority: 950, isService: false, runMs: 100_000,
+					fleet.submit({
+						type: 'submit', team: 1, size, count: 1, isGang: false, priority: 950, isLatencyCritical: false, runMs: 100_000,
 					});
 				}
 
-				world.pass(19);
-				expect([...world.waiting.values()].filter(({spec}) => spec.priority === 950)).toEqual([]);
+				fleet.pass(19);
+				expect([...fleet.waiting.values()].filter(({spec}) => spec.priority === 950)).toEqual([]);
 			},
 		), {numRuns: 100, seed: 20_262});
 	});
 
 	/*
-	One team fills the fleet beyond its quota. Another asks for what its quota grants. Borrowed room must come back
-	within the return time and the time to evict, and never more than is asked for.
+	One team fills the fleet beyond its quota, then another submits work within its own. Borrowed capacity must be reclaimed
+	within `quotaReturnMs` plus the time to evict, and never more than the other team needs.
 	*/
 	test('no team keeps more than its quota while another waits within its own', () => {
-		fc.assert(fc.property(fc.constantFrom(1, 2, 4), fc.constantFrom(1, 2, 4), (borrowed, asked) => {
-			const world = new World();
+		fc.assert(fc.property(fc.constantFrom(1, 2, 4), fc.constantFrom(1, 2, 4), (borrowed, requested) => {
+			const fleet = new SimulatedFleet();
 			for (const team of [0, 1]) {
-				world.engine.setQuota(`team-${team}`, {processors: 32, memoryMb: 122_880, accelerators: 0}, 1);
+				fleet.engine.setQuota(`team-${team}`, {processors: 32, memoryMb: 122_880, accelerators: 0}, 1);
 			}
 
 			const submit = (team: number, size: number, count: number) => {
-				world.submit({
-					type: 'submit', team, size, count, isGang: false, priority: 100, isService: false, runMs: 1_000_000,
+				fleet.submit({
+					type: 'submit', team, size, count, isGang: false, priority: 100, isLatencyCritical: false, runMs: 1_000_000,
 				});
 			};
 
 			submit(0, borrowed, 64 / borrowed);
-			world.pass(2);
-			expect(world.waiting.size).toBe(0);
-			submit(1, asked, 64 / asked);
-			world.pass(40);
-			const getHeld = (team: string) => [...world.running.values()].filter(({task}) => task.spec.team === team).reduce((sum, {resources}) => sum + resources.processors, 0);
-			expect([getHeld('team-0'), getHeld('team-1')]).toEqual([32, 32]);
-			const evicted = [...world.waiting.values()].filter(({attempt}) => attempt > 0);
-			world.pass(40);
-			expect([...world.waiting.values()].filter(({attempt}) => attempt > 0)).toEqual(evicted);
+			fleet.pass(2);
+			expect(fleet.waiting.size).toBe(0);
+			submit(1, requested, 64 / requested);
+			fleet.pass(40);
+			const getAllocated = (team: string) => [...fleet.running.values()].filter(({task}) => task.spec.team === team).reduce((sum, {resources}) => sum + resources.processors, 0);
+			expect([getAllocated('team-0'), getAllocated('team-1')]).toEqual([32, 32]);
+			const evicted = [...fleet.waiting.values()].filter(({attempt}) => attempt > 0);
+			fleet.pass(40);
+			expect([...fleet.waiting.values()].filter(({attempt}) => attempt > 0)).toEqual(evicted);
 		}), {numRuns: 9, seed: 20_263});
 	});
 });
--- a/test/placement-tools.ts
+++ b/test/placement-tools.ts
@@ -1,5 +1,5 @@
 /**
-Makes workers, tasks and engines for the tests of placement.
+Creates workers, tasks and engines for the tests of placement.
 */
 import {createSettings} from '../src/core/settings.ts';
 import {type Settings} from '../src/core/settings-schema.ts';
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -5,7 +5,7 @@
 	createEngine, createSpec, createTask, createWorker, enqueueJob, getEvictions, getStarts, getUnplaceable,
 } from './placement-tools.ts';
 
-test('tasks start where they fit and wait where none has room', () => {
+test('tasks start where they fit and wait if they fit nowhere', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('j', {taskCount: 5}));
@@ -16,24 +16,24 @@
 });
 
 /*
-A start's answer is lost: the worker may or may not run the task. Giving its room to another at once would run two
-tasks in the room of one. The room comes back only with the confirmed end.
+The answer to a start is lost: the worker may or may not run the task. If its capacity were released at once, two tasks
+could run in the capacity of one. It is released only when the end is confirmed.
 */
-test('the room of an unanswered start stays taken until its end is confirmed', () => {
+test('the capacity of an unanswered start stays allocated until its end is confirmed', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0));
-	const whole = {processors: 16, memoryMb: 1024, accelerators: 0};
-	enqueueJob(engine, createSpec('a', {resources: whole}));
+	const wholeWorker = {processors: 16, memoryMb: 1024, accelerators: 0};
+	enqueueJob(engine, createSpec('a', {resources: wholeWorker}));
 	engine.decide(0, 10);
 	engine.noteStartRefused('a/0', 'w0');
-	engine.enqueue(createTask(createSpec('a', {resources: whole}), 0, {attempt: 1}));
-	enqueueJob(engine, createSpec('b', {resources: whole}));
+	engine.enqueue(createTask(createSpec('a', {resources: wholeWorker}), 0, {attempt: 1}));
+	enqueueJob(engine, createSpec('b', {resources: wholeWorker}));
 	expect(engine.decide(100, 10)).toEqual([]);
 	engine.noteEnded('a/0', false, 5000);
 	expect(getStarts(engine.decide(5000, 10))).toHaveLength(1);
 });
 
-test('replicas of a service are spread over failure domains, then over racks', () => {
+test('replicas of a latency-critical job are spread over failure domains, then over racks', () => {
 	const engine = createEngine();
 	for (let number = 0; number < 11; number++) {
 		engine.setWorker(createWorker(number));
@@ -46,7 +46,7 @@
 	expect(new Set(hosts.map(({workerId}) => workerId)).size).toBe(6);
 });
 
-test('small tasks leave hosts with accelerators and empty hosts alone', () => {
+test('small tasks avoid hosts with accelerators and empty hosts', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0, {capacity: {processors: 16, memoryMb: 61_440, accelerators: 4}}));
 	engine.setWorker(createWorker(1));
@@ -58,10 +58,10 @@
 });
 
 /*
-Two gangs of three whole workers arrive at a fleet of four. If each took what is free and waited for the rest, both
-would hold two workers for ever. One starts whole, the other waits and starts when the first has ended.
+Two gangs that need three whole workers each arrive at a fleet of four. If each took what is free and waited for the rest,
+both would hold two workers for ever. One gang starts completely; the other starts when the first has ended.
 */
-test('gangs start whole or not at all, and never block each other', () => {
+test('gangs start completely or not at all, and never deadlock', () => {
 	const engine = createEngine();
 	for (let number = 0; number < 4; number++) {
 		engine.setWorker(createWorker(number));
@@ -81,15 +81,15 @@
 });
 
 /*
-A gang needs the whole fleet. Small tasks arrive without end and take each processor as it comes free, so the gang
-would wait for ever. After a wait, room is kept for it and the small tasks queue behind.
+A gang needs the whole fleet. Small tasks keep arriving and take each processor that becomes free, so the gang would wait
+for ever. After `reserveAfterMs`, capacity is reserved for it and the small tasks wait.
 */
 test('a stream of small tasks cannot starve a gang', () => {
 	const engine = createEngine({reserveAfterMs: 5000});
 	engine.setWorker(createWorker(0));
 	engine.setWorker(createWorker(1));
 	const running = new Map<string, number>();
-	let gangAtMs: number | undefined;
+	let gangStartedAtMs: number | undefined;
 	for (let step = 0; step < 120; step++) {
 		const nowMs = step * 500;
 		if (step === 2) {
@@ -107,21 +107,21 @@
 		for (const {taskId} of getStarts(engine.decide(nowMs, 100))) {
 			running.set(taskId, nowMs + 4000 + ((step % 5) * 300));
 			if (taskId.startsWith('gang')) {
-				gangAtMs ??= nowMs;
+				gangStartedAtMs ??= nowMs;
 			}
 		}
 	}
 
-	expect(gangAtMs).toBeLessThan(15_000);
+	expect(gangStartedAtMs).toBeLessThan(15_000);
 });
 
-test('a job that can run nowhere is told at once what is missing, and reconsidered when the fleet changes', () => {
+test('a job that fits nowhere is reported as unplaceable at once with what is missing, and retried when the fleet changes', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('wide', {resources: {processors: 32, memoryMb: 1024, accelerators: 1}}));
 	enqueueJob(engine, createSpec('gang', {isGang: true, taskCount: 8, resources: {processors: 4, memoryMb: 1024, accelerators: 0}}));
-	const told = getUnplaceable(engine.decide(0, 10));
-	expect(told.map(({jobId, missing, isFinal}) => [jobId, missing, isFinal])).toEqual([
+	const unplaceable = getUnplaceable(engine.decide(0, 10));
+	expect(unplaceable.map(({jobId, missing, isFinal}) => [jobId, missing, isFinal])).toEqual([
 		['wide', 'one task needs 32 processors of 16, 1 accelerators of 0 on the largest worker', false],
 		['gang', 'the gang needs room for 8 tasks at once; the whole fleet has room for 4', false],
 	]);
@@ -131,8 +131,8 @@
 });
 
 /*
-The fleet is full of batch work when an urgent check arrives. It has to start within 3.9 s, by evicting the task that
-loses least, and no service.
+The fleet is full of batch work when an urgent task arrives. It has to start within 3.9 s, by evicting the task that loses
+the least work, and no latency-critical task.
 */
 test('urgent work starts on a full fleet by the cheapest sufficient eviction', () => {
 	const engine = createEngine({urgentPatienceMs: 0});
@@ -154,7 +154,7 @@
 	expect(engine.decide(60_500, 100)).toEqual([]);
 });
 
-test('an urgent task whose victim does not end gets room elsewhere', () => {
+test('an urgent task whose victim does not end starts on another worker', () => {
 	const engine = createEngine({urgentClaimMs: 1000, urgentPatienceMs: 0});
 	engine.setWorker(createWorker(0));
 	engine.setWorker(createWorker(1));
@@ -168,7 +168,7 @@
 	expect(getStarts(engine.decide(2300, 100))).toMatchObject([{taskId: 'urgent/0', workerId: second!.workerId}]);
 });
 
-test('after a takeover tasks learned from workers hold their room', () => {
+test('after a takeover, running tasks reported by workers hold their capacity', () => {
 	const engine = createEngine();
 	const spec = createSpec('old', {resources: {processors: 12, memoryMb: 1024, accelerators: 0}});
 	engine.noteRunning(createTask(spec), 'w0', 0);
@@ -177,7 +177,7 @@
 	expect(getStarts(engine.decide(0, 10))).toHaveLength(1);
 });
 
-test('a drained or lost worker gets nothing new, and its room counts until its tasks have ended', () => {
+test('a drained or lost worker gets no new tasks, and its capacity stays allocated until its tasks have ended', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('a'));
@@ -200,7 +200,7 @@
 	expect(getStarts(engine.decide(100, 10))).toHaveLength(4);
 });
 
-test('urgent work takes the room of a task that ends within its patience and evicts nothing', () => {
+test('urgent work takes the capacity of a task that ends within urgentPatienceMs and evicts nothing', () => {
 	const engine = createEngine({urgentPatienceMs: 1000});
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('batch', {taskCount: 5}));
@@ -212,10 +212,10 @@
 });
 
 /*
-Another entry's tasks fill the only large worker for a while. Counting its capacity as what they leave would tell the
-caller that the job can run nowhere, though it only has to wait.
+Tasks of another entry fill the only large worker for a while. If its capacity were counted as what they leave free, the job
+would be reported as unplaceable, though it only has to wait.
 */
-test('what others take of a worker is waited for and not told to be missing', () => {
+test('a job waits for capacity used by others and is not reported as unplaceable', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0, {foreign: {processors: 10, memoryMb: 1024, accelerators: 0}}));
 	enqueueJob(engine, createSpec('wide', {resources: {processors: 12, memoryMb: 1024, accelerators: 0}}));
@@ -229,10 +229,10 @@
 const half = {processors: 8, memoryMb: 1024, accelerators: 0};
 
 /*
-One task of a gang waits and room is kept for it; then the other task fails and waits too. Started in the kept room, the
-first would hold it and wait for the second.
+One task of a gang waits with reserved capacity; then the other task fails and waits too. If the first started alone in the
+reserved capacity, it would hold it and wait for the second.
 */
-test('room kept for a part of a gang is given up when more of the gang comes back', () => {
+test('a reservation for a part of a gang is released when more of the gang returns to the queue', () => {
 	const engine = createEngine({reserveAfterMs: 0});
 	engine.setWorker(createWorker(0));
 	const gang = createSpec('gang', {isGang: true, taskCount: 2, resources: half});
@@ -249,7 +249,7 @@
 	expect(getStarts(engine.decide(3000, 10))).toHaveLength(2);
 });
 
-test('urgent work takes free room that is kept for a large task', () => {
+test('urgent work takes free capacity that is reserved for a large task', () => {
 	const engine = createEngine({reserveAfterMs: 0});
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('filler', {taskCount: 2, resources: half}));
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -13,7 +13,7 @@
 	return getStarts(engine.decide(0, 100)).length;
 };
 
-test('idle quota is lent, and given back after the return time by the cheapest eviction', () => {
+test('unused quota is lent, and reclaimed after quotaReturnMs by the cheapest eviction', () => {
 	const engine = createEngine({quotaReturnMs: 5000});
 	engine.setWorker(createWorker(0));
 	engine.setQuota('a', quota, 1);
@@ -31,10 +31,10 @@
 });
 
 /*
-Team a borrows 4 processors beyond its 8, and b asks for 8 at once. Taking them from a would leave it with 4 of the 8
-that are its own.
+Team a borrows 4 processors beyond its 8, and b asks for 8 at once. Evicting that much of a would leave it with 4 of the 8
+processors of its quota.
 */
-test('nothing is taken back that would leave its holder below the quota', () => {
+test('nothing is reclaimed that would leave the borrower below its own quota', () => {
 	const engine = createEngine({quotaReturnMs: 1000});
 	engine.setWorker(createWorker(0));
 	for (const team of ['a', 'b', 'c']) {
@@ -47,7 +47,7 @@
 	expect(engine.decide(3000, 100)).toEqual([]);
 });
 
-test('demand beyond a quota takes nothing back', () => {
+test('demand beyond a quota reclaims nothing', () => {
 	const engine = createEngine({quotaReturnMs: 1000});
 	engine.setWorker(createWorker(0));
 	engine.setQuota('a', quota, 1);
@@ -57,7 +57,7 @@
 	expect(engine.decide(60_000, 100)).toEqual([]);
 });
 
-test('free room goes to teams within their quotas, then to the smallest dominant share by weight', () => {
+test('free capacity goes to teams within their quotas, then to the smallest weighted dominant share', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0, {capacity: {processors: 32, memoryMb: 122_880, accelerators: 0}}));
 	engine.setQuota('a', quota, 1);
@@ -74,7 +74,7 @@
 	expect(count('c')).toBe(2);
 });
 
-test('evictions for quotas keep to their budget', () => {
+test('evictions for quotas stay within their budget', () => {
 	const engine = createEngine({quotaReturnMs: 1000, evictionsPerMinute: 1});
 	engine.setWorker(createWorker(0));
 	engine.setQuota('a', quota, 1);
@@ -86,8 +86,8 @@
 });
 
 /*
-A job of one team is broken and fails on every worker, on all of which others succeed. It must end with the reason, and
-no worker may be held down for it.
+A broken job fails on every worker, while other jobs succeed on all of them. It must end with the reason, and no worker may
+be held down because of it.
 */
 test('a job that fails everywhere ends with the reason and no worker is blamed', () => {
 	const engine = createEngine({maxTries: 5});
@@ -95,28 +95,28 @@
 		engine.setWorker(createWorker(number));
 	}
 
-	let told: string | undefined;
-	for (let step = 0; step < 40 && told === undefined; step++) {
+	let failure: string | undefined;
+	for (let step = 0; step < 40 && failure === undefined; step++) {
 		const nowMs = step * 1000;
 		enqueueJob(engine, createSpec(`good-${step}`, {taskCount: 4, resources: {processors: 8, memoryMb: 1024, accelerators: 0}}), {queuedAtMs: nowMs});
 		engine.enqueue(createTask(createSpec('broken', {taskCount: 3, priority: 200}), 0, {attempt: step, queuedAtMs: nowMs}));
 		const decisions = engine.decide(nowMs, 100);
-		told = getUnplaceable(decisions).find(({isFinal}) => isFinal)?.missing;
+		failure = getUnplaceable(decisions).find(({isFinal}) => isFinal)?.missing;
 		for (const {taskId} of getStarts(decisions)) {
 			engine.noteEnded(taskId, !taskId.startsWith('broken'), nowMs + 500);
 		}
 	}
 
-	expect(told).toMatch(/^fails everywhere: \d+ failures on [34] workers, no success$/);
+	expect(failure).toMatch(/^fails everywhere: \d+ failures on [34] workers, no success$/);
 	enqueueJob(engine, createSpec('after', {taskCount: 4, resources: {processors: 16, memoryMb: 1024, accelerators: 0}}), {queuedAtMs: 50_000});
 	expect(getStarts(engine.decide(50_000, 100))).toHaveLength(4);
 });
 
 /*
-One worker fails everything at once and is therefore always free: it draws in task after task. It must be held down,
-probed with one task, and come back once a probe succeeds.
+One worker fails every task at once and is therefore always free, so that it attracts task after task. It must be held
+down, probed with one task at a time, and used again once a probe succeeds.
 */
-test('a worker that fails everything is held down, probed and taken back', () => {
+test('a worker that fails every task is held down, probed and used again after a success', () => {
 	const engine = createEngine({holdMs: 10_000});
 	for (let number = 0; number < 4; number++) {
 		engine.setWorker(createWorker(number));
@@ -124,29 +124,29 @@
 
 	const bad = 'w2';
 	const startsOnBad: number[] = [];
-	let isMended = false;
+	let isFixed = false;
 	for (let step = 0; step < 200; step++) {
 		const nowMs = step * 500;
-		isMended = nowMs > 70_000;
+		isFixed = nowMs > 70_000;
 		enqueueJob(engine, createSpec(`j${step}`, {taskCount: 4, resources: {processors: 4, memoryMb: 1024, accelerators: 0}}), {queuedAtMs: nowMs});
 		for (const {taskId, workerId} of getStarts(engine.decide(nowMs, 100))) {
 			if (workerId === bad) {
 				startsOnBad.push(nowMs);
 			}
 
-			engine.noteEnded(taskId, workerId !== bad || isMended, nowMs + 100);
+			engine.noteEnded(taskId, workerId !== bad || isFixed, nowMs + 100);
 		}
 	}
 
 	const count = (fromMs: number, toMs: number) => startsOnBad.filter(ms => ms >= fromMs && ms < toMs).length;
-	// Two jobs of four tasks suffice as evidence; then it gets single probes, further and further apart.
+	// Two jobs of four tasks suffice as evidence; then it gets single probes at increasing intervals.
 	expect(count(0, 20_000)).toBeLessThanOrEqual(8);
 	expect(count(20_000, 70_000)).toBeGreaterThan(0);
 	expect(count(20_000, 70_000)).toBeLessThanOrEqual(3);
 	expect(count(71_000, 100_000)).toBeGreaterThan(4);
 });
 
-test('a common failure of most workers does not hold them all down', () => {
+test('a common failure of most workers does not hold all of them down', () => {
 	const engine = createEngine();
 	for (let number = 0; number < 8; number++) {
 		engine.setWorker(createWorker(number));
@@ -163,7 +163,7 @@
 	expect(getStarts(engine.decide(20_000, 100)).length).toBeGreaterThanOrEqual(6);
 });
 
-test('a quantile follows a stream without keeping it', () => {
+test('a quantile is estimated from a stream without storing it', () => {
 	const random = createRandom(9);
 	const quantile = new RunningQuantile(0.95);
 	for (let count = 0; count < 5000; count++) {
@@ -174,7 +174,7 @@
 	expect(quantile.value).toBeLessThan(1.05);
 });
 
-test('a kind declared too small is given what it uses, one declared too large gives back only when well known', () => {
+test('a kind declared too small gets what it uses; one declared too large gets less only after enough samples', () => {
 	const sizes = new SizeEstimates(true);
 	const spec = createSpec('j');
 	const use = (kindId: number, ratio: number, times: number) => {
@@ -196,9 +196,9 @@
 });
 
 /*
-Two tasks use twice what they declare, so the host is in truth full. Placing by what is declared would run it over.
+Two tasks use twice what they declare, so the host is really full. Placement by declared sizes would overcommit it.
 */
-test('a host that is fuller than declared gets nothing more', () => {
+test('a host that is fuller than declared gets no more tasks', () => {
 	const engine = createEngine();
 	engine.setWorker(createWorker(0));
 	enqueueJob(engine, createSpec('liar', {kind: 'liar', taskCount: 2}));
