--- a/src/jobs/placement-context.ts
+++ b/src/jobs/placement-context.ts
@@ -27,12 +27,12 @@
 	const quotas = new QuotaLedger();
 	const fleet = new Fleet(quotas);
 	const queue = new WaitingQueue(settings.urgentPriority);
-	const model = new HarmModel(settings.harmHalfLifeMs);
-	const harmCost = new HarmCost(model, {weights: settings, getBusyness: () => fleet.busyness});
+	const interferenceModel = new HarmModel(settings.harmHalfLifeMs);
+	const interferenceCost = new HarmCost(interferenceModel, {weights: settings, getBusyness: () => fleet.busyness});
 	const sizes = new SizeEstimates(settings.isShrinkAllowed);
-	const evictions = new EvictionMemory();
+	const evictionHistory = new EvictionMemory();
 	const choose = options.choose ?? createChoice({
-		settings, queue, harmCost, sizes,
+		settings, queue, harmCost: interferenceCost, sizes,
 	});
 	const search = new PlacementSearch({index: fleet.index, random, choose});
 	return {
@@ -41,10 +41,10 @@
 		fleet,
 		queue,
 		quotas,
-		model,
-		harmCost,
+		model: interferenceModel,
+		harmCost: interferenceCost,
 		sizes,
-		evictions,
+		evictions: evictionHistory,
 		reservations: new Reservations({fleet, queue, quotas}),
 		search,
 		headroom: new UrgencyHeadroom({fleet, search, halfLifeMs: settings.headroomHalfLifeMs}),
@@ -52,7 +52,7 @@
 		history: new HarmHistory(),
 		urgentBudget: new EvictionBudget(() => Math.max(settings.evictionsPerMinute, urgentEvictionsPerWorker * fleet.size)),
 		otherBudget: new EvictionBudget(() => settings.evictionsPerMinute),
-		getEvictionCost: createEvictionCost({...settings, getEvictions: taskId => evictions.getCount(taskId)}),
+		getEvictionCost: createEvictionCost({...settings, getEvictions: taskId => evictionHistory.getCount(taskId)}),
 		blocked: new Map(),
 		harmed: new Set(),
 		throttled: new Set(),
