--- a/src/jobs/harm-cost.ts
+++ b/src/jobs/harm-cost.ts
@@ -115,10 +115,10 @@
 		item.idleExcess = this.#model.getIdleEffect(kindId, taskClass, hostKindId, deviations);
 		item.fullExcess = this.#model.getFullEffect(kindId, taskClass, hostKindId, deviations);
 		for (const other of mix) {
-			const amount = other === item ? other.amount - 1 : other.amount;
-			if (amount > 0) {
-				item.idleExcess += amount * this.#model.getIdleEffect(kindId, taskClass, other.kindId, deviations);
-				item.fullExcess += amount * this.#model.getFullEffect(kindId, taskClass, other.kindId, deviations);
+			const shareSum = other === item ? other.amount - 1 : other.amount;
+			if (shareSum > 0) {
+				item.idleExcess += shareSum * this.#model.getIdleEffect(kindId, taskClass, other.kindId, deviations);
+				item.fullExcess += shareSum * this.#model.getFullEffect(kindId, taskClass, other.kindId, deviations);
 			}
 		}
 	}
--- a/src/jobs/placement-evictions.ts
+++ b/src/jobs/placement-evictions.ts
@@ -145,13 +145,13 @@
 	const spared = new Set<TaskEntry>();
 	for (let attempt = 0; attempt < maxPlanAttempts; attempt++) {
 		const plan = findPlan(cycle, entry, victim => !spared.has(victim) && isBorrowed(victim));
-		const excess = plan && cycle.context.quotas.findUnborrowed(plan.victims.map(({job, reserved}) => ({team: job.spec.team, amount: reserved})));
-		if (excess === undefined) {
+		const unborrowed = plan && cycle.context.quotas.findUnborrowed(plan.victims.map(({job, reserved}) => ({team: job.spec.team, amount: reserved})));
+		if (unborrowed === undefined) {
 			return plan;
 		}
 
 		// Evicting the victims before it already brings its team within the quota.
-		spared.add(plan!.victims[excess]!);
+		spared.add(plan!.victims[unborrowed]!);
 	}
 
 	return undefined;
--- a/src/jobs/placement-passes.ts
+++ b/src/jobs/placement-passes.ts
@@ -152,8 +152,8 @@
 	}
 
 	// Within the quota, capacity is first reclaimed from borrowers; a reservation is made only if that takes too long.
-	const canBeReturned = quotas.hasBorrower() && quotas.hasQuotaFor(job.spec.team, job.need);
-	return !canBeReturned || waitedMs >= evictionWaitFactor * Math.max(settings.reserveAfterMs, settings.quotaReturnMs);
+	const canBeReclaimed = quotas.hasBorrower() && quotas.hasQuotaFor(job.spec.team, job.need);
+	return !canBeReclaimed || waitedMs >= evictionWaitFactor * Math.max(settings.reserveAfterMs, settings.quotaReturnMs);
 };
 
 const isLarge = ({need, spec}: JobEntry): boolean => spec.taskCount > 0 && getDominantShare(need, referenceWorker) >= largeShare;
