--- a/src/jobs/harm-response.ts
+++ b/src/jobs/harm-response.ts
@@ -14,7 +14,7 @@
 const minThrottleShare = 0.25;
 // The gain of a step must exceed its cost by this factor.
 const minGainFactor = 1.5;
-// Longest time for which the gain of a move is counted.
+// Longest time for which the gain of an eviction is counted.
 const maxGainPeriodMs = 120_000;
 const maxReactionsPerCycle = 32;
 
--- a/src/jobs/placement-fleet.ts
+++ b/src/jobs/placement-fleet.ts
@@ -73,7 +73,7 @@
 		return size <= count ? this.#list : Array.from({length: count}, () => this.#list[random.below(size)]!);
 	}
 
-	/** Adds or updates the worker. Returns whether anything but `usedByOthers` of a known worker changed. */
+	/** Adds or updates the worker. Returns whether a known worker changed in more than `usedByOthers`, or was added again. */
 	set(spec: PlacementWorker): boolean {
 		const worker = this.#workers.get(spec.workerId);
 		if (!worker) {
--- a/src/jobs/placement-passes.ts
+++ b/src/jobs/placement-passes.ts
@@ -18,7 +18,7 @@
 const maxReservations = 4;
 // Tasks below this share of the reference worker fit as soon as others end, without a reservation.
 const largeShare = 0.5;
-// Waits this many times as long when a quota eviction may free the capacity instead.
+// A job waits this many times as long for a reservation when quota evictions may free the capacity instead.
 const evictionWaitFactor = 3;
 
 /** Starts urgent work, by eviction where no capacity is free. */
--- a/src/jobs/worker-health.ts
+++ b/src/jobs/worker-health.ts
@@ -25,7 +25,7 @@
 	atMs: number;
 };
 
-/** A worker with its state: held down, or probing, that is open for one task that shows whether it has recovered. */
+/** A worker that may be held down, or probing: it then takes one task, which shows whether it has recovered. */
 export type HealthSubject = {
 	spec: {workerId: string};
 	isHeld: boolean;
