--- a/src/jobs/placement-context.ts
+++ b/src/jobs/placement-context.ts
@@ -1,5 +1,5 @@
 /**
-Puts the parts of the placement engine together.
+Creates the parts of the placement engine and connects them.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {HarmCost} from './harm-cost.ts';
@@ -18,21 +18,21 @@
 import {type WorkerEntry} from './placement-state.ts';
 import {WorkerHealth} from './worker-health.ts';
 
-// Urgent work may evict this share of a fleet's workers a minute, or the budget of the settings when that is more.
-const urgentPerWorker = 4;
+// Limit of evictions for urgent work, per worker of the fleet and minute; `evictionsPerMinute` of the settings applies if higher.
+const urgentEvictionsPerWorker = 4;
 
-/** Creates what the engine decides from. */
+/** Creates the parts and the state that the engine decides with. */
 export const createContext = (options: PlacementOptions): PlacementContext => {
 	const {settings, random} = options;
 	const quotas = new QuotaLedger();
 	const fleet = new Fleet(quotas);
 	const queue = new WaitingQueue(settings.urgentPriority);
-	const model = new HarmModel(settings.harmHalfLifeMs);
-	const harmCost = new HarmCost(model, {weights: settings, getBusyness: () => fleet.busyness});
+	const interferenceModel = new HarmModel(settings.harmHalfLifeMs);
+	const interferenceCost = new HarmCost(interferenceModel, {weights: settings, getBusyness: () => fleet.busyness});
 	const sizes = new SizeEstimates(settings.isShrinkAllowed);
-	const evictions = new EvictionMemory();
+	const evictionHistory = new EvictionMemory();
 	const choose = options.choose ?? createChoice({
-		settings, queue, harmCost, sizes,
+		settings, queue, harmCost: interferenceCost, sizes,
 	});
 	const search = new PlacementSearch({index: fleet.index, random, choose});
 	return {
@@ -41,18 +41,18 @@
 		fleet,
 		queue,
 		quotas,
-		model,
-		harmCost,
+		model: interferenceModel,
+		harmCost: interferenceCost,
 		sizes,
-		evictions,
+		evictions: evictionHistory,
 		reservations: new Reservations({fleet, queue, quotas}),
 		search,
 		headroom: new UrgencyHeadroom({fleet, search, halfLifeMs: settings.headroomHalfLifeMs}),
 		health: new WorkerHealth<WorkerEntry>(settings),
 		history: new HarmHistory(),
-		urgentBudget: new EvictionBudget(() => Math.max(settings.evictionsPerMinute, urgentPerWorker * fleet.size)),
+		urgentBudget: new EvictionBudget(() => Math.max(settings.evictionsPerMinute, urgentEvictionsPerWorker * fleet.size)),
 		otherBudget: new EvictionBudget(() => settings.evictionsPerMinute),
-		getEvictionCost: createEvictionCost({...settings, getEvictions: taskId => evictions.getCount(taskId)}),
+		getEvictionCost: createEvictionCost({...settings, getEvictions: taskId => evictionHistory.getCount(taskId)}),
 		blocked: new Map(),
 		harmed: new Set(),
 		throttled: new Set(),
@@ -70,8 +70,8 @@
 			const {kindId, spec} = entry.job;
 			return harmCost.getAdded(worker, entry, sizes.getExpectedProcessors(kindId, entry.reserved, spec.resources));
 		},
-		// A batch task that would do more harm than its own progress is worth is held back. The limit doubles with the
-		// time, so that the task runs in the end wherever it harms least.
+		// A batch task whose interference would cost more than its own progress is worth is deferred. The limit doubles
+		// every `deferMs`, so that in the end the task runs where it interferes least.
 		({job}, nowMs) => {
 			if (job.spec.taskClass !== TaskClass.Batch || queue.isUrgent(job) || settings.deferMs === 0) {
 				return Number.POSITIVE_INFINITY;
