--- a/src/standin/demo.ts
+++ b/src/standin/demo.ts
@@ -1,5 +1,6 @@
 /**
-The whole path in one process: entries, log, workers and upstreams of both users' shapes, over loopback.
+End-to-end demonstration in one process: entries, the stand-in log, and workers and upstreams of both users' sites, connected over
+loopback.
 */
 import {build as createHistogram} from 'hdr-histogram-js';
 import {Agent, request} from 'undici';
@@ -29,14 +30,15 @@
 import {createLogServer} from './log-server.ts';
 import {MemoryLog} from './memory-log.ts';
 
-/** How much to send. */
+/** Number of requests and jobs to send for each user. */
 export type DemoOptions = {
 	requestCount: number;
 	jobCount: number;
 };
 
-/** What the demonstration found. */
+/** Result of the demonstration. */
 export type DemoReport = {
+	/** Whether every promise held, all jobs succeeded and at least one request was answered. */
 	isHeld: boolean;
 	lines: string[];
 };
@@ -48,13 +50,13 @@
 	failureDomains: string[];
 };
 
-type Tally = {
+type RequestStats = {
 	answered: number;
 	refused: Map<string, number>;
 	latencies: Record<RequestClass, ReturnType<typeof createHistogram>>;
 };
 
-type World = {
+type DemoCluster = {
 	clock: Clock;
 	random: Random;
 	entries: RunningKernel[];
@@ -76,25 +78,25 @@
 const entryCount = 3;
 const concurrency = 16;
 const taskResources: Resources = {processors: 2, memoryMb: 1024, accelerators: 0};
-const checkMs = 5;
-const longMs = 60;
-const waitMs = 15_000;
+const checkServiceMs = 5;
+const longServiceMs = 60;
+const maxWaitMs = 15_000;
 const anyAddress = '127.0.0.1:0';
 
-/** Runs the demonstration; the report says whether every promise held in what was sent. */
+/** Runs the demonstration; the report states whether every promise held for the requests and jobs that were sent. */
 export const runDemo = async (options: DemoOptions): Promise<DemoReport> => {
-	const world = await createWorld();
+	const cluster = await createCluster();
 	try {
-		await publishConfig(world);
-		const tallies = await Promise.all(users.map(async user => sendRequests(world, user, options.requestCount)));
-		const jobs = await runJobs(world, options.jobCount);
-		return createReport(world, tallies, jobs);
+		await publishConfig(cluster);
+		const allStats = await Promise.all(users.map(async user => sendRequests(cluster, user, options.requestCount)));
+		const jobs = await runJobs(cluster, options.jobCount);
+		return createReport(cluster, allStats, jobs);
 	} finally {
-		await world.stop();
+		await cluster.stop();
 	}
 };
 
-const createWorld = async (): Promise<World> => {
+const createCluster = async (): Promise<DemoCluster> => {
 	const clock = createSystemClock();
 	const random = createRandom();
 	const logServer = createLogServer(new MemoryLog(clock, random), clock);
@@ -107,7 +109,8 @@
 			entry: {callerAddress: anyAddress, controlAddress: anyAddress, peerAddress: anyAddress},
 			log: {url: `http://${logAddress}`},
 			membership: {announceEveryMs: 300},
-			// Fresh entries wait for a lease of owners that they might not know; here there are none.
+			// A new entry first waits for one lease, as a previous owner that it does not know may be alive. Here there is none, so the
+			// lease is short.
 			ownership: {leaseMs: 2000, renewEveryMs: 400},
 		}),
 	}));
@@ -148,7 +151,7 @@
 		service: user.service,
 		region: user.region,
 		failureDomain: getDomain(user, index),
-		getServiceMs: path => path.includes('/long/') ? longMs : checkMs,
+		getServiceMs: path => path.includes('/long/') ? longServiceMs : checkServiceMs,
 	}));
 
 const createWorkers = (user: User, common: CommonOptions, checker: PromiseChecker) =>
@@ -166,11 +169,11 @@
 
 const getDomain = ({failureDomains}: User, index: number): string => failureDomains[index % failureDomains.length]!;
 
-const publishConfig = async ({clock, random, entries}: World): Promise<void> => {
-	const content = users.map(({service, region}) => `[service ${service}]\nregion = ${region}\n`).join('\n');
-	const {sections} = parseConfigText(content);
+const publishConfig = async ({clock, random, entries}: DemoCluster): Promise<void> => {
+	const configText = users.map(({service, region}) => `[service ${service}]\nregion = ${region}\n`).join('\n');
+	const {sections} = parseConfigText(configText);
 	const result = await publishChanges(getChanges(new ConfigFold(), sections), {
-		log: entries[0]!.get(ServiceName.Log), clock, random, author: 'demo', timeoutMs: waitMs,
+		log: entries[0]!.get(ServiceName.Log), clock, random, author: 'demo', timeoutMs: maxWaitMs,
 	});
 	if (result.verdict !== ConfigVerdict.Accepted) {
 		throw new Error(result.reason);
@@ -181,26 +184,26 @@
 		&& users.every(({service}) => entry.get(ServiceName.Upstreams).getRoutable(service).length === hostsPerUser)));
 };
 
-const sendRequests = async (world: World, user: User, count: number): Promise<Tally> => {
-	const tally: Tally = {
+const sendRequests = async (cluster: DemoCluster, user: User, count: number): Promise<RequestStats> => {
+	const stats: RequestStats = {
 		answered: 0, refused: new Map(), latencies: {[RequestClass.Check]: createHistogram(), [RequestClass.Long]: createHistogram()},
 	};
 	const agent = new Agent({connections: concurrency});
 	let next = 0;
-	const sendInTurn = async () => {
+	const sendNext = async () => {
 		while (next < count) {
 			const index = next++;
-			await sendOne(world, user, index, tally, agent);
+			await sendOneRequest(cluster, user, index, stats, agent);
 		}
 	};
 
-	await Promise.all(Array.from({length: concurrency}, sendInTurn));
+	await Promise.all(Array.from({length: concurrency}, sendNext));
 	await agent.close();
-	return tally;
+	return stats;
 };
 
-const sendOne = async (world: World, user: User, index: number, tally: Tally, agent: Agent): Promise<void> => {
-	const {clock, random, entries, checker} = world;
+const sendOneRequest = async (cluster: DemoCluster, user: User, index: number, stats: RequestStats, agent: Agent): Promise<void> => {
+	const {clock, random, entries, checker} = cluster;
 	const requestClass = index % 5 === 0 ? RequestClass.Long : RequestClass.Check;
 	const entry = entries[index % entries.length]!;
 	const path = `/${user.service}/${requestClass}/${index}`;
@@ -222,7 +225,7 @@
 	const text = await answer.body.text();
 	if (answer.statusCode !== 200) {
 		const reason = String(answer.headers[Header.RefusalReason] ?? answer.statusCode);
-		tally.refused.set(reason, (tally.refused.get(reason) ?? 0) + 1);
+		stats.refused.set(reason, (stats.refused.get(reason) ?? 0) + 1);
 		if (answer.headers[Header.Outcome] === Outcome.NotRun) {
 			checker.noteNotRun(tryId);
 		}
@@ -230,18 +233,18 @@
 		return;
 	}
 
-	tally.answered++;
-	tally.latencies[requestClass].recordValue(Math.round((clock.monotonicMs() - startMs) * 1000));
+	stats.answered++;
+	stats.latencies[requestClass].recordValue(Math.round((clock.monotonicMs() - startMs) * 1000));
 	checker.noteAnswer(tryId, (JSON.parse(text) as {path: string}).path === path);
 };
 
-const runJobs = async ({clock, entries}: World, count: number): Promise<JobStatus[]> => {
+const runJobs = async ({clock, entries}: DemoCluster, count: number): Promise<JobStatus[]> => {
 	const url = `http://${entries[0]!.get(ServiceName.Control).getAddress()}/v1/jobs`;
 	const ids = users.flatMap(({team}) => Array.from({length: count}, (_, index) => ({team, jobId: `${team}-job-${index}`})));
 	await Promise.all(ids.map(async ({team, jobId}) => callJson({
 		method: 'POST',
 		url,
-		timeoutMs: waitMs,
+		timeoutMs: maxWaitMs,
 		step: 'submit job',
 		body: {
 			jobId,
@@ -263,13 +266,13 @@
 };
 
 const waitUntil = async (clock: Clock, isDone: () => boolean): Promise<void> => {
-	const endMs = clock.monotonicMs() + waitMs;
+	const endMs = clock.monotonicMs() + maxWaitMs;
 	while (!isDone() && clock.monotonicMs() < endMs) {
 		await clock.sleep(20);
 	}
 };
 
-const createReport = ({checker, entries}: World, tallies: Tally[], jobs: JobStatus[]): DemoReport => {
+const createReport = ({checker, entries}: DemoCluster, allStats: RequestStats[], jobs: JobStatus[]): DemoReport => {
 	const offsets = entries.map(entry => entry.get(ServiceName.Config).getOffset());
 	for (const entry of entries) {
 		const {processId} = entry.get(ServiceName.Identity);
@@ -278,10 +281,10 @@
 	}
 
 	const succeeded = jobs.filter(({state}) => state === JobState.Succeeded).length;
-	const answered = tallies.reduce((sum, tally) => sum + tally.answered, 0);
+	const answered = allStats.reduce((sum, stats) => sum + stats.answered, 0);
 	const isHeld = checker.isHeld && succeeded === jobs.length && answered > 0;
 	const lines = [
-		...tallies.flatMap((tally, index) => describeTally(users[index]!, tally)),
+		...allStats.flatMap((stats, index) => describeStats(users[index]!, stats)),
 		`jobs: ${succeeded} of ${jobs.length} succeeded`,
 		...formatPromises(checker.getReport()).filter(line => !line.endsWith('not put at risk')),
 		isHeld ? 'Every promise held in what was sent.' : 'A promise was broken.',
@@ -289,7 +292,7 @@
 	return {isHeld, lines};
 };
 
-const describeTally = ({service}: User, {answered, refused, latencies}: Tally): string[] => {
+const describeStats = ({service}: User, {answered, refused, latencies}: RequestStats): string[] => {
 	const refusals = [...refused].map(([reason, count]) => `${reason} ${count}`).join(', ') || 'none';
 	return [
 		`${service}: ${answered} answered; refused: ${refusals}`,
--- a/src/standin/host-events.ts
+++ b/src/standin/host-events.ts
@@ -1,10 +1,11 @@
 /**
-What stand-in hosts tell an observer, as lines of JSON on stdout when they run as processes.
+Events that stand-in hosts report to an observer. Hosts that run as processes write them to stdout as lines of JSON.
 */
 
 /** Kinds of events. */
 export enum HostEventType {
 	Listening = 'listening',
+	/** An upstream started to run a request. */
 	Ran = 'ran',
 	Leaving = 'leaving',
 	TaskStarted = 'task-started',
@@ -17,13 +18,14 @@
 	hostId: string;
 	atMs: number;
 	address?: string;
+	/** Id of the attempt of a request, for `Ran`. */
 	tryId?: string;
 	taskId?: string;
 	attempt?: number;
 };
 
-/** Takes events. */
+/** Receives events. */
 export type HostObserver = (event: HostEvent) => void;
 
-/** Header by which an observer recognises one try of a request. */
+/** Header with the id of one attempt of a request; the events of an upstream refer to it. */
 export const tryHeader = 'try-id';
--- a/src/standin/hosts.ts
+++ b/src/standin/hosts.ts
@@ -1,5 +1,5 @@
 /**
-Stand-in hosts: an upstream or a worker, served and announced.
+Stand-in hosts: upstreams and workers that serve calls and announce themselves to entries.
 */
 import {type Clock} from '../types/clock.ts';
 import {type Resources} from '../types/platform.ts';
@@ -12,17 +12,17 @@
 
 /** A host that can be started and stopped. */
 export type StandinHost = {
-	/** Resolves to the address bound. */
+	/** Starts to serve and to announce; resolves to the bound address. */
 	start(): Promise<string>;
 	stop(): Promise<void>;
 };
 
-type Served = {
+type HostServer = {
 	listen(address: string): Promise<string>;
 	close(): Promise<void>;
 };
 
-/** What all stand-in hosts need. */
+/** Options that upstreams and workers share. */
 export type HostOptions = {
 	id: string;
 	address: string;
@@ -32,13 +32,13 @@
 	clock: Clock;
 	random: Random;
 	observe?: HostObserver;
-	/** How long it goes on serving after it said that it leaves. */
+	/** How long it continues to serve after it has announced that it leaves. */
 	lingerMs?: number;
 };
 
-/** Shape of an upstream of both users. */
+/** Capacity of an upstream, the same at both users' sites. */
 export const upstreamShape = {slots: 8, connections: 64};
-/** Shape of a worker of both users. */
+/** Capacity of a worker, the same at both users' sites. */
 export const workerShape: Resources = {processors: 16, memoryMb: 61_440, accelerators: 0};
 
 const defaultRunTimeMs = 50;
@@ -69,7 +69,7 @@
 		incarnation,
 		capacity: workerShape,
 		clock,
-		getBehaviour: getDeclaredBehaviour,
+		getBehaviour: getBehaviourFromInput,
 		onRunning(taskId, attempt, isRunning) {
 			observe({type: isRunning ? HostEventType.TaskStarted : HostEventType.TaskEnded, taskId, attempt});
 		},
@@ -79,8 +79,8 @@
 	});
 };
 
-/** Serves, announces and, when it stops, drains a host. */
-const createHost = (options: HostOptions, server: Served, path: AnnouncerOptions['path'], body: Record<string, unknown>): StandinHost => {
+/** Creates a host from its server: announces it while it runs, and drains it before the server closes. */
+const createHost = (options: HostOptions, server: HostServer, path: AnnouncerOptions['path'], body: Record<string, unknown>): StandinHost => {
 	const {clock, random, entryAddresses, lingerMs = 0} = options;
 	const observe = createObserve(options);
 	let announcer: Announcer | undefined;
@@ -107,8 +107,8 @@
 	observe?.({...event, hostId: id, atMs: clock.now().getTime()});
 };
 
-/** A task runs as long as its input says, and gives its input back. */
-const getDeclaredBehaviour = ({input}: {input?: unknown}) => {
+/** The task's input states its run time and whether it fails; the result is the input. */
+const getBehaviourFromInput = ({input}: {input?: unknown}) => {
 	const {runTimeMs = defaultRunTimeMs, isFailing = false} = (input ?? {}) as {runTimeMs?: number; isFailing?: boolean};
 	return {runTimeMs, isFailing, result: input};
 };
--- a/src/standin/log-server.ts
+++ b/src/standin/log-server.ts
@@ -17,7 +17,7 @@
 	failChance: z.number().min(0).max(1),
 }).partial());
 
-/** Creates a server of the log; the caller binds and closes it. */
+/** Creates a server for the log; the code that creates it also binds and closes it. */
 export const createLogServer = (log: MemoryLog, clock: Clock): JsonServer => {
 	const server = createJsonServer(clock);
 	server.route('POST', '/streams/:stream/records', async ({params, body}) => {
--- a/src/standin/memory-log.ts
+++ b/src/standin/memory-log.ts
@@ -1,5 +1,5 @@
 /**
-Stand-in for the platform's log, in memory, with the failures that the real one has.
+In-memory stand-in for the platform's log, with fault injection.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -8,14 +8,14 @@
 } from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
 
-/** Failures to act out. */
+/** Faults to inject. */
 export type LogFaults = {
 	isDown: boolean;
-	/** Delay of every answer. */
+	/** Time by which every append and read is delayed before it is executed. */
 	delayMs: number;
-	/** Chance that an append takes effect and its answer is lost. */
+	/** Probability that an append takes effect but its response is lost. */
 	loseAnswerChance: number;
-	/** Chance that an append fails without effect. */
+	/** Probability that an append fails without effect. */
 	failChance: number;
 };
 
@@ -30,7 +30,7 @@
 };
 const defaultLimit = 1000;
 
-/** An append-only log in memory. */
+/** An in-memory append-only log. */
 export class MemoryLog implements PlatformLog {
 	faults: LogFaults = {...noFaults};
 	appends = 0;
@@ -46,39 +46,39 @@
 	}
 
 	async append(stream: Stream, value: unknown): Promise<number> {
-		await this.#answerLate();
-		this.#failWhen(this.faults.isDown || this.#random.next() < this.faults.failChance, 'append');
+		await this.#delayCall();
+		this.#throwIf(this.faults.isDown || this.#random.next() < this.faults.failChance, 'append');
 		const state = this.#getStream(stream);
 		const offset = state.endOffset++;
-		// Copied: what is appended must not change when the caller changes its object.
+		// Copied, so that later changes to the caller's object do not change the record.
 		state.records.push({offset, value: structuredClone(value), appendedAtMs: this.#clock.monotonicMs()});
 		this.appends++;
 		for (const wake of state.waiters) {
 			wake();
 		}
 
-		this.#failWhen(this.#random.next() < this.faults.loseAnswerChance, 'append (answer lost)');
+		this.#throwIf(this.#random.next() < this.faults.loseAnswerChance, 'append (response lost)');
 		return offset;
 	}
 
 	async read(stream: Stream, fromOffset: number, options: ReadOptions = {}): Promise<LogPage> {
 		const {limit = defaultLimit, waitMs = 0, signal} = options;
-		await this.#answerLate();
-		this.#failWhen(this.faults.isDown, 'read');
+		await this.#delayCall();
+		this.#throwIf(this.faults.isDown, 'read');
 		const state = this.#getStream(stream);
 		if (fromOffset >= state.endOffset && waitMs > 0) {
 			await this.#waitForRecord(state, waitMs, signal);
-			this.#failWhen(this.faults.isDown, 'read');
+			this.#throwIf(this.faults.isDown, 'read');
 		}
 
-		this.#dropOld(state);
+		this.#dropExpired(state);
 		const oldestOffset = state.records[0]?.offset ?? state.endOffset;
 		const start = Math.max(0, fromOffset - oldestOffset);
 		const records = state.records.slice(start, start + limit).map(({offset, value}) => ({offset, value: structuredClone(value)}));
 		return {records, oldestOffset, endOffset: state.endOffset};
 	}
 
-	/** Drops the records before the offset, as retention would. */
+	/** Drops the records before the offset, as the log's retention does. */
 	truncate(stream: Stream, oldestOffset: number): void {
 		const state = this.#getStream(stream);
 		state.records = state.records.filter(({offset}) => offset >= oldestOffset);
@@ -97,19 +97,19 @@
 		signal?.removeEventListener('abort', wake);
 	}
 
-	async #answerLate(): Promise<void> {
+	async #delayCall(): Promise<void> {
 		if (this.faults.delayMs > 0) {
 			await this.#clock.sleep(this.faults.delayMs);
 		}
 	}
 
-	#failWhen(isFailing: boolean, step: string): void {
-		if (isFailing) {
+	#throwIf(condition: boolean, step: string): void {
+		if (condition) {
 			throw createError(ErrorCode.LogUnavailable, {step, peer: 'memory log'});
 		}
 	}
 
-	#dropOld(state: StreamState): void {
+	#dropExpired(state: StreamState): void {
 		const oldestMs = this.#clock.monotonicMs() - this.#retentionMs;
 		let count = 0;
 		while (count < state.records.length && state.records[count]!.appendedAtMs < oldestMs) {
--- a/src/standin/memory-store.ts
+++ b/src/standin/memory-store.ts
@@ -1,6 +1,6 @@
 /**
-A stand-in for the platform's store in memory: partitions with conditional appends and producers, keyed topics, groups,
-retention, and the ways in which it fails.
+In-memory stand-in for the platform's store: partitions with conditional appends and fenced producers, keyed topics, consumer
+groups, retention and fault injection.
 */
 import {Buffer} from 'node:buffer';
 import {createError, ErrorCode} from '../core/errors.ts';
@@ -9,23 +9,23 @@
 	AppendOutcome, type AppendOptions, type AppendResult, type GroupMember, type GroupShare, type KeyedRecord, type KeyedWrite, type PartitionRef, type ReadOptions, type StoreClient, type StorePage,
 } from '../types/store.ts';
 
-/** How the store treats a call. */
+/** Faults to inject into a call. */
 export enum StoreFault {
 	None = 'none',
-	/** Nothing is done, and that is said. */
+	/** The call has no effect and fails with an error response. */
 	Refuse = 'refuse',
-	/** Nothing is done, and nothing is said. */
+	/** The request is lost: the call has no effect and gets no response. */
 	Silence = 'silence',
-	/** It is done, and nothing is said. */
+	/** The call takes effect, but its response is lost. */
 	LoseAnswer = 'lose-answer',
-	/** Nothing is said; it is done some time later. */
+	/** The call gets no response and takes effect some time later. */
 	DoLate = 'do-late',
 }
 
-/** A call as fault policies see it. */
+/** What a fault policy knows of a call. */
 export type StoreCall = {kind: 'append' | 'read' | 'join'; ref?: PartitionRef; client: string};
 
-/** Decides how a call of a client is treated. */
+/** Selects the fault of a call. */
 export type FaultPolicy = (call: StoreCall) => StoreFault;
 
 type ProducerState = {epoch: number; sequence: number; results: Map<number, AppendResult>};
@@ -35,7 +35,7 @@
 	oldest: number;
 	producers: Map<string, ProducerState>;
 	waiters: Set<() => void>;
-	newest: Map<string, KeyedRecord>;
+	newestByKey: Map<string, KeyedRecord>;
 };
 
 type Group = {
@@ -49,19 +49,19 @@
 	return value === undefined ? {key} : {key, value: Buffer.from(value, 'base64')};
 };
 
-const answerMs = 4;
-const rememberedResults = 5;
-const lateMs = 3000;
-const silenceMs = 900;
-/** Readers wait so long for an answer, beyond the wait that they asked for. */
+const responseMs = 4;
+const retainedResults = 5;
+const lateExecutionMs = 3000;
+const lostRequestMs = 900;
+/** Time after the requested wait at which a reader's call times out. */
 const readSlackMs = 700;
 const defaultPartitions = 8;
 
-/** The store. */
+/** The store, with faults and delays that tests set. */
 export class MemoryStore {
-	/** Longer answers do not arrive before the reader gives up: its link is slow. */
+	/** Reads with a larger response time out, as on a slow link. */
 	maxAnswerBytes = Number.POSITIVE_INFINITY;
-	/** What the readers' links carry; an answer that takes longer than a reader waits never arrives. */
+	/** Bandwidth of the readers' links; a response whose transfer takes longer than `readSlackMs` never arrives. */
 	bytesPerMs = Number.POSITIVE_INFINITY;
 	/** Number of calls by kind, for measurements. */
 	readonly calls = {append: 0, read: 0, join: 0};
@@ -75,13 +75,13 @@
 		this.#partitionCount = partitionCount;
 	}
 
-	/** How calls are treated; changed by tests as they go. */
+	/** Fault policy; tests change it while they run. */
 	fault: FaultPolicy = () => StoreFault.None;
 
-	/** How much longer than usual a call takes to arrive: its sender is busy, or its link is slow. */
+	/** Extra time that a call takes to arrive, as with a busy sender or a slow link. */
 	getDelayMs: (call: StoreCall) => number = () => 0;
 
-	/** A client with a name, which fault policies can tell apart. */
+	/** Creates a client; fault policies receive its name. */
 	createClient(client: string): StoreClient {
 		return {
 			append: async (ref, values, options) => this.#append(client, ref, values, options),
@@ -92,31 +92,31 @@
 				return {records: records.map(({offset, value}) => ({...decodeKeyed(value), offset})), endOffset};
 			},
 			newest: async ref => {
-				await this.#answer(client, 'read', ref);
-				const partition = this.#get(ref);
-				return {records: [...partition.newest.values()], endOffset: partition.oldest + partition.records.length};
+				await this.#simulateCall(client, 'read', ref);
+				const partition = this.#getPartition(ref);
+				return {records: [...partition.newestByKey.values()], endOffset: partition.oldest + partition.records.length};
 			},
 			join: async member => this.#join(client, member),
 			getOwners: async group => {
-				await this.#answer(client, 'read');
+				await this.#simulateCall(client, 'read');
 				return [...new Set(this.#groups.get(group)?.owners.values())];
 			},
 			leave: async (group, member) => {
-				await this.#answer(client, 'join');
+				await this.#simulateCall(client, 'join');
 				const state = this.#groups.get(group);
 				if (state?.members.delete(member)) {
-					this.#deal(state);
+					this.#assignPartitions(state);
 				}
 			},
 		};
 	}
 
-	/** Appends as an operator does: no producer, no fault. */
+	/** Appends a keyed record as an operator does, without a producer stamp or faults. */
 	put(ref: PartitionRef, key: string, value: Buffer): void {
-		this.#store(this.#get(ref), [{key, value}]);
+		this.#appendRecords(this.#getPartition(ref), [{key, value}]);
 	}
 
-	/** Deals all partitions of a group anew, without any request. */
+	/** Moves each partition of a group to the next member, without a call from any member. */
 	rebalance(group: string): void {
 		const state = this.#groups.get(group);
 		if (state) {
@@ -130,18 +130,18 @@
 
 	/** Drops the records of a partition before the offset. */
 	trim(ref: PartitionRef, before: number): void {
-		const partition = this.#get(ref);
+		const partition = this.#getPartition(ref);
 		const count = Math.max(0, Math.min(partition.records.length, before - partition.oldest));
 		partition.records.splice(0, count);
 		partition.oldest += count;
 	}
 
-	#get({topic, partition}: PartitionRef): Partition {
+	#getPartition({topic, partition}: PartitionRef): Partition {
 		const key = `${topic}/${partition}`;
 		let found = this.#partitions.get(key);
 		if (!found) {
 			found = {
-				records: [], oldest: 0, producers: new Map(), waiters: new Set(), newest: new Map(),
+				records: [], oldest: 0, producers: new Map(), waiters: new Set(), newestByKey: new Map(),
 			};
 			this.#partitions.set(key, found);
 		}
@@ -149,8 +149,8 @@
 		return found;
 	}
 
-	/** Waits as long as an answer takes, or fails as the fault says; gives what else is to be done. */
-	async #answer(client: string, kind: 'append' | 'read' | 'join', ref?: PartitionRef): Promise<StoreFault> {
+	/** Simulates the time that a call takes and throws if its fault says so; returns the fault for the operation to handle. */
+	async #simulateCall(client: string, kind: 'append' | 'read' | 'join', ref?: PartitionRef): Promise<StoreFault> {
 		this.calls[kind]++;
 		const fault = this.fault({kind, ref, client});
 		const delayMs = this.getDelayMs({kind, ref, client});
@@ -159,37 +159,37 @@
 		}
 
 		if (fault === StoreFault.Refuse) {
-			await this.#clock.sleep(answerMs);
+			await this.#clock.sleep(responseMs);
 			throw createError(ErrorCode.StoreRefused, {step: `${kind} at stand-in`});
 		}
 
 		if (fault === StoreFault.Silence) {
-			await this.#clock.sleep(silenceMs);
+			await this.#clock.sleep(lostRequestMs);
 			throw createError(ErrorCode.StoreUnanswered, {step: `${kind} at stand-in`});
 		}
 
-		await this.#clock.sleep(answerMs);
+		await this.#clock.sleep(responseMs);
 		return fault;
 	}
 
 	async #append(client: string, ref: PartitionRef, values: Array<Buffer | KeyedWrite>, options: AppendOptions): Promise<AppendResult> {
-		const fault = await this.#answer(client, 'append', ref);
+		const fault = await this.#simulateCall(client, 'append', ref);
 		if (fault === StoreFault.DoLate) {
 			this.#clock.setTimer(() => {
-				this.#tryAppend(this.#get(ref), values, options);
-			}, lateMs);
+				this.#tryAppend(this.#getPartition(ref), values, options);
+			}, lateExecutionMs);
 		}
 
 		if (fault !== StoreFault.None) {
 			if (fault === StoreFault.LoseAnswer) {
-				this.#tryAppend(this.#get(ref), values, options);
+				this.#tryAppend(this.#getPartition(ref), values, options);
 			}
 
 			await this.#clock.sleep(options.timeoutMs);
 			throw createError(ErrorCode.StoreUnanswered, {step: 'append at stand-in'});
 		}
 
-		return this.#tryAppend(this.#get(ref), values, options);
+		return this.#tryAppend(this.#getPartition(ref), values, options);
 	}
 
 	#tryAppend(partition: Partition, values: Array<Buffer | KeyedWrite>, {stamp, atOffset}: AppendOptions): AppendResult {
@@ -199,7 +199,7 @@
 		}
 
 		if (!stamp) {
-			return this.#store(partition, values);
+			return this.#appendRecords(partition, values);
 		}
 
 		const known = partition.producers.get(stamp.producer);
@@ -219,15 +219,15 @@
 			}
 		}
 
-		const result = this.#store(partition, values);
+		const result = this.#appendRecords(partition, values);
 		const results = known?.epoch === stamp.epoch ? known.results : new Map<number, AppendResult>();
 		results.set(stamp.sequence, result);
-		results.delete(stamp.sequence - rememberedResults);
+		results.delete(stamp.sequence - retainedResults);
 		partition.producers.set(stamp.producer, {epoch: stamp.epoch, sequence: stamp.sequence, results});
 		return result;
 	}
 
-	#store(partition: Partition, values: Array<Buffer | KeyedWrite>): AppendResult {
+	#appendRecords(partition: Partition, values: Array<Buffer | KeyedWrite>): AppendResult {
 		const offset = partition.oldest + partition.records.length;
 		for (const value of values) {
 			if (Buffer.isBuffer(value)) {
@@ -238,9 +238,9 @@
 			const recordOffset = partition.oldest + partition.records.length;
 			partition.records.push(Buffer.from(JSON.stringify({key: value.key, value: value.value?.toString('base64')})));
 			if (value.value) {
-				partition.newest.set(value.key, {key: value.key, value: value.value, offset: recordOffset});
+				partition.newestByKey.set(value.key, {key: value.key, value: value.value, offset: recordOffset});
 			} else {
-				partition.newest.delete(value.key);
+				partition.newestByKey.delete(value.key);
 			}
 		}
 
@@ -252,8 +252,8 @@
 	}
 
 	async #read(client: string, ref: PartitionRef, fromOffset: number, {waitMs, maxBytes = Number.POSITIVE_INFINITY, signal}: ReadOptions): Promise<StorePage> {
-		await this.#answer(client, 'read', ref);
-		const partition = this.#get(ref);
+		await this.#simulateCall(client, 'read', ref);
+		const partition = this.#getPartition(ref);
 		if (fromOffset < partition.oldest) {
 			throw createError(ErrorCode.OffsetGone, {step: 'read at stand-in', detail: String(partition.oldest)});
 		}
@@ -272,18 +272,18 @@
 		}
 
 		if (signal?.aborted) {
-			throw createError(ErrorCode.StoreUnanswered, {step: 'read at stand-in', detail: 'given up'});
+			throw createError(ErrorCode.StoreUnanswered, {step: 'read at stand-in', detail: 'aborted by the reader'});
 		}
 
-		const values = takeBytes(partition.records.slice(fromOffset - partition.oldest), maxBytes);
+		const values = limitBytes(partition.records.slice(fromOffset - partition.oldest), maxBytes);
 		if (sumBytes(values) > this.maxAnswerBytes) {
-			throw createError(ErrorCode.StoreUnanswered, {step: 'read at stand-in', detail: 'too slow'});
+			throw createError(ErrorCode.StoreUnanswered, {step: 'read at stand-in', detail: 'response larger than maxAnswerBytes'});
 		}
 
 		const transferMs = sumBytes(values) / this.bytesPerMs;
 		await this.#clock.sleep(Math.min(transferMs, readSlackMs));
 		if (transferMs > readSlackMs) {
-			throw createError(ErrorCode.StoreUnanswered, {step: 'read at stand-in', detail: 'too slow'});
+			throw createError(ErrorCode.StoreUnanswered, {step: 'read at stand-in', detail: 'transfer slower than the read timeout'});
 		}
 
 		return {
@@ -294,18 +294,18 @@
 	}
 
 	async #join(client: string, {group, member, topics, ttlMs, generation}: GroupMember): Promise<GroupShare> {
-		await this.#answer(client, 'join');
+		await this.#simulateCall(client, 'join');
 		let state = this.#groups.get(group);
 		if (!state) {
 			state = {generation: 0, members: new Map(), owners: new Map()};
 			this.#groups.set(group, state);
 		}
 
-		this.#expire(state);
+		this.#removeExpired(state);
 		const isNew = !state.members.has(member);
 		state.members.set(member, {lastSeenMs: this.#clock.monotonicMs(), ttlMs, seenGeneration: generation});
 		if (isNew) {
-			this.#deal(state);
+			this.#assignPartitions(state);
 		}
 
 		return {
@@ -314,28 +314,28 @@
 		};
 	}
 
-	/** Also the member that joins may have been silent for too long: its partitions went to others before it came back. */
-	#expire(state: Group): void {
+	/** Removes members that have not called within their time to live; this includes a member that joins again too late. */
+	#removeExpired(state: Group): void {
 		const nowMs = this.#clock.monotonicMs();
-		const silent = [...state.members].filter(([, {lastSeenMs, ttlMs}]) => nowMs - lastSeenMs > ttlMs);
-		for (const [name] of silent) {
+		const expired = [...state.members].filter(([, {lastSeenMs, ttlMs}]) => nowMs - lastSeenMs > ttlMs);
+		for (const [name] of expired) {
 			state.members.delete(name);
 		}
 
-		if (silent.length > 0) {
-			this.#deal(state);
+		if (expired.length > 0) {
+			this.#assignPartitions(state);
 		}
 	}
 
-	/** Partitions stay where they are as far as the shares stay even. */
-	#deal(state: Group): void {
+	/** Assigns the partitions evenly; a partition stays with its member unless that member has left or would have too many. */
+	#assignPartitions(state: Group): void {
 		state.generation++;
 		const names = [...state.members.keys()];
-		const most = Math.ceil(this.#partitionCount / Math.max(1, names.length));
+		const maxPerMember = Math.ceil(this.#partitionCount / Math.max(1, names.length));
 		const counts = new Map(names.map(name => [name, 0]));
 		for (const [partition, owner] of state.owners) {
 			const count = counts.get(owner);
-			if (count === undefined || count >= most) {
+			if (count === undefined || count >= maxPerMember) {
 				state.owners.delete(partition);
 			} else {
 				counts.set(owner, count + 1);
@@ -361,8 +361,8 @@
 	return sum;
 };
 
-/** As many values as fit, and one at the least. */
-const takeBytes = (values: Buffer[], maxBytes: number): Buffer[] => {
+/** Returns the leading values that fit into the limit, at least one. */
+const limitBytes = (values: Buffer[], maxBytes: number): Buffer[] => {
 	let sum = 0;
 	const end = values.findIndex(({length}, index) => {
 		sum += length;
--- a/src/standin/memory-worker.ts
+++ b/src/standin/memory-worker.ts
@@ -1,5 +1,5 @@
 /**
-Stand-in for a worker of the platform: runs tasks as timers, under leases, within its capacity.
+Stand-in for a worker of the platform: simulates tasks with timers, under leases and within its capacity, with fault injection.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type Clock, type Timer} from '../types/clock.ts';
@@ -9,31 +9,32 @@
 	type WorkerSnapshot,
 } from '../types/platform.ts';
 
-/** How a task behaves once started. */
+/** Simulated behaviour of a task. */
 export type TaskBehaviour = {
 	runTimeMs: number;
 	isFailing?: boolean;
 	result?: unknown;
 };
 
-/** Failures to act out. */
+/** Faults to inject. */
 export type WorkerFaults = {
-	/** Nothing reaches the worker; its tasks run on until their leases lapse. */
+	/** No call reaches the worker; its tasks continue to run until their leases expire. */
 	isCut: boolean;
-	/** Calls hang until the pause ends, then take effect; leases lapse when it ends. */
+	/** Calls hang until the pause ends, and then take effect. */
 	isPaused: boolean;
-	/** Chance that a call takes effect and its answer is lost. */
+	/** Probability that a call takes effect but its response is lost. */
 	loseAnswerChance: number;
-	/** Every task started fails at once. */
+	/** Every task fails as soon as it starts. */
 	isFailingAll: boolean;
-	/** Tasks are stopped without a checkpoint, even when one is asked for. */
+	/** Tasks are stopped without a checkpoint, even if one is requested. */
 	isCheckpointFailing: boolean;
-	/** Usage is measured so long before it is reported. */
+	/** Time between the measurement of usage and its report. */
 	usageLagMs: number;
 	/** Usage is not reported. */
 	isUsageMissing: boolean;
+	/** Network delay of a call in each direction. */
 	delayMs: number;
-	/** Up to so much more delay on the way there and on the way back: answers come out of order. */
+	/** Greatest random delay in addition, in each direction; it reorders responses. */
 	jitterMs: number;
 };
 
@@ -51,24 +52,24 @@
 	incarnation: number;
 	capacity: Resources;
 	clock: Clock;
-	/** Needed for faults of chance. */
+	/** Needed for the random faults. */
 	random?: Random;
-	/** Decides how long a task runs and how it ends. */
+	/** Returns how long a task runs and how it ends. */
 	getBehaviour(order: StartOrder): TaskBehaviour;
-	/** Told of each task that begins and ends to run, for tests that watch where tasks run. */
+	/** Called when a task starts and when it ends, for tests that check where tasks run. */
 	onRunning?(taskId: string, attempt: number, isRunning: boolean): void;
-	/** Measured use of a running task. */
+	/** Returns the measured usage of a running task. */
 	getUsage?(order: StartOrder, measuredAtMs: number): TaskUsage;
 };
 
-/** A worker that does all that it is asked. */
+/** No faults. */
 export const noWorkerFaults: Readonly<WorkerFaults> = {
 	isCut: false, isPaused: false, loseAnswerChance: 0, isFailingAll: false, isCheckpointFailing: false, usageLagMs: 0, isUsageMissing: false, delayMs: 0, jitterMs: 0,
 };
 
 const pausePollMs = 20;
 
-/** A worker in memory. */
+/** An in-memory worker. */
 export class MemoryWorker implements WorkerClient {
 	faults: WorkerFaults = {...noWorkerFaults};
 	readonly #tasks = new Map<string, RunningTask>();
@@ -82,12 +83,12 @@
 		this.#incarnation = options.incarnation;
 	}
 
-	/** Grows with each restart. */
+	/** Increases with each restart. */
 	get incarnation(): number {
 		return this.#incarnation;
 	}
 
-	/** Resources of the tasks that run. */
+	/** Resources reserved by running tasks. */
 	get used(): Resources {
 		const used = {processors: 0, memoryMb: 0, accelerators: 0};
 		for (const {report} of this.#tasks.values()) {
@@ -101,7 +102,7 @@
 		return used;
 	}
 
-	/** Restarts under the same address: its tasks, tokens and memory of attempts are gone. */
+	/** Restarts under the same address and loses its tasks, fencing tokens and known attempts. */
 	restart(): void {
 		for (const task of this.#tasks.values()) {
 			this.#end(task, TaskState.Stopped);
@@ -114,15 +115,15 @@
 	}
 
 	async start(order: StartOrder): Promise<WorkerReply> {
-		return this.#serve(() => this.#start(order));
+		return this.#handleCall(() => this.#start(order));
 	}
 
 	async renew(refs: TaskRef[], leaseMs: number): Promise<WorkerReply[]> {
-		return this.#serve(() => refs.map(ref => this.#renew(ref, leaseMs)));
+		return this.#handleCall(() => refs.map(ref => this.#renew(ref, leaseMs)));
 	}
 
 	async stop(ref: TaskRef, options: {isCheckpoint: boolean}): Promise<WorkerReply> {
-		return this.#serve(() => {
+		return this.#handleCall(() => {
 			const found = this.#find(ref);
 			if ('refusal' in found) {
 				return found;
@@ -139,14 +140,14 @@
 	}
 
 	async throttle(ref: TaskRef, _share: number): Promise<WorkerReply> {
-		return this.#serve(() => {
+		return this.#handleCall(() => {
 			const found = this.#find(ref);
 			return 'refusal' in found ? found : {isAccepted: true, state: found.task.report.state};
 		});
 	}
 
 	async forget(refs: TaskRef[]): Promise<void> {
-		return this.#serve(() => {
+		return this.#handleCall(() => {
 			for (const ref of refs) {
 				const found = this.#find(ref);
 				if ('task' in found && found.task.report.state !== TaskState.Running) {
@@ -157,27 +158,27 @@
 	}
 
 	async seal(shard: number, fencingToken: number): Promise<WorkerSnapshot> {
-		return this.#serve(() => {
+		return this.#handleCall(() => {
 			this.#tokens.set(shard, Math.max(fencingToken, this.#tokens.get(shard) ?? -1));
 			return this.#list();
 		});
 	}
 
 	async list(): Promise<WorkerSnapshot> {
-		return this.#serve(() => this.#list());
+		return this.#handleCall(() => this.#list());
 	}
 
-	/** Carries a call through the faults of the way to the worker and back. */
-	async #serve<Reply>(handle: () => Reply): Promise<Reply> {
+	/** Executes a call with the injected faults on the way to the worker and back. */
+	async #handleCall<Reply>(handle: () => Reply): Promise<Reply> {
 		const {clock, workerId, random} = this.#options;
-		const travel = async () => {
+		const simulateNetwork = async () => {
 			const {delayMs, jitterMs} = this.faults;
 			if (delayMs + jitterMs > 0) {
 				await clock.sleep(delayMs + (jitterMs * (random?.next() ?? 0)));
 			}
 		};
 
-		await travel();
+		await simulateNetwork();
 
 		while (this.faults.isPaused) {
 			await clock.sleep(pausePollMs);
@@ -188,9 +189,9 @@
 		}
 
 		const reply = handle();
-		await travel();
+		await simulateNetwork();
 		if (this.faults.loseAnswerChance > 0 && (random?.next() ?? 0) < this.faults.loseAnswerChance) {
-			throw createError(ErrorCode.PeerUnavailable, {step: 'call worker (answer lost)', peer: workerId});
+			throw createError(ErrorCode.PeerUnavailable, {step: 'call worker (response lost)', peer: workerId});
 		}
 
 		return reply;
@@ -203,7 +204,7 @@
 
 		const known = this.#tasks.get(order.taskId);
 		if (known?.report.attempt === order.attempt) {
-			// The answer to the first order was lost: the same order again starts nothing.
+			// The response to the first order was lost; a repeated order must not start the task again.
 			return {isAccepted: true, state: known.report.state};
 		}
 
@@ -211,12 +212,12 @@
 			return {isAccepted: false, refusal: WorkerRefusal.Expired};
 		}
 
-		const isLate = order.attempt <= (this.#attempts.get(order.taskId) ?? -1);
-		if (isLate || known?.report.state === TaskState.Running) {
+		const isOldAttempt = order.attempt <= (this.#attempts.get(order.taskId) ?? -1);
+		if (isOldAttempt || known?.report.state === TaskState.Running) {
 			return {isAccepted: false, refusal: WorkerRefusal.StaleAttempt};
 		}
 
-		if (!this.#hasRoom(order.resources)) {
+		if (!this.#hasCapacity(order.resources)) {
 			return {isAccepted: false, refusal: WorkerRefusal.NoRoom};
 		}
 
@@ -330,12 +331,12 @@
 		return false;
 	}
 
-	/** An order that lay in the buffers of a paused worker must not start a task that runs elsewhere by then. */
+	/** An order that was buffered while the worker was paused must not start a task that runs elsewhere by now. */
 	#isExpired({notAfterMs = Number.POSITIVE_INFINITY, workerIncarnation = this.#incarnation}: Pick<StartOrder, 'notAfterMs' | 'workerIncarnation'>): boolean {
 		return this.#options.clock.monotonicMs() > notAfterMs || workerIncarnation !== this.#incarnation;
 	}
 
-	#hasRoom(wanted: Resources): boolean {
+	#hasCapacity(wanted: Resources): boolean {
 		const {capacity} = this.#options;
 		const {used} = this;
 		return used.processors + wanted.processors <= capacity.processors
--- a/src/standin/shared-worker.ts
+++ b/src/standin/shared-worker.ts
@@ -1,7 +1,7 @@
 /**
-A stand-in for a worker on which tasks disturb each other: what fills gets the processors that the others leave, and raises
-the tail latency of what serves beside it, by pairs of images. For measurements of decisions; it fails in no other way than
-that single runs fail.
+Stand-in for a worker on which tasks interfere with each other, for simulations of scheduling: best-effort tasks run on the
+processors that other tasks leave idle, and raise the tail latency of latency-critical tasks by an amount that depends on the pair
+of images. The worker injects no faults except failed runs.
 */
 import {type Clock} from '../types/clock.ts';
 import {
@@ -9,22 +9,22 @@
 } from '../types/fleet.ts';
 import {RunEnd, type WorkflowStep} from '../types/workflows.ts';
 
-/** What a task really is. */
+/** Simulated behaviour of a task. */
 export type TaskTruth = {
 	spec: WorkflowStep;
-	/** Work at full speed; undefined: it lasts. */
+	/** Run time at full speed; undefined: a long-running task. */
 	workMs: number | undefined;
-	/** Share of its work after which this run fails; undefined: it succeeds. */
+	/** Share of its work after which this run fails; undefined: the run succeeds. */
 	failsAt: number | undefined;
 };
 
-/** How serving tasks fare, and what disturbs them. */
+/** Simulated latency of latency-critical tasks, and the interference that raises it. */
 export type HarmTruth = {
-	/** Load that a serving task of the job brings by itself at a time, 0 to 1. */
+	/** Load of a latency-critical task without interference at a time, 0 to 1. */
 	getLoad: (taskId: string, nowMs: number) => number;
-	/** Load that a whole worker of the filling image adds to the server's. */
+	/** Load that the best-effort image adds to the latency-critical image when it uses all processors of the worker. */
 	getEffect: (server: string, filler: string) => number;
-	/** Tail latency at rest. */
+	/** Tail latency without load. */
 	restMs: number;
 };
 
@@ -39,7 +39,7 @@
 	maxLeaseMs: number;
 	onStart: (taskId: string) => void;
 	onEnd: (taskId: string, end: RunEnd, lostMs: number) => void;
-	/** A step of time of a serving task. */
+	/** Called in each time step for each latency-critical task; `isDisturbed`: without interference, it would meet its target. */
 	onServed: (taskId: string, state: {isAtWork: boolean; isOver: boolean; isDisturbed: boolean}, elapsedMs: number) => void;
 };
 
@@ -47,32 +47,32 @@
 	start: WorkerStart;
 	truth: TaskTruth;
 	startedAtMs: number;
-	/** Work done, and what of it is saved. */
+	/** Work done, and the part of it that the latest checkpoint contains. */
 	doneMs: number;
-	savedMs: number;
-	pace: number;
-	/** Processors in use or tail latency, smoothed over half a second. */
+	checkpointedMs: number;
+	throttlePercent: number;
+	/** Thousandths of a processor in use, or tail latency in ms for a latency-critical task; smoothed. */
 	recent: number;
 	isStopping: boolean;
 };
 
-const answerMs = 1;
+const responseMs = 1;
 const stopMs = 100;
-const paceDelayMs = 100;
-/** Figures of a run follow what it does within about this time. */
-const smoothMs = 250;
-/** A serving task is at work so long after its start. */
+const throttleDelayMs = 100;
+/** Time constant of the smoothed measurements of a run. */
+const smoothingMs = 250;
+/** Time from the start of a latency-critical task until it serves. */
 const startupMs = 500;
 const maxLoad = 0.98;
-const whole = 100;
+const fullPercent = 100;
 
-/** The worker. */
+/** The worker; `advance` moves its simulated time. */
 export class SharedWorker {
 	workerId: string;
 	readonly runs = new Map<string, Run>();
 	readonly #name: string;
 	readonly #options: SharedWorkerOptions;
-	#life = 1;
+	#incarnation = 1;
 	#sequence = 0;
 	#leaseUntilMs = 0;
 	#ended: EndedRow[] = [];
@@ -92,7 +92,7 @@
 		};
 	}
 
-	/** Loses all that runs, and comes back as a new incarnation. */
+	/** Loses all runs and restarts as a new incarnation. */
 	crash(): void {
 		for (const {start, doneMs} of this.runs.values()) {
 			this.#options.onEnd(start.taskId, RunEnd.Lapsed, doneMs);
@@ -103,10 +103,10 @@
 		this.#endNumber = 0;
 		this.#leaseUntilMs = 0;
 		this.#lastRuns = new Map();
-		this.workerId = `${this.#name}-${++this.#life}`;
+		this.workerId = `${this.#name}-${++this.#incarnation}`;
 	}
 
-	/** Lets the time pass that has passed since the last call. */
+	/** Simulates the time that has passed since the last call. */
 	advance(elapsedMs: number): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		if (this.#leaseUntilMs < nowMs) {
@@ -116,17 +116,17 @@
 		}
 
 		const running = [...this.runs.values()];
-		const speed = this.#getFillSpeed(running, nowMs);
+		const bestEffortSpeed = this.#getBestEffortSpeed(running, nowMs);
 		for (const run of running) {
 			if (run.truth.spec.targetMs === 0) {
-				this.#work(run, elapsedMs, run.truth.spec.isFilling ? speed * run.pace / whole : 1);
+				this.#advanceWork(run, elapsedMs, run.truth.spec.isFilling ? bestEffortSpeed * run.throttlePercent / fullPercent : 1);
 			}
 		}
 
 		for (const run of running) {
 			if (run.truth.spec.targetMs > 0) {
-				this.#serve(run, {
-					running, speed, nowMs, elapsedMs,
+				this.#advanceLatency(run, {
+					running, bestEffortSpeed, nowMs, elapsedMs,
 				});
 			}
 		}
@@ -134,32 +134,32 @@
 
 	createClient(): WorkerClient {
 		const {clock} = this.#options;
-		const answer = async (workerId: string | undefined, act: () => WorkerAnswer): Promise<WorkerAnswer> => {
-			await clock.sleep(answerMs);
+		const respond = async (workerId: string | undefined, execute: () => WorkerAnswer): Promise<WorkerAnswer> => {
+			await clock.sleep(responseMs);
 			return workerId === undefined || workerId === this.workerId
-				? {...act(), clockMs: clock.monotonicMs()}
+				? {...execute(), clockMs: clock.monotonicMs()}
 				: {isDone: false, refusal: OrderRefusal.OtherWorker};
 		};
 
 		return {
-			start: async (workerId, start, {leaseUntilMs}) => answer(workerId, () => this.#start(start, leaseUntilMs)),
-			stop: async (workerId, {taskId, run}) => answer(workerId, () => this.#stop(taskId, run)),
-			pace: async (workerId, {taskId, percent}) => answer(workerId, () => {
+			start: async (workerId, start, {leaseUntilMs}) => respond(workerId, () => this.#start(start, leaseUntilMs)),
+			stop: async (workerId, {taskId, run}) => respond(workerId, () => this.#stop(taskId, run)),
+			pace: async (workerId, {taskId, percent}) => respond(workerId, () => {
 				clock.setTimer(() => {
 					const run = this.runs.get(taskId);
 					if (run) {
-						run.pace = percent;
+						run.throttlePercent = percent;
 					}
-				}, paceDelayMs);
+				}, throttleDelayMs);
 				return {isDone: true};
 			}),
 			renew: async (workerId, {forgetUpTo, leaseUntilMs, waitMs}) => {
-				const {isDone, refusal} = await answer(workerId, () => ({isDone: true}));
+				const {isDone, refusal} = await respond(workerId, () => ({isDone: true}));
 				if (!isDone) {
 					return {refusal: refusal!};
 				}
 
-				this.#prolong(leaseUntilMs ?? 0);
+				this.#extendLease(leaseUntilMs ?? 0);
 				this.#ended = this.#ended.filter(({number}) => number > forgetUpTo);
 				await this.#waitForEnd(waitMs);
 				return {
@@ -169,28 +169,28 @@
 		};
 	}
 
-	/** What fills shares the processors that are left, in the measure of what it asks for. */
-	#getFillSpeed(running: Run[], nowMs: number): number {
-		let left = this.#options.report.milliCpu;
-		let asked = 0;
-		for (const {truth: {spec}, start, pace} of running) {
+	/** Speed of the best-effort tasks, 0 to 1: they share the idle processors in proportion to the processors they request. */
+	#getBestEffortSpeed(running: Run[], nowMs: number): number {
+		let idleMilliCpu = this.#options.report.milliCpu;
+		let requestedMilliCpu = 0;
+		for (const {truth: {spec}, start, throttlePercent} of running) {
 			if (spec.isFilling) {
-				asked += spec.milliCpu * pace / whole;
+				requestedMilliCpu += spec.milliCpu * throttlePercent / fullPercent;
 			} else {
-				left -= spec.milliCpu * (spec.targetMs > 0 ? this.#options.harm.getLoad(start.taskId, nowMs) : 1);
+				idleMilliCpu -= spec.milliCpu * (spec.targetMs > 0 ? this.#options.harm.getLoad(start.taskId, nowMs) : 1);
 			}
 		}
 
-		return asked === 0 ? 1 : Math.min(1, Math.max(0, left) / asked);
+		return requestedMilliCpu === 0 ? 1 : Math.min(1, Math.max(0, idleMilliCpu) / requestedMilliCpu);
 	}
 
-	#work(run: Run, elapsedMs: number, speed: number): void {
+	#advanceWork(run: Run, elapsedMs: number, speed: number): void {
 		const {truth: {spec, workMs, failsAt}} = run;
 		const {checkpointEveryMs} = this.#options;
 		run.doneMs += elapsedMs * speed;
-		run.recent += ((spec.milliCpu * speed) - run.recent) * Math.min(1, elapsedMs / smoothMs);
+		run.recent += ((spec.milliCpu * speed) - run.recent) * Math.min(1, elapsedMs / smoothingMs);
 		if (spec.isCheckpointing) {
-			run.savedMs = Math.max(run.savedMs, Math.floor(run.doneMs / checkpointEveryMs) * checkpointEveryMs);
+			run.checkpointedMs = Math.max(run.checkpointedMs, Math.floor(run.doneMs / checkpointEveryMs) * checkpointEveryMs);
 		}
 
 		if (failsAt !== undefined && run.doneMs >= workMs! * failsAt) {
@@ -200,21 +200,21 @@
 		}
 	}
 
-	#serve(run: Run, {running, speed, nowMs, elapsedMs}: {running: Run[]; speed: number; nowMs: number; elapsedMs: number}): void {
+	#advanceLatency(run: Run, {running, bestEffortSpeed, nowMs, elapsedMs}: {running: Run[]; bestEffortSpeed: number; nowMs: number; elapsedMs: number}): void {
 		const {harm, onServed, report: {milliCpu}} = this.#options;
 		const {start: {taskId}, truth: {spec}} = run;
-		const own = harm.getLoad(taskId, nowMs);
-		let load = own;
-		for (const {truth: {spec: other}, pace} of running) {
+		const ownLoad = harm.getLoad(taskId, nowMs);
+		let load = ownLoad;
+		for (const {truth: {spec: other}, throttlePercent} of running) {
 			if (other.isFilling) {
-				load += harm.getEffect(spec.image!, other.image!) * other.milliCpu / milliCpu * speed * pace / whole;
+				load += harm.getEffect(spec.image!, other.image!) * other.milliCpu / milliCpu * bestEffortSpeed * throttlePercent / fullPercent;
 			}
 		}
 
 		const tailMs = harm.restMs / (1 - Math.min(maxLoad, load));
-		run.recent += (tailMs - run.recent) * Math.min(1, elapsedMs / smoothMs);
+		run.recent += (tailMs - run.recent) * Math.min(1, elapsedMs / smoothingMs);
 		onServed(taskId, {
-			isAtWork: nowMs - run.startedAtMs >= startupMs, isOver: run.recent > spec.targetMs, isDisturbed: harm.restMs / (1 - own) <= spec.targetMs,
+			isAtWork: nowMs - run.startedAtMs >= startupMs, isOver: run.recent > spec.targetMs, isDisturbed: harm.restMs / (1 - ownLoad) <= spec.targetMs,
 		}, elapsedMs);
 	}
 
@@ -225,11 +225,11 @@
 			return {isDone: false, refusal: OrderRefusal.OldRun};
 		}
 
-		this.#prolong(leaseUntilMs);
-		const savedMs = start.checkpoint === '' ? 0 : Number(start.checkpoint);
+		this.#extendLease(leaseUntilMs);
+		const checkpointedMs = start.checkpoint === '' ? 0 : Number(start.checkpoint);
 		this.#lastRuns.set(start.taskId, start.run);
 		this.runs.set(start.taskId, {
-			start, truth: getTruth(start.taskId, start.run), startedAtMs: nowMs, doneMs: savedMs === 0 ? 0 : savedMs - restoreMs, savedMs, pace: whole, recent: 0, isStopping: false,
+			start, truth: getTruth(start.taskId, start.run), startedAtMs: nowMs, doneMs: checkpointedMs === 0 ? 0 : checkpointedMs - restoreMs, checkpointedMs, throttlePercent: fullPercent, recent: 0, isStopping: false,
 		});
 		onStart(start.taskId);
 		return {isDone: true};
@@ -240,7 +240,7 @@
 		if (run?.start.run === runNumber && !run.isStopping) {
 			run.isStopping = true;
 			this.#options.clock.setTimer(() => {
-				run.savedMs = run.truth.spec.isCheckpointing ? Math.max(run.savedMs, run.doneMs) : 0;
+				run.checkpointedMs = run.truth.spec.isCheckpointing ? Math.max(run.checkpointedMs, run.doneMs) : 0;
 				this.#end(run, RunEnd.Stopped);
 			}, stopMs);
 		}
@@ -256,15 +256,15 @@
 
 		this.runs.delete(taskId);
 		this.#ended.push({
-			number: ++this.#endNumber, taskId, run: runNumber, end, checkpoint: run.savedMs > 0 ? String(run.savedMs) : '',
+			number: ++this.#endNumber, taskId, run: runNumber, end, checkpoint: run.checkpointedMs > 0 ? String(run.checkpointedMs) : '',
 		});
-		this.#options.onEnd(taskId, end, end === RunEnd.Done ? 0 : Math.max(0, run.doneMs - run.savedMs));
+		this.#options.onEnd(taskId, end, end === RunEnd.Done ? 0 : Math.max(0, run.doneMs - run.checkpointedMs));
 		for (const wake of this.#waiters) {
 			wake();
 		}
 	}
 
-	#prolong(untilMs: number): void {
+	#extendLease(untilMs: number): void {
 		this.#leaseUntilMs = Math.max(this.#leaseUntilMs, Math.min(untilMs, this.#options.clock.monotonicMs() + this.#options.maxLeaseMs));
 	}
 
@@ -282,10 +282,10 @@
 	}
 }
 
-const describe = ({start, truth: {workMs}, doneMs, savedMs, recent}: Run): RunningRow => ({
+const describe = ({start, truth: {workMs}, doneMs, checkpointedMs, recent}: Run): RunningRow => ({
 	taskId: start.taskId,
 	run: start.run,
-	checkpoint: savedMs > 0 ? String(savedMs) : '',
-	percent: workMs === undefined ? whole : Math.max(0, Math.min(whole - 1, Math.floor(doneMs * whole / workMs))),
+	checkpoint: checkpointedMs > 0 ? String(checkpointedMs) : '',
+	percent: workMs === undefined ? fullPercent : Math.max(0, Math.min(fullPercent - 1, Math.floor(doneMs * fullPercent / workMs))),
 	recent: Math.round(recent),
 });
--- a/src/standin/site-worker.ts
+++ b/src/standin/site-worker.ts
@@ -1,6 +1,6 @@
 /**
-A stand-in for a worker of a site: it runs tasks for a time under one lease, refuses lower fences and old runs, keeps ends
-until it is told to forget them, and may carry orders out late.
+Stand-in for a worker of a site: runs simulated tasks under one lease, refuses orders with lower fencing tokens and old runs,
+reports ended runs until the agent acknowledges them, and injects faults into orders.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {type Clock, type Timer} from '../types/clock.ts';
@@ -9,29 +9,29 @@
 } from '../types/fleet.ts';
 import {RunEnd} from '../types/workflows.ts';
 
-/** What a run does, decided at its start. */
+/** Simulated behaviour of a run, set when it starts. */
 export type RunPlan = {
-	/** Time of work; undefined: it goes on until it is stopped. */
+	/** Run time; undefined: the run continues until it is stopped. */
 	workMs: number | undefined;
 	isFailing?: boolean;
-	/** The run takes the whole worker down after this. */
+	/** Time after which the run crashes the whole worker. */
 	crashAfterMs?: number;
 };
 
-/** What is seen of runs, for checks. */
+/** Events of runs, for the checks of tests; `forgotten` means that the agent has acknowledged the end. */
 export type WorkerEvent
 	= | {type: 'started'; taskId: string; run: number; workerId: string; atMs: number}
 		| {type: 'ended'; taskId: string; run: number; workerId: string; end: RunEnd | 'lost'; atMs: number}
 		| {type: 'forgotten'; taskId: string; run: number; workerId: string; end: RunEnd; atMs: number};
 
-/** How an order reaches the worker. */
+/** Faults to inject into an order. */
 export enum OrderFault {
 	None = 'none',
-	/** It is carried out, and its answer is lost. */
+	/** The order is executed, but its response is lost. */
 	LoseAnswer = 'lose-answer',
-	/** It is carried out some seconds later, without an answer. */
+	/** The order gets no response and is executed some seconds later. */
 	DoLate = 'do-late',
-	/** It never arrives. */
+	/** The order never arrives. */
 	Drop = 'drop',
 }
 
@@ -47,30 +47,31 @@
 
 type Running = {start: WorkerStart; startedAtMs: number; plan: RunPlan; timer?: Timer; percent: number};
 
-const answerMs = 1;
-const lateMs = 4000;
-const lostMs = 700;
-const refusedMs = 1;
-/** How long it is away after a run has taken it down. */
-const awayMs = 2500;
-const brokenAfterMs = 10;
-// Its clock starts anywhere.
+const responseMs = 1;
+const lateExecutionMs = 4000;
+const lostCallMs = 700;
+const connectionRefusedMs = 1;
+/** Downtime after a run has crashed the worker. */
+const crashDowntimeMs = 2500;
+const crashLoopAfterMs = 10;
+// The worker's clock has another origin than the agent's.
 const clockOffsetMs = 1_000_000;
 
-/** The worker. */
+/** The worker, with faults that tests set. */
 export class SiteWorker {
 	workerId: string;
 	isDraining = false;
-	/** Gives no answer and goes on with what it runs. */
+	/** Whether calls get no response; the runs continue. */
 	isSilent = false;
-	/** Crashes soon after each start, whatever it is. */
+	/** Whether the worker crashes soon after the start of any run. */
 	isBroken = false;
 	readonly running = new Map<string, Running>();
+	/** Recent measurement that it reports for each run: processors in use or tail latency. */
 	recent = 0;
-	/** Its process is gone: connections are refused and nothing is announced. */
+	/** Whether its process is down: connections are refused and nothing is announced. */
 	isAway = false;
 	readonly #options: SiteWorkerOptions;
-	#life = 1;
+	#incarnation = 1;
 	#fence = 0;
 	#leaseUntilMs = 0;
 	#ended: EndedRow[] = [];
@@ -84,27 +85,27 @@
 		this.workerId = `${name}-1`;
 		this.#options = options;
 		this.#milliCpu = options.report.milliCpu;
-		this.#expireLater();
+		this.#scheduleLeaseCheck();
 	}
 
 	fault: (order: 'start' | 'stop' | 'renew') => OrderFault = () => OrderFault.None;
 
-	/** Its processors change while it runs on. */
+	/** Changes its processor capacity; active runs continue. */
 	setMilliCpu(milliCpu: number): void {
 		this.#milliCpu = milliCpu;
 	}
 
-	/** What it announces. */
+	/** Returns the next announcement of the worker. */
 	announce(): WorkerReport {
 		return {
 			...this.#options.report, milliCpu: this.#milliCpu, workerId: this.workerId, isDraining: this.isDraining, sequence: ++this.#sequence,
 		};
 	}
 
-	/** Crashes and comes back, after a time, as a new incarnation that has seen nothing. */
+	/** Crashes the worker, which restarts after the given time as a new incarnation without any state. */
 	crash(forMs = 0): void {
 		for (const {start} of this.running.values()) {
-			this.#note(start, 'lost');
+			this.#reportEnd(start, 'lost');
 		}
 
 		for (const run of this.running.values()) {
@@ -117,8 +118,8 @@
 		this.#fence = 0;
 		this.#leaseUntilMs = 0;
 		this.#lastRuns = new Map();
-		this.#life++;
-		this.workerId = this.workerId.replace(/\d+$/, String(this.#life));
+		this.#incarnation++;
+		this.workerId = this.workerId.replace(/\d+$/, String(this.#incarnation));
 		for (const wake of this.#waiters) {
 			wake();
 		}
@@ -131,7 +132,7 @@
 		}
 	}
 
-	/** The client by which its agent calls it. */
+	/** Creates the client with which its agent calls it. */
 	createClient(): WorkerClient {
 		return {
 			start: async (workerId, start, {fence, leaseUntilMs}) => this.#call('start', workerId, () => this.#start(start, fence, leaseUntilMs)),
@@ -143,12 +144,12 @@
 					return {refusal: answer.refusal!};
 				}
 
-				this.#prolong(terms.leaseUntilMs);
+				this.#extendLease(terms.leaseUntilMs);
 				this.#forget(terms.forgetUpTo);
-				const life = this.#life;
+				const incarnation = this.#incarnation;
 				await this.#waitForEnd(terms.waitMs);
-				if (this.#life !== life) {
-					throw createError(ErrorCode.PeerUnavailable, {step: 'renew at stand-in', detail: 'the connection broke'});
+				if (this.#incarnation !== incarnation) {
+					throw createError(ErrorCode.PeerUnavailable, {step: 'renew at stand-in', detail: 'connection reset'});
 				}
 
 				return this.#list();
@@ -168,36 +169,36 @@
 		return this.#options.clock.monotonicMs() + clockOffsetMs;
 	}
 
-	async #call(order: 'start' | 'stop' | 'renew', workerId: string | undefined, act: () => WorkerAnswer): Promise<WorkerAnswer> {
+	async #call(order: 'start' | 'stop' | 'renew', workerId: string | undefined, execute: () => WorkerAnswer): Promise<WorkerAnswer> {
 		const {clock} = this.#options;
 		if (this.isAway) {
-			await clock.sleep(refusedMs);
-			throw createError(ErrorCode.PeerUnavailable, {step: `${order} at stand-in`, detail: 'the connection was refused'});
+			await clock.sleep(connectionRefusedMs);
+			throw createError(ErrorCode.PeerUnavailable, {step: `${order} at stand-in`, detail: 'connection refused'});
 		}
 
 		const fault = this.isSilent ? OrderFault.Drop : this.fault(order);
-		const life = this.#life;
+		const incarnation = this.#incarnation;
 		if (fault !== OrderFault.None) {
 			if (fault === OrderFault.LoseAnswer) {
-				act();
+				execute();
 			} else if (fault === OrderFault.DoLate) {
 				clock.setTimer(() => {
-					if (this.#life === life) {
-						act();
+					if (this.#incarnation === incarnation) {
+						execute();
 					}
-				}, lateMs);
+				}, lateExecutionMs);
 			}
 
-			await clock.sleep(lostMs);
+			await clock.sleep(lostCallMs);
 			throw createError(ErrorCode.PeerUnavailable, {step: `${order} at stand-in`});
 		}
 
-		await clock.sleep(answerMs);
+		await clock.sleep(responseMs);
 		if (workerId !== undefined && workerId !== this.workerId) {
 			return {isDone: false, refusal: OrderRefusal.OtherWorker};
 		}
 
-		return {...act(), clockMs: this.#clockMs};
+		return {...execute(), clockMs: this.#clockMs};
 	}
 
 	#checkFence(fence: number): WorkerAnswer | undefined {
@@ -227,7 +228,7 @@
 			return {isDone: false, refusal: OrderRefusal.Late};
 		}
 
-		this.#prolong(leaseUntilMs);
+		this.#extendLease(leaseUntilMs);
 		const {clock, plan, onEvent} = this.#options;
 		const run: Running = {
 			start, startedAtMs: clock.monotonicMs(), plan: plan(start), percent: 0,
@@ -237,11 +238,11 @@
 		onEvent({
 			type: 'started', taskId: start.taskId, run: start.run, workerId: this.workerId, atMs: clock.monotonicMs(),
 		});
-		const crashAfterMs = this.isBroken ? brokenAfterMs : run.plan.crashAfterMs;
+		const crashAfterMs = this.isBroken ? crashLoopAfterMs : run.plan.crashAfterMs;
 		if (crashAfterMs !== undefined) {
 			run.timer = clock.setTimer(() => {
 				if (this.running.get(start.taskId) === run) {
-					this.crash(awayMs);
+					this.crash(crashDowntimeMs);
 				}
 			}, crashAfterMs);
 		} else if (run.plan.workMs !== undefined) {
@@ -280,19 +281,19 @@
 		this.#ended.push({
 			number: ++this.#endNumber, taskId: run.start.taskId, run: run.start.run, end, checkpoint: '',
 		});
-		this.#note(run.start, end);
+		this.#reportEnd(run.start, end);
 		for (const wake of this.#waiters) {
 			wake();
 		}
 	}
 
-	#note({taskId, run}: WorkerStart, end: RunEnd | 'lost'): void {
+	#reportEnd({taskId, run}: WorkerStart, end: RunEnd | 'lost'): void {
 		this.#options.onEvent({
 			type: 'ended', taskId, run, workerId: this.workerId, end, atMs: this.#options.clock.monotonicMs(),
 		});
 	}
 
-	#prolong(leaseUntilMs: number | undefined): void {
+	#extendLease(leaseUntilMs: number | undefined): void {
 		if (leaseUntilMs !== undefined) {
 			this.#leaseUntilMs = Math.max(this.#leaseUntilMs, Math.min(leaseUntilMs, this.#clockMs + this.#options.maxLeaseMs));
 		}
@@ -335,8 +336,8 @@
 		};
 	}
 
-	/** When the lease is over, everything is killed. */
-	#expireLater(): void {
+	/** Ends all runs once the lease has expired; checked every `checkMs`. */
+	#scheduleLeaseCheck(): void {
 		const checkMs = 20;
 		this.#options.clock.setTimer(() => {
 			if (this.#clockMs > this.#leaseUntilMs) {
@@ -345,7 +346,7 @@
 				}
 			}
 
-			this.#expireLater();
+			this.#scheduleLeaseCheck();
 		}, checkMs);
 	}
 }
--- a/src/standin/upstream-server.ts
+++ b/src/standin/upstream-server.ts
@@ -1,5 +1,5 @@
 /**
-Stand-in for an upstream: answers each request after its service time and tells of it.
+Stand-in for an upstream: responds to each request after its service time and reports the requests that it runs.
 */
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Clock} from '../types/clock.ts';
@@ -10,7 +10,7 @@
 export type UpstreamOptions = {
 	clock: Clock;
 	getServiceMs(path: string): number;
-	/** Told of each request that begins to run, with the id of its try. */
+	/** Called when a request starts to run, with the attempt id from its header. */
 	onRan?(tryId: string): void;
 };
 
@@ -20,12 +20,12 @@
 	close(): Promise<void>;
 };
 
-const bodyBounds = {maxBytes: 16_777_216, timeoutMs: 60_000};
+const bodyLimits = {maxBytes: 16_777_216, timeoutMs: 60_000};
 
 /** Creates a stand-in upstream. */
 export const createStandinUpstream = (options: UpstreamOptions): StandinUpstream => {
 	const serve = async (request: IncomingMessage, response: ServerResponse) => {
-		const body = await readBody(request, options.clock, bodyBounds);
+		const body = await readBody(request, options.clock, bodyLimits);
 		const tryId = request.headers[tryHeader];
 		if (typeof tryId === 'string') {
 			options.onRan?.(tryId);
--- a/src/standin/worker-server.ts
+++ b/src/standin/worker-server.ts
@@ -1,12 +1,12 @@
 /**
-Serves a stand-in worker over HTTP with JSON and announces it to an entry.
+Serves a stand-in worker over HTTP with JSON.
 */
 import {type StartOrder, type TaskRef} from '../types/platform.ts';
 import {type Clock} from '../types/clock.ts';
 import {createJsonServer, type JsonServer} from '../utils/http-server.ts';
 import {type MemoryWorker} from './memory-worker.ts';
 
-/** Creates a server of the worker; the caller binds and closes it. */
+/** Creates a server for the worker; the code that creates it also binds and closes it. */
 export const createWorkerServer = (worker: MemoryWorker, clock: Clock): JsonServer => {
 	const server = createJsonServer(clock);
 	const serve = <Body>(operation: string, handle: (body: Body) => Promise<unknown>) => {
