--- a/src/commands/config-commands.ts
+++ b/src/commands/config-commands.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks config …`: the operators' text.
+`chervilworks config …`: checks, publishes and shows the operators' configuration.
 */
 import {readFileSync} from 'node:fs';
 import {userInfo} from 'node:os';
@@ -14,7 +14,7 @@
 	readonly settings = Option.String('--settings', {description: 'Settings in INI; names the platform log.'});
 	readonly isJson = Option.Boolean('--json', false, {description: 'Print JSON.'});
 
-	/** Runs the action with the log and the configuration read from it. */
+	/** Runs the action with the platform log and the current configuration, read from the log. */
 	protected async withConfig(action: (fold: ConfigFold, log: PlatformLog) => Promise<ExitCode | void>): Promise<ExitCode> {
 		return withExitCode(this.context, async () => {
 			const {loadSettings} = await import('../core/settings.ts');
@@ -45,13 +45,13 @@
 	}
 }
 
-/** Checks the operators' text. */
+/** Checks a configuration file. */
 export class ConfigCheckCommand extends ConfigCommand {
 	static override readonly paths = [['config', 'check']];
 	static override readonly usage = Command.Usage({
 		category: 'Configuration',
-		description: 'Check the operators\' text; nothing is published.',
-		examples: [['Check a text', 'chervilworks config check services.ini']],
+		description: 'Check a configuration file; nothing is published.',
+		examples: [['Check a file', 'chervilworks config check services.ini']],
 	});
 
 	readonly file = Option.String({name: 'file'});
@@ -64,25 +64,25 @@
 	}
 }
 
-/** Publishes the operators' text. */
+/** Publishes a configuration file. */
 export class ConfigPublishCommand extends ConfigCommand {
 	static override readonly paths = [['config', 'publish']];
 	static override readonly usage = Command.Usage({
 		category: 'Configuration',
-		description: 'Publish the operators\' text. Tells who won a race, and why a change was refused.',
+		description: 'Publish a configuration file. Reports why a change was refused, and which concurrent change won.',
 		details: `
 			Only the sections that differ are published, each based on the record that last changed it.
-			A change that lost a race exits with 1: read the winner with \`config show\`, merge and publish again.
-			With \`--restart\`, the text becomes a new start for readers that found earlier records lapsed and no snapshot;
+			The command exits with 1 if a concurrent change won: read that change with \`config show\`, merge and publish again.
+			With \`--restart\`, readers for which all earlier records have expired, and that found no snapshot, start from this file;
 			readers that have a configuration ignore it.
 		`,
-		examples: [['Publish a text', 'chervilworks config publish services.ini --settings entry.ini']],
+		examples: [['Publish a file', 'chervilworks config publish services.ini --settings entry.ini']],
 	});
 
 	readonly file = Option.String({name: 'file'});
-	readonly author = Option.String('--author', {description: 'Who publishes; by default the user.'});
-	readonly timeoutMs = Option.String('--timeout-ms', '10000', {description: 'Longest wait for the verdict.'});
-	readonly isRestart = Option.Boolean('--restart', false, {description: 'Start anew after all records lapsed.'});
+	readonly author = Option.String('--author', {description: 'Name of the author; by default the user name.'});
+	readonly timeoutMs = Option.String('--timeout-ms', '10000', {description: 'Maximum time to wait until the change is accepted or refused.'});
+	readonly isRestart = Option.Boolean('--restart', false, {description: 'Start from this file after all records have expired.'});
 
 	async execute(): Promise<number> {
 		return this.withConfig(async (fold, log) => {
@@ -112,12 +112,12 @@
 	}
 }
 
-/** Shows the text in force. */
+/** Shows the current configuration. */
 export class ConfigShowCommand extends ConfigCommand {
 	static override readonly paths = [['config', 'show']];
 	static override readonly usage = Command.Usage({
 		category: 'Configuration',
-		description: 'Show the text in force, and which region owns each service.',
+		description: 'Show the current configuration, and which region owns each service.',
 		examples: [['Keep a copy', 'chervilworks config show --settings entry.ini > services.ini']],
 	});
 
@@ -139,16 +139,16 @@
 	}
 }
 
-/** Shows the last changes and what became of them. */
+/** Shows the last changes and their results. */
 export class ConfigHistoryCommand extends ConfigCommand {
 	static override readonly paths = [['config', 'history']];
 	static override readonly usage = Command.Usage({
 		category: 'Configuration',
-		description: 'Show the last changes, who made them, and what became of each.',
+		description: 'Show the last changes with their authors and results.',
 		examples: [['Last ten', 'chervilworks config history --last 10']],
 	});
 
-	readonly last = Option.String('--last', '20', {description: 'How many changes.'});
+	readonly last = Option.String('--last', '20', {description: 'Number of changes to show.'});
 
 	async execute(): Promise<number> {
 		return this.withConfig(async fold => {
@@ -158,12 +158,12 @@
 	}
 }
 
-/** Shows what publishing a text would change. */
+/** Shows what publishing a configuration file would change. */
 export class ConfigDiffCommand extends ConfigCommand {
 	static override readonly paths = [['config', 'diff']];
 	static override readonly usage = Command.Usage({
 		category: 'Configuration',
-		description: 'Show what publishing a text would change. Exits with 0 whether or not it differs.',
+		description: 'Show what publishing a configuration file would change. Exits with 0 whether or not it differs.',
 		examples: [['Before publishing', 'chervilworks config diff services.ini']],
 	});
 
@@ -194,7 +194,7 @@
 	}
 
 	if (winnerId !== undefined) {
-		parts.push(`Won by change ${winnerId} of ${winnerAuthor}.`);
+		parts.push(`Conflicts with change ${winnerId} by ${winnerAuthor}.`);
 	}
 
 	return parts.join(' ');
--- a/src/commands/demo-command.ts
+++ b/src/commands/demo-command.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks demo`: the whole path in one process, over loopback.
+`chervilworks demo`: an end-to-end demonstration in one process, over loopback.
 */
 import {Command, Option} from 'clipanion';
 import {ExitCode, withExitCode} from './exit-codes.ts';
@@ -9,7 +9,7 @@
 	static override readonly paths = [['demo']];
 	static override readonly usage = Command.Usage({
 		category: 'Trying out',
-		description: 'Run entries, log, workers and upstreams in one process and send requests and jobs. Exits 0 only when every promise held.',
+		description: 'Run entries, log, workers and upstreams in one process and send requests and jobs. Exits with 0 only if every promise held.',
 		examples: [['A short run', 'chervilworks demo --requests 100 --jobs 5']],
 	});
 
--- a/src/commands/entry-command.ts
+++ b/src/commands/entry-command.ts
@@ -10,8 +10,8 @@
 	static override readonly paths = [['entry']];
 	static override readonly usage = Command.Usage({
 		category: 'Roles',
-		description: 'Run an entry host: callers, operators and scheduling.',
-		details: 'SIGTERM finishes what is in progress within the stop bound; a second one ends at once.',
+		description: 'Run an entry host, which serves callers and operators and schedules jobs.',
+		details: 'On SIGTERM, the entry finishes requests in progress within the stop bound; a second SIGTERM ends it at once.',
 		examples: [['Run with settings', 'chervilworks entry --settings settings/clydeside.ini']],
 	});
 
@@ -19,7 +19,7 @@
 
 	async execute(): Promise<number> {
 		return withExitCode(this.context, async () => {
-			// Loaded here, so that the small roles of the same binary do not carry it.
+			// Imported here, so that smaller roles of the same binary do not load it.
 			const {createLogger, enableLogs, Part} = await import('../utils/logger.ts');
 			const {loadSettings} = await import('../core/settings.ts');
 			const {createEntry} = await import('../plugins/entry.ts');
@@ -31,7 +31,7 @@
 			const kernel = createEntry({settings: loadSettings(this.settings), clock: createSystemClock(), random: createRandom()});
 			await runUntilSignal(async () => {
 				await kernel.start();
-				log('Callers on %s, control on %s.', kernel.get(ServiceName.Callers).getAddress(), kernel.get(ServiceName.Control).getAddress());
+				log('Serving callers on %s and control calls on %s.', kernel.get(ServiceName.Callers).getAddress(), kernel.get(ServiceName.Control).getAddress());
 			}, async () => {
 				log('Stopping.');
 				await kernel.stop();
--- a/src/commands/guard-command.ts
+++ b/src/commands/guard-command.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks guard`: runs the guard beside an upstream. The program starts it without the command line library.
+`chervilworks guard`: runs the guard beside an upstream. The program starts it without loading the command line library.
 */
 import process from 'node:process';
 import {getMessage} from '../core/errors.ts';
@@ -12,13 +12,13 @@
 
 const log = createLogger(Part.Guard);
 
-/** Runs a guard until it is told to stop; resolves to the exit code. */
+/** Runs a guard until a signal stops it; resolves to the exit code. */
 export const runGuard = async (settingsFile: string | undefined): Promise<number> => {
 	enableLogs();
 	try {
 		const guard = createGuard({settings: loadSettings(settingsFile), clock: createSystemClock(), random: createRandom()});
 		await runUntilSignal(async () => {
-			log('Guard on %s.', await guard.start());
+			log('Guard listening on %s.', await guard.start());
 		}, async () => {
 			log('Draining.');
 			await guard.stop();
--- a/src/commands/guard-usage.ts
+++ b/src/commands/guard-usage.ts
@@ -1,5 +1,5 @@
 /**
-How `chervilworks guard` shows in the help of the command line.
+Usage of `chervilworks guard` for the help of the command line.
 */
 import {Command, Option} from 'clipanion';
 
--- a/src/commands/host-commands.ts
+++ b/src/commands/host-commands.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks upstream …`, `worker …`, `request …` and `status`: what entries know.
+`chervilworks upstream …`, `worker …`, `request …` and `status`: state that an entry reports.
 */
 import {Command, Option} from 'clipanion';
 import {type UpstreamAnnouncement, type WorkerAnnouncement} from '../types/announcements.ts';
@@ -31,7 +31,7 @@
 	static override readonly paths = [['upstream', 'drain']];
 	static override readonly usage = Command.Usage({
 		category: 'Hosts',
-		description: 'Give an upstream no new requests until it is restarted. Requests in progress are finished.',
+		description: 'Send an upstream no new requests until it is restarted. Requests in progress are finished.',
 		examples: [['Drain one', 'chervilworks upstream drain lading-desk-3']],
 	});
 
@@ -65,12 +65,12 @@
 	}
 }
 
-/** Looks a request id up. */
+/** Looks up a request by its id. */
 export class RequestLookupCommand extends OperatorCommand {
 	static override readonly paths = [['request', 'lookup']];
 	static override readonly usage = Command.Usage({
 		category: 'Requests',
-		description: 'Tell what is known of a non-idempotent request.',
+		description: 'Show the state of a non-idempotent request.',
 		examples: [['Look one up', 'chervilworks request lookup 0190a1b2-c3d4-7e5f-8a6b-7c8d9e0f1a2b']],
 	});
 
@@ -78,18 +78,18 @@
 
 	async execute(): Promise<number> {
 		return withExitCode(this.context, async () => {
-			const claim = await this.ask<ClaimStatus>('GET', `/v1/requests/${encodeURIComponent(this.id)}`, 'look request up');
+			const claim = await this.ask<ClaimStatus>('GET', `/v1/requests/${encodeURIComponent(this.id)}`, 'look up request');
 			this.print(claim, `${claim.requestId}: ${claim.state}, claimed by ${claim.entryId} at ${claim.claimedAt}${claim.status === undefined ? '' : `, status ${claim.status}`}.`);
 		});
 	}
 }
 
-/** Lists requests with no known end. */
+/** Lists requests whose outcome is not known. */
 export class RequestListCommand extends OperatorCommand {
 	static override readonly paths = [['request', 'list']];
 	static override readonly usage = Command.Usage({
 		category: 'Requests',
-		description: 'List the non-idempotent requests whose end is not known, oldest first.',
+		description: 'List the non-idempotent requests whose outcome is not known, oldest first.',
 		examples: [['List them', 'chervilworks request list']],
 	});
 
@@ -107,7 +107,7 @@
 	static override readonly paths = [['status']];
 	static override readonly usage = Command.Usage({
 		category: 'Hosts',
-		description: 'Show an entry\'s identity, counters and the state of each part.',
+		description: 'Show the identity, the counters and the state of each component of an entry.',
 		examples: [['Ask an entry', 'chervilworks status --entry 127.0.0.1:7081']],
 	});
 
--- a/src/commands/job-commands.ts
+++ b/src/commands/job-commands.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks job …`: submits jobs, asks for them and cancels them.
+`chervilworks job …`: submits, shows, lists and cancels jobs.
 */
 import {readFileSync} from 'node:fs';
 import {Command, Option} from 'clipanion';
@@ -24,7 +24,7 @@
 	static override readonly paths = [['job', 'submit']];
 	static override readonly usage = Command.Usage({
 		category: 'Jobs',
-		description: 'Submit a job. The same id twice is one job, so a submission whose answer was lost may be sent again.',
+		description: 'Submit a job. A second submission with the same id creates no second job, so a submission whose response was lost may be repeated.',
 		examples: [['Submit a file', 'chervilworks job submit rebuild.json']],
 	});
 
--- a/src/commands/measure-command.ts
+++ b/src/commands/measure-command.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks measure …`: measures the product on fakes with manual time. Each matter is one subclass.
+`chervilworks measure …`: measures the product with stand-ins on simulated time. Each subject is one subclass.
 */
 import process from 'node:process';
 import {Command, Option} from 'clipanion';
@@ -8,11 +8,11 @@
 import {formatReport, readReport} from '../measure/report.ts';
 import {ExitCode, withExitCode} from './exit-codes.ts';
 
-/** What all measurements share: options, progress, output and comparison. */
+/** Base of all measurements: options, progress, output and comparison. */
 export abstract class MeasureCommand extends Command {
 	readonly seed = Option.String('--seed', '1', {description: 'Seed; the same seed gives the same decisions.'});
-	readonly seconds = Option.String('--seconds', {description: 'Measured time of each run.'});
-	readonly compare = Option.String('--compare', {description: 'Earlier report in JSON to compare with.'});
+	readonly seconds = Option.String('--seconds', {description: 'Measured time of each run, in seconds.'});
+	readonly compare = Option.String('--compare', {description: 'Earlier report, in JSON, to compare with.'});
 	readonly isJson = Option.Boolean('--json', false, {description: 'Print JSON.'});
 
 	async execute(): Promise<number> {
@@ -36,11 +36,11 @@
 	protected abstract measure(options: MeasureOptions): Promise<MeasureReport>;
 }
 
-/** Reads a number above 0 from an option. */
+/** Parses an option's value as a number above 0; throws `BadInput` otherwise. */
 export const toNumber = (option: string, value: string): number => {
 	const number = Number(value);
 	if (!Number.isFinite(number) || number <= 0) {
-		throw createError(ErrorCode.BadInput, {step: 'read options', peer: option, detail: `${value} is no number above 0`});
+		throw createError(ErrorCode.BadInput, {step: 'read options', peer: option, detail: `expected a number above 0, got ${value}`});
 	}
 
 	return number;
--- a/src/commands/measure-jobs-command.ts
+++ b/src/commands/measure-jobs-command.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks measure jobs`: placement against simpler policies, its rate and its state.
+`chervilworks measure jobs`: placement compared with simpler policies, its rate and the size of its state.
 */
 import {Command, Option} from 'clipanion';
 import {measureJobs} from '../measure/jobs-measurement.ts';
@@ -10,16 +10,16 @@
 export class MeasureJobsCommand extends MeasureCommand {
 	static override readonly paths = [['measure', 'jobs']];
 	static override readonly usage = Command.Usage({
-		description: 'Measure placement against first fit, best fit, random of two and placement blind to harm, on both users\' fleets; and its rate and state.',
+		description: 'Compare placement with first fit, best fit, random of two and placement that ignores interference, on both users\' fleets; measure its rate and state size.',
 		examples: [
-			['Keep the figures', 'chervilworks measure jobs --seed 1 --json > before.json'],
+			['Save the measurements', 'chervilworks measure jobs --seed 1 --json > before.json'],
 			['Compare a change with them', 'chervilworks measure jobs --seed 1 --compare before.json'],
 			['More seeds, no large fleets', 'chervilworks measure jobs --seed 4 --repeats 6 --workers 11'],
 		],
 	});
 
-	readonly repeats = Option.String('--repeats', '3', {description: 'Seeds that make up one row.'});
-	readonly workers = Option.String('--workers', '11,100,1000,5000', {description: 'Numbers of workers for rate and state, separated by commas.'});
+	readonly repeats = Option.String('--repeats', '3', {description: 'Number of seeds for each row.'});
+	readonly workers = Option.String('--workers', '11,100,1000,5000', {description: 'Fleet sizes for rate and state size, in workers, separated by commas.'});
 
 	protected getDefaultSeconds(): number {
 		return 1800;
--- a/src/commands/operator-command.ts
+++ b/src/commands/operator-command.ts
@@ -1,12 +1,12 @@
 /**
-What the operators' commands that ask an entry have in common.
+Base of the operators' commands that call an entry.
 */
 import {Command, Option} from 'clipanion';
 import {alignColumns} from '../utils/columns.ts';
 
 const timeoutMs = 5000;
 
-/** A command that asks an entry. */
+/** A command that calls the control address of an entry. */
 export abstract class OperatorCommand extends Command {
 	readonly entry = Option.String('--entry', '127.0.0.1:7081', {description: 'Control address of an entry.'});
 	readonly isJson = Option.Boolean('--json', false, {description: 'Print JSON.'});
--- a/src/commands/run-until-signal.ts
+++ b/src/commands/run-until-signal.ts
@@ -1,16 +1,16 @@
 /**
-Runs a role until it is told to stop: the first signal is graceful, the second immediate.
+Runs a role until a signal stops it: the first signal stops it gracefully, the second at once.
 */
 import process from 'node:process';
 import {ExitCode} from './exit-codes.ts';
 
-/** Starts, waits for SIGTERM or SIGINT, and stops. */
+/** Starts a role, waits for SIGTERM or SIGINT, and stops it. */
 export const runUntilSignal = async (start: () => Promise<void>, stop: () => Promise<void>): Promise<void> => {
-	const signalled = new Promise<void>(resolve => {
+	const signalReceived = new Promise<void>(resolve => {
 		let isStopping = false;
 		const onSignal = () => {
 			if (isStopping) {
-				// The second signal asks for an immediate end.
+				// The second signal requests an immediate exit.
 				process.exit(ExitCode.Failed); // eslint-disable-line unicorn/no-process-exit
 			}
 
@@ -22,6 +22,6 @@
 		process.on('SIGINT', onSignal);
 	});
 	await start();
-	await signalled;
+	await signalReceived;
 	await stop();
 };
--- a/src/commands/settings-command.ts
+++ b/src/commands/settings-command.ts
@@ -8,11 +8,11 @@
 	static override readonly paths = [['settings']];
 	static override readonly usage = Command.Usage({
 		category: 'Roles',
-		description: 'Print all settings with defaults, ranges and meanings.',
+		description: 'Print all settings with their defaults, ranges and descriptions.',
 		examples: [['Start a settings file', 'chervilworks settings > entry.ini']],
 	});
 
-	readonly isPage = Option.Boolean('--page', false, {description: 'Print them as a page in Markdown.'});
+	readonly isPage = Option.Boolean('--page', false, {description: 'Print a page in Markdown.'});
 
 	async execute(): Promise<void> {
 		const {printSettings, printSettingsPage} = await import('../core/settings.ts');
--- a/src/commands/standin-commands.ts
+++ b/src/commands/standin-commands.ts
@@ -1,5 +1,5 @@
 /**
-`chervilworks standin log|upstream|worker`: small stand-ins for the platform, for trying out and tests.
+`chervilworks standin log|upstream|worker`: stand-ins for the platform's log and hosts, for trials and tests.
 */
 import {Command, Option} from 'clipanion';
 import {type HostEvent} from '../standin/host-events.ts';
@@ -21,7 +21,7 @@
 		examples: [['Run on the default port', 'chervilworks standin log --address 127.0.0.1:7090']],
 	});
 
-	readonly address = Option.String('--address', '127.0.0.1:7090', {description: 'Where to listen.'});
+	readonly address = Option.String('--address', '127.0.0.1:7090', {description: 'Address to listen on.'});
 
 	async execute(): Promise<number> {
 		return withExitCode(this.context, async () => {
@@ -31,18 +31,18 @@
 			const clock = createSystemClock();
 			const server = createLogServer(new MemoryLog(clock, createRandom()), clock);
 			await runUntilSignal(async () => {
-				log('Log on %s.', await server.listen(this.address));
+				log('Stand-in log listening on %s.', await server.listen(this.address));
 			}, async () => server.close());
 		});
 	}
 }
 
 abstract class HostCommand extends Command {
-	readonly address = Option.String('--address', '127.0.0.1:0', {description: 'Where to listen.'});
+	readonly address = Option.String('--address', '127.0.0.1:0', {description: 'Address to listen on.'});
 	readonly entries = Option.String('--entries', '127.0.0.1:7081', {description: 'Control addresses of entries, separated by commas.'});
 	readonly id = Option.String('--id', {description: 'Name of the host.', required: true});
-	readonly isObserved = Option.Boolean('--events', false, {description: 'Write what happens as lines of JSON on stdout.'});
-	readonly lingerMs = Option.String('--linger-ms', '0', {description: 'How long it goes on serving after it said that it leaves.'});
+	readonly isObserved = Option.Boolean('--events', false, {description: 'Write events to stdout as lines of JSON.'});
+	readonly lingerMs = Option.String('--linger-ms', '0', {description: 'How long the host continues to serve after it has announced that it leaves.'});
 	readonly region = Option.String('--region', 'local', {description: 'Region of the host.'});
 	readonly failureDomain = Option.String('--failure-domain', 'local-1', {description: 'Failure domain of the host.'});
 
@@ -51,7 +51,7 @@
 			enableLogs();
 			const host = await this.createHost();
 			await runUntilSignal(async () => {
-				log('%s on %s.', this.id, await host.start());
+				log('%s listening on %s.', this.id, await host.start());
 			}, async () => host.stop());
 		});
 	}
@@ -82,7 +82,7 @@
 		examples: [['Announce to a local entry', 'chervilworks standin upstream --id desk-1 --service lading-desk']],
 	});
 
-	readonly service = Option.String('--service', {description: 'Service it belongs to.', required: true});
+	readonly service = Option.String('--service', {description: 'Service that the upstream serves.', required: true});
 
 	async createHost(): Promise<StandinHost> {
 		const {createUpstreamHost} = await import('../standin/hosts.ts');
--- a/src/standin/memory-worker.ts
+++ b/src/standin/memory-worker.ts
@@ -20,7 +20,7 @@
 export type WorkerFaults = {
 	/** No call reaches the worker; its tasks continue to run until their leases expire. */
 	isCut: boolean;
-	/** Calls hang until the pause ends, and then take effect. */
+	/** Calls hang until the pause ends, and then take effect; leases expire as usual. */
 	isPaused: boolean;
 	/** Probability that a call takes effect but its response is lost. */
 	loseAnswerChance: number;
--- a/src/standin/shared-worker.ts
+++ b/src/standin/shared-worker.ts
@@ -51,7 +51,7 @@
 	doneMs: number;
 	checkpointedMs: number;
 	throttlePercent: number;
-	/** Thousandths of a processor in use, or tail latency in ms for a latency-critical task; smoothed. */
+	/** Thousandths of a processor in use, or tail latency in ms for a latency-critical task; smoothed over about half a second. */
 	recent: number;
 	isStopping: boolean;
 };
