--- a/scripts/break-guards.ts
+++ b/scripts/break-guards.ts
@@ -1,6 +1,6 @@
 /**
-Proves that the tests can fail: takes one guard after the other out of the code as it is loaded, runs the tests that watch
-its promise, and prints which of them fail. Exits 0 only when every broken guard is noticed.
+Mutation tests: removes one safeguard at a time from the source while it is loaded, runs the tests of the promise that it protects,
+and prints which of them fail. Exits with 0 only if every mutation makes a test fail.
 */
 import {spawnSync} from 'node:child_process';
 import {readFileSync} from 'node:fs';
@@ -9,23 +9,24 @@
 import {startVitest} from 'vitest/node';
 import {Promised} from '../src/measure/promise-checker.ts';
 
-const resultMark = 'failed: ';
+const resultPrefix = 'failed: ';
 const timeoutMs = 90_000;
 
-type Guard = {
+type Mutation = {
 	promised: Promised;
-	/** What the code does without the guard. */
-	without: string;
+	/** What the code does without the safeguard. */
+	faultyBehaviour: string;
 	file: string;
+	/** Source text of the safeguard, which the file must contain. */
 	find: string;
 	replace: string;
 	tests: string[];
 };
 
-const guards: Guard[] = [
+const mutations: Mutation[] = [
 	{
 		promised: Promised.AtMostOnce,
-		without: 'a later claim of an id wins as well',
+		faultyBehaviour: 'a later claim of the same id succeeds too',
 		file: 'src/requests/claim-fold.ts',
 		find: 'if (known && (known.state !== ClaimState.NotRun || known.releasedIds?.includes(claimId))) {',
 		replace: 'if (known?.claimId === claimId) {',
@@ -33,7 +34,7 @@
 	},
 	{
 		promised: Promised.AtMostOnce,
-		without: 'a client may send a request again by itself',
+		faultyBehaviour: 'the HTTP client may resend a request on its own',
 		file: 'src/requests/dispatch-attempt.ts',
 		find: 'if (this.#isWritten || this.#isEnded || !this.#options.mayWrite()) {',
 		replace: 'if (this.#isEnded || !this.#options.mayWrite()) {',
@@ -41,7 +42,7 @@
 	},
 	{
 		promised: Promised.NotRunTrue,
-		without: 'a request counts as not written although it was',
+		faultyBehaviour: 'a request that was written counts as not written',
 		file: 'src/requests/dispatch-attempt.ts',
 		find: '\t\tthis.#isWritten = true;\n',
 		replace: '\t\tthis.#isWritten = false;\n',
@@ -49,7 +50,7 @@
 	},
 	{
 		promised: Promised.OwnAnswer,
-		without: 'an answer that does not say where it ends passes',
+		faultyBehaviour: 'a response that does not state its length is forwarded',
 		file: 'src/requests/dispatch-attempt.ts',
 		find: 'if (!isFramed(this.#options.request.method, status, headers)) {',
 		replace: 'if (status === 0) {',
@@ -57,7 +58,7 @@
 	},
 	{
 		promised: Promised.LeavingQuiet,
-		without: 'a late announcement undoes a drain',
+		faultyBehaviour: 'a late announcement undoes a drain',
 		file: 'src/requests/announcement-book.ts',
 		find: 'return stateRank[next.state] > stateRank[known.state];',
 		replace: 'return next.sequence > known.sequence;',
@@ -65,7 +66,7 @@
 	},
 	{
 		promised: Promised.NoOvercommit,
-		without: 'slots of a silent entry are given away when its lease ends, while its requests may run',
+		faultyBehaviour: 'slots of an unresponsive entry are granted to others when its lease ends, while its requests may still run',
 		file: 'src/requests/slot-table.ts',
 		find: 'nowMs >= leaseEndMs + maxHoldMs',
 		replace: 'nowMs >= leaseEndMs',
@@ -73,7 +74,7 @@
 	},
 	{
 		promised: Promised.NoOvercommit,
-		without: 'a sponsor grants more than is free',
+		faultyBehaviour: 'a sponsor grants more slots than are free',
 		file: 'src/requests/slot-table.ts',
 		find: 'const free = Math.max(0, this.#capacity - this.granted);',
 		replace: 'const free = this.#capacity;',
@@ -81,7 +82,7 @@
 	},
 	{
 		promised: Promised.NoOvercommit,
-		without: 'placement does not look at the room of a worker',
+		faultyBehaviour: 'placement ignores the free capacity of a worker',
 		file: 'src/jobs/placement-fleet.ts',
 		find: 'return isAvailable(worker) && isWithin(getSum(amount, foreign), getDifference(capacity, worker.used));',
 		replace: 'return isAvailable(worker) && isWithin(getSum(amount, foreign), capacity);',
@@ -89,7 +90,7 @@
 	},
 	{
 		promised: Promised.OnePlace,
-		without: 'a new owner starts tasks before it heard of all workers that may run them',
+		faultyBehaviour: 'a new owner starts tasks before it has received the state of all workers that may run them',
 		file: 'src/jobs/recovery.ts',
 		find: 'const isWaitedOut = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;',
 		replace: 'const isWaitedOut = waitMs >= 0;',
@@ -97,7 +98,7 @@
 	},
 	{
 		promised: Promised.ConfigHolds,
-		without: 'a change based on an older record is accepted',
+		faultyBehaviour: 'a change based on an older record is accepted',
 		file: 'src/core/config-fold.ts',
 		find: 'if (stale === undefined) {',
 		replace: 'if (stale === undefined || result.sections.length > 0) {',
@@ -105,7 +106,7 @@
 	},
 	{
 		promised: Promised.ConfigHolds,
-		without: 'an older snapshot takes a reader back',
+		faultyBehaviour: 'an older snapshot reverts the state of a reader',
 		file: 'src/core/config-fold.ts',
 		find: 'const isUsable = snapshot.upToOffset > this.#offset && ',
 		replace: 'const isUsable = ',
@@ -113,7 +114,7 @@
 	},
 	{
 		promised: Promised.ShutdownWhole,
-		without: 'a stopping entry closes connections at once, with requests on their way to it',
+		faultyBehaviour: 'a stopping entry closes connections at once, while requests are on their way to it',
 		file: 'src/plugins/callers-service.ts',
 		find: 'await clock.sleep(settings.callers.drainMs);',
 		replace: '',
@@ -121,11 +122,11 @@
 	},
 ];
 
-/** Runs the tests with one guard replaced; names the tests that fail. */
-const runWithout = async ({file, find, replace, tests}: Guard): Promise<string[]> => {
+/** Runs the tests with one mutation; returns the names of the tests that fail. */
+const runMutated = async ({file, find, replace, tests}: Mutation): Promise<string[]> => {
 	const target = path.resolve(file);
 	if (!readFileSync(target, 'utf8').includes(find)) {
-		throw new Error(`${file} no longer contains the guard: ${find.trim()}`);
+		throw new Error(`${file} does not contain the safeguard to replace: ${find.trim()}`);
 	}
 
 	const vitest = await startVitest('test', tests, {
@@ -142,34 +143,34 @@
 	return failed;
 };
 
-/** Runs one guard in a process of its own: broken code may loop for ever. */
-const runApart = (index: number): string[] => {
+/** Runs one mutation in a separate process, as mutated code may loop forever. */
+const runInProcess = (index: number): string[] => {
 	const {stdout} = spawnSync(process.execPath, ['--import', 'tsx', 'scripts/break-guards.ts', '--only', String(index)], {
 		encoding: 'utf8', timeout: timeoutMs, killSignal: 'SIGKILL', stdio: ['ignore', 'pipe', 'ignore'],
 	});
-	const line = stdout.split('\n').find(candidate => candidate.startsWith(resultMark));
-	return line === undefined ? [`no end within ${timeoutMs / 1000} s`] : JSON.parse(line.slice(resultMark.length)) as string[];
+	const line = stdout.split('\n').find(candidate => candidate.startsWith(resultPrefix));
+	return line === undefined ? [`did not finish within ${timeoutMs / 1000} s`] : JSON.parse(line.slice(resultPrefix.length)) as string[];
 };
 
 const runAll = (): void => {
-	process.stdout.write('| promise | without its guard | noticed by |\n| --- | --- | --- |\n');
-	let unnoticed = 0;
-	for (const [index, {promised, without, file}] of guards.entries()) {
-		const failed = runApart(index);
-		unnoticed += failed.length === 0 ? 1 : 0;
-		const shown = failed.length === 0 ? '**nothing**' : `${failed.length} failures, first: ${failed[0]}`;
-		process.stdout.write(`| ${promised} | ${without} (\`${file}\`) | ${shown} |\n`);
+	process.stdout.write('| promise | without its safeguard | detected by |\n| --- | --- | --- |\n');
+	let undetected = 0;
+	for (const [index, {promised, faultyBehaviour, file}] of mutations.entries()) {
+		const failed = runInProcess(index);
+		undetected += failed.length === 0 ? 1 : 0;
+		const detectedBy = failed.length === 0 ? '**nothing**' : `${failed.length} failures, first: ${failed[0]}`;
+		process.stdout.write(`| ${promised} | ${faultyBehaviour} (\`${file}\`) | ${detectedBy} |\n`);
 	}
 
-	process.exitCode = unnoticed === 0 ? 0 : 1;
+	process.exitCode = undetected === 0 ? 0 : 1;
 };
 
 const only = process.argv.indexOf('--only');
 if (only === -1) {
 	runAll();
 } else {
-	const failed = await runWithout(guards[Number(process.argv[only + 1])]!);
-	process.stdout.write(`\n${resultMark}${JSON.stringify(failed)}\n`);
-	// The runner leaves workers of broken tests behind.
+	const failed = await runMutated(mutations[Number(process.argv[only + 1])]!);
+	process.stdout.write(`\n${resultPrefix}${JSON.stringify(failed)}\n`);
+	// Vitest can leave worker threads of mutated tests running, which would keep the process alive.
 	process.exit(0); // eslint-disable-line unicorn/no-process-exit
 }
--- a/scripts/build-site.js
+++ b/scripts/build-site.js
@@ -1,6 +1,6 @@
 /**
-Bundles the program for a site into one file under `target/`. For trials, mechanisms of the decisions can be left out:
-`node scripts/build-site.js --without value-order,unserved-room` (names: src/workflows/policy.ts).
+Bundles the program for a site into one file under `target/`. For trials, mechanisms of the scheduling policy can be disabled:
+`node scripts/build-site.js --without value-order,unserved-room` (names: `Mechanism` in src/workflows/policy.ts).
 */
 import {mkdirSync} from 'node:fs';
 import process from 'node:process';
--- a/scripts/capacity.ts
+++ b/scripts/capacity.ts
@@ -1,5 +1,5 @@
 /**
-Measures the slopes and the resident memory, and writes the tables of docs/CAPACITY.md between their marks.
+Measures how costs grow with size, and the resident memory of each role, and writes the tables of docs/CAPACITY.md between its markers.
 */
 import {readFileSync, writeFileSync} from 'node:fs';
 import process from 'node:process';
@@ -10,8 +10,8 @@
 
 const page = 'docs/CAPACITY.md';
 const seed = 1;
-const startMark = '<!-- tables: start -->';
-const endMark = '<!-- tables: end -->';
+const startMarker = '<!-- tables: start -->';
+const endMarker = '<!-- tables: end -->';
 
 const formatNumber = (value: number): string => {
 	const digits = Math.abs(value) >= 100 ? 0 : (Math.abs(value) >= 1 ? 1 : 4);
@@ -50,7 +50,7 @@
 	},
 });
 const tables = [
-	startMark,
+	startMarker,
 	'',
 	`Measured with seed ${seed} on Node.js ${process.version}.`,
 	'',
@@ -66,7 +66,7 @@
 	'',
 	...formatMemory(memory),
 	'',
-	endMark,
+	endMarker,
 ].join('\n');
-const content = readFileSync(page, 'utf8');
-writeFileSync(page, content.slice(0, content.indexOf(startMark)) + tables + content.slice(content.indexOf(endMark) + endMark.length));
+const pageText = readFileSync(page, 'utf8');
+writeFileSync(page, pageText.slice(0, pageText.indexOf(startMarker)) + tables + pageText.slice(pageText.indexOf(endMarker) + endMarker.length));
--- a/scripts/explain-day.ts
+++ b/scripts/explain-day.ts
@@ -1,5 +1,5 @@
 /**
-Tells from the logs of entries where the time of jobs went: `tsx scripts/explain-day.ts LOG...`
+Reports from the logs of entries how the time of jobs was spent: `tsx scripts/explain-day.ts LOG...`
 */
 import {readFileSync} from 'node:fs';
 import process from 'node:process';
--- a/scripts/measure-deciding.ts
+++ b/scripts/measure-deciding.ts
@@ -1,6 +1,7 @@
 /**
-Plays the loads of `src/measure/deciding-load.ts` against the owner as it is: `tsx scripts/measure-deciding.ts --seeds 5
---load heavy --without value-order`; `--known` lets the owner begin with the true harm of all pairs.
+Simulates the loads of `src/measure/deciding-load.ts` with the real owner: `tsx scripts/measure-scheduling.ts --seeds 5 --load heavy
+--without value-order`. `--first` is the first seed, `--without` disables mechanisms of the policy, and `--known` gives the owner the
+true interference of all pairs of images at the start.
 */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
--- a/scripts/resident-memory.ts
+++ b/scripts/resident-memory.ts
@@ -1,5 +1,5 @@
 /**
-Measures the resident memory of a bare Node.js process, of an idle guard and of an idle entry. Needs the bundle.
+Measures the resident memory of a bare Node.js process, of an idle guard and of an idle entry. Needs the bundle `dist/chervilworks.cjs`.
 */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {mkdtempSync, readFileSync, writeFileSync} from 'node:fs';
@@ -8,15 +8,15 @@
 import process from 'node:process';
 import {findFreePorts} from '../src/measure/soak-processes.ts';
 
-/** Resident memory in MB, and what was run. */
+/** Resident memory of each process, and its excess over a bare Node.js process, in MB. */
 export type ResidentMemory = Array<{name: string; residentMb: number; aboveBareMb: number}>;
 
-const settleMs = 6000;
+const warmUpMs = 6000;
 const bundle = 'dist/chervilworks.cjs';
 const pageBytes = 4096;
 const megabyte = 1024 * 1024;
 
-/** Starts the processes, lets them settle, reads their resident memory and ends them. */
+/** Starts the processes, waits until their memory is stable, reads their resident memory and ends them. */
 export const measureResidentMemory = async (): Promise<ResidentMemory> => {
 	const directory = mkdtempSync(path.join(tmpdir(), 'chervilworks-memory-'));
 	const ports = await findFreePorts(5);
@@ -46,21 +46,21 @@
 	const logProcess = start([bundle, 'standin', 'log', '--address', log]);
 	const running = commands.map(([name, args]) => ({name, child: start(args)}));
 	await new Promise(resolve => {
-		setTimeout(resolve, settleMs);
+		setTimeout(resolve, warmUpMs);
 	});
-	const read = running.map(({name, child}) => ({name, residentMb: readResidentMb(name, child)}));
+	const memory = running.map(({name, child}) => ({name, residentMb: readResidentMb(name, child)}));
 	for (const child of [logProcess, ...running.map(({child: other}) => other)]) {
 		child.kill('SIGKILL');
 	}
 
-	return read.map(({name, residentMb}) => ({name, residentMb, aboveBareMb: residentMb - read[0]!.residentMb}));
+	return memory.map(({name, residentMb}) => ({name, residentMb, aboveBareMb: residentMb - memory[0]!.residentMb}));
 };
 
 const start = (args: string[]): ChildProcess => spawn(process.execPath, args, {stdio: 'ignore'});
 
 const readResidentMb = (name: string, {pid, exitCode}: ChildProcess): number => {
 	if (exitCode !== null || pid === undefined) {
-		throw new Error(`${name} ended with ${exitCode} before it was measured`);
+		throw new Error(`process "${name}" exited with code ${exitCode} before its memory was read`);
 	}
 
 	return Number(readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[1]) * pageBytes / megabyte;
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -1,7 +1,7 @@
 /**
-Runs a soak and prints what it found. Exits 0 only when every promise held.
+Runs a soak test and prints its results. Exits with 0 only if every promise held.
 
-node dist build first: `npm run soak -- --seed 1 --seconds 60`.
+Needs the bundle `dist/chervilworks.cjs`, which `npm run soak -- --seed 1 --seconds 60` builds first.
 */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
@@ -38,10 +38,10 @@
 	`faults: ${[...report.faults].map(([name, count]) => `${name} ${count}`).join(', ') || 'none'}`,
 	`requests: ${callers.answered} answered, ${callers.broken} connections broken; refused: ${[...callers.refused].map(([reason, count]) => `${reason} ${count}`).join(', ') || 'none'}`,
 	...Object.entries(callers.latencies).map(([name, histogram]) =>
-		`${name}: p50 ${histogram.getValueAtPercentile(50)} ms, p99 ${histogram.getValueAtPercentile(99)} ms, ${histogram.totalCount} answers (tries of the caller included)`),
-	`jobs: ${jobs.ended} of ${jobs.submitted} acknowledged ones ended; not ended: ${jobs.lost.join(', ') || 'none'}`,
+		`${name}: p50 ${histogram.getValueAtPercentile(50)} ms, p99 ${histogram.getValueAtPercentile(99)} ms, ${histogram.totalCount} answers (including retries by callers)`),
+	`jobs: ${jobs.ended} of ${jobs.submitted} accepted jobs ended; not ended: ${jobs.lost.join(', ') || 'none'}`,
 	...[...report.use].map(([role, {count, residentMb, cpuShare}]) =>
-		`${role}: ${count} processes, most resident ${residentMb.toFixed(0)} MB, most processor ${(100 * cpuShare).toFixed(1)}% of a core`),
+		`${role}: ${count} processes, peak resident memory ${residentMb.toFixed(0)} MB, peak processor use ${(100 * cpuShare).toFixed(1)}% of a core`),
 	`crashes: ${report.crashes.join(', ') || 'none'}; logs in ${report.directory}`,
 	report.isHeld ? 'Every promise held.' : 'A promise was broken.',
 ];
--- a/src/standin/shared-worker.ts
+++ b/src/standin/shared-worker.ts
@@ -39,7 +39,7 @@
 	maxLeaseMs: number;
 	onStart: (taskId: string) => void;
 	onEnd: (taskId: string, end: RunEnd, lostMs: number) => void;
-	/** Called in each time step for each latency-critical task; `isDisturbed`: without interference, it would meet its target. */
+	/** Called in each time step for each latency-critical task; `meetsTargetAlone`: without interference, it would meet its target. */
 	onServed: (taskId: string, state: {isAtWork: boolean; isOver: boolean; isDisturbed: boolean}, elapsedMs: number) => void;
 };
 
--- a/test/path.test.ts
+++ b/test/path.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {runDemo} from '../src/standin/demo.ts';
 
-test('one request and one job go the whole way over real sockets', async () => {
+test('requests and jobs of both users are served end to end over real sockets', async () => {
 	const report = await runDemo({requestCount: 10, jobCount: 1});
 	expect(report.lines.at(-1)).toBe('Every promise held in what was sent.');
 	expect(report.isHeld).toBe(true);
--- a/test/perf/jobs-owner.ts
+++ b/test/perf/jobs-owner.ts
@@ -1,5 +1,5 @@
 /**
-Measures what owning jobs costs and how long a takeover lasts: `npx tsx --expose-gc test/perf/jobs-owner.ts`.
+Measures the memory and processor time that an owner of jobs needs, and how long a takeover takes: `npx tsx --expose-gc test/perf/measure-job-owner.ts`.
 */
 import process from 'node:process';
 import {JobFold} from '../../src/jobs/job-fold.ts';
@@ -19,7 +19,10 @@
 
 const getMedian = (values: number[]): number => values.toSorted((a, b) => a - b)[Math.floor(values.length / 2)]!;
 
-/** Time from the death of an owner until its shards are owned, and until jobs submitted at its death, and a second after the takeover, run. */
+/**
+Measures, from the crash of an owner, the time until its shards have a new owner and until jobs submitted at the crash run; and the
+time until jobs run that are submitted one second after the takeover.
+*/
 const measureTakeover = async (seed: number, isWorkerLost: boolean) => {
 	const world = new World({
 		seed, entries: 3, shards: 12, workers: 12, capacity: {processors: 16, memoryMb: 61_440, accelerators: 0}, getBehaviour: () => ({runTimeMs: 600_000}),
@@ -31,34 +34,34 @@
 	}
 
 	await world.until(() => world.getRunning().length === 36);
-	const victim = world.getEntry(0);
-	const lost = [...victim.scheduler.ownership.owned.keys()];
-	victim.crash();
+	const crashedEntry = world.getEntry(0);
+	const lostShards = [...crashedEntry.scheduler.ownership.owned.keys()];
+	crashedEntry.crash();
 	if (isWorkerLost) {
 		world.workers.get('worker-0')!.faults.isCut = true;
 		world.announced.delete('worker-0');
 	}
 
-	const beginMs = world.clock.monotonicMs();
-	const getSeconds = () => (world.clock.monotonicMs() - beginMs) / 1000;
+	const startMs = world.clock.monotonicMs();
+	const getSeconds = () => (world.clock.monotonicMs() - startMs) / 1000;
 	const submitAll = (prefix: string): string[] => Array.from({length: 24}, (_, index) => {
 		void world.getEntry().scheduler.submit(createSpec(`${prefix}-${index}`, {resources: smallResources}));
 		return `${prefix}-${index}`;
 	});
 	const areStarted = (ids: string[]) => ids.every(id => world.getPlaces(`${id}/0`).length === 1);
-	const early = submitAll('at-death');
-	await world.until(() => lost.every(shard => [...world.entries.values()].some(({scheduler}) => scheduler.ownership.owned.has(shard))));
+	const submittedAtCrash = submitAll('at-death');
+	await world.until(() => lostShards.every(shard => [...world.entries.values()].some(({scheduler}) => scheduler.ownership.owned.has(shard))));
 	const ownedSeconds = getSeconds();
 	await world.clock.advance(1000);
-	const late = submitAll('after');
-	await world.until(() => areStarted(late), 120_000);
-	const lateSeconds = getSeconds() - ownedSeconds - 1;
-	await world.until(() => areStarted(early), 120_000);
-	const figures = {
-		ownedSeconds, earlySeconds: getSeconds(), lateSeconds, isSafe: world.violations.length === 0,
+	const submittedLater = submitAll('after');
+	await world.until(() => areStarted(submittedLater), 120_000);
+	const submittedLaterSeconds = getSeconds() - ownedSeconds - 1;
+	await world.until(() => areStarted(submittedAtCrash), 120_000);
+	const result = {
+		ownedSeconds, submittedAtCrashSeconds: getSeconds(), submittedLaterSeconds, isSafe: world.violations.length === 0,
 	};
 	await world.stop();
-	return figures;
+	return result;
 };
 
 const measureCosts = async (taskCount: number) => {
@@ -82,23 +85,23 @@
 	}
 
 	const cpuBefore = process.cpuUsage();
-	const beginMs = world.clock.monotonicMs();
+	const startMs = world.clock.monotonicMs();
 	await world.submit(createSpec('wave', {taskCount, resources: smallResources}));
 	await world.until(() => world.getRunning().length === taskCount);
 	await world.until(() => world.getState('wave') === JobState.Succeeded, 120_000, 1000);
 	const cpu = process.cpuUsage(cpuBefore);
-	const seconds = (world.clock.monotonicMs() - beginMs) / 1000;
+	const seconds = (world.clock.monotonicMs() - startMs) / 1000;
 	await world.stop();
 	return {
 		taskCount,
-		// With the stand-in log and workers and the harness, which run in the same process.
+		// Includes the stand-in log and workers and the test harness, which run in the same process.
 		microsecondsPerTask: Math.round((cpu.user + cpu.system) / taskCount),
 		calls,
 		simulatedSeconds: seconds,
 	};
 };
 
-/** Memory of what an entry keeps: jobs as folded by every entry, ends, and live tasks at the owner. */
+/** Measures the memory of an entry's state: jobs and ends, which every entry folds from the log, and live tasks at the owner. */
 const measureState = (count: number) => {
 	const fold = new JobFold();
 	const before = getHeapBytes();
@@ -122,7 +125,7 @@
 
 	const afterEnds = getHeapBytes();
 	return {
-		// Named last, so that nothing measured is collected before.
+		// Refer to the measured objects, so that they are not garbage-collected before the last measurement.
 		ended: fold.jobs.size,
 		live: tasks.filter(({job}) => job.ends.size > 0).length,
 		bytesPerJob: Math.round((afterJobs - before) / count),
@@ -139,12 +142,12 @@
 		runs.push(await measureTakeover(seed, isWorkerLost));
 	}
 
-	console.log(`takeover, ${isWorkerLost ? 'a worker lost as well' : 'all workers reached'}, 10 seeds:`, JSON.stringify({
+	console.log(`takeover, ${isWorkerLost ? 'one worker unreachable' : 'all workers reachable'}, 10 seeds:`, JSON.stringify({
 		owned: getMedian(runs.map(({ownedSeconds}) => ownedSeconds)),
 		ownedMax: Math.max(...runs.map(({ownedSeconds}) => ownedSeconds)),
-		submittedAtDeathStarted: getMedian(runs.map(({earlySeconds}) => earlySeconds)),
-		submittedAtDeathStartedMax: Math.max(...runs.map(({earlySeconds}) => earlySeconds)),
-		submittedLaterStartedWithin: Math.max(...runs.map(({lateSeconds}) => lateSeconds)),
+		submittedAtDeathStarted: getMedian(runs.map(({submittedAtCrashSeconds}) => submittedAtCrashSeconds)),
+		submittedAtDeathStartedMax: Math.max(...runs.map(({submittedAtCrashSeconds}) => submittedAtCrashSeconds)),
+		submittedLaterStartedWithin: Math.max(...runs.map(({submittedLaterSeconds}) => submittedLaterSeconds)),
 		isSafe: runs.every(({isSafe}) => isSafe),
 	}));
 }
--- a/test/perf/measure-cycles.ts
+++ b/test/perf/measure-cycles.ts
@@ -1,6 +1,6 @@
 /**
-Measures what a scheduling cycle costs on services of several sizes, with many images that serve and many that fill, and
-beside a long backlog that finds no room: `npx tsx test/perf/measure-cycles.ts`.
+Measures the time of a scheduling cycle on services of several sizes, with many latency-critical and best-effort images and a long
+backlog for which no capacity is free: `npx tsx test/perf/measure-cycles.ts`.
 */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
@@ -14,26 +14,29 @@
 import {createSpec, createStep} from '../site-world.ts';
 
 const repeats = 15;
-const servingJobs = 40;
-const servingImages = 16;
-const fillingJobs = 40;
-const fillingImages = 30;
+const latencyCriticalJobs = 40;
+const latencyCriticalImages = 16;
+const bestEffortJobs = 40;
+const bestEffortImages = 30;
 const tasksPerJob = 20;
 const shortTasks = 20;
 
-/** Workers of 16 processors, each with three serving tasks and two that fill, of many jobs; long and short jobs wait. */
-const createFleet = (size: number, {waitingJobs, filling: fillingPerWorker}: {waitingJobs: number; filling: number}) => {
+/**
+Creates workers of 16 processors with tasks of many jobs: each has three latency-critical tasks and the given number of best-effort
+tasks. Long and short jobs wait.
+*/
+const createFleet = (size: number, {waitingJobs, bestEffort: bestEffortPerWorker}: {waitingJobs: number; bestEffort: number}) => {
 	const random = createRandom(1);
-	const createFilling = (id: string, count: number, image: number) => createWorkflow(id, createSpec([createStep({
+	const createBestEffort = (id: string, count: number, image: number) => createWorkflow(id, createSpec([createStep({
 		count, isFilling: true, image: `fill-${image}`, milliCpu: 1800,
 	})]));
-	const serving = Array.from({length: servingJobs}, (_, index) => createWorkflow(`s${index}`, createSpec([createStep({
-		count: Math.ceil(3 * size / servingJobs), isLasting: true, targetMs: 24, image: `serve-${index % servingImages}`, milliCpu: 3500,
+	const latencyCritical = Array.from({length: latencyCriticalJobs}, (_, index) => createWorkflow(`s${index}`, createSpec([createStep({
+		count: Math.ceil(3 * size / latencyCriticalJobs), isLasting: true, targetMs: 24, image: `serve-${index % latencyCriticalImages}`, milliCpu: 3500,
 	})])));
-	const filling = Array.from({length: fillingJobs}, (_, index) => createFilling(`f${index}`, Math.ceil(fillingPerWorker * size / fillingJobs), index % fillingImages));
-	const waiting = Array.from({length: waitingJobs}, (_, index) => createFilling(`w${index}`, tasksPerJob, random.below(fillingImages)));
+	const bestEffort = Array.from({length: bestEffortJobs}, (_, index) => createBestEffort(`f${index}`, Math.ceil(bestEffortPerWorker * size / bestEffortJobs), index % bestEffortImages));
+	const waiting = Array.from({length: waitingJobs}, (_, index) => createBestEffort(`w${index}`, tasksPerJob, random.below(bestEffortImages)));
 	const short = createWorkflow('c', createSpec([createStep({count: shortTasks, milliCpu: 400})]));
-	const {model} = load([...serving, ...filling, ...waiting, short]);
+	const {model} = load([...latencyCritical, ...bestEffort, ...waiting, short]);
 	const workers = Array.from({length: size}, (_, index) => createWorker(`host-${index}`, 16_000, ['a', `r1-${Math.floor(index / 8)}`]));
 	const tasks = [...model.waiting(0, () => false)];
 	const isRunning = ({ref: {workflowId}}: LiveTask) => workflowId.startsWith('s') || workflowId.startsWith('f');
@@ -44,32 +47,32 @@
 	return {model, workers};
 };
 
-/** Half of the pairs disturb each other, and all are known. */
-const createHarm = (): FillHarm => {
+/** Creates a model that knows all pairs of images; half of them interfere with each other. */
+const createInterference = (): FillHarm => {
 	const random = createRandom(2);
-	const harm = new FillHarm();
-	harm.restore(Array.from({length: servingImages * fillingImages}, (_, index) => ({
-		server: `serve-${index % servingImages}`, filler: `fill-${Math.floor(index / servingImages)}`, mean: random.below(2) * random.next() * 0.2, deviation: 0.02,
+	const interference = new FillHarm();
+	interference.restore(Array.from({length: latencyCriticalImages * bestEffortImages}, (_, index) => ({
+		server: `serve-${index % latencyCriticalImages}`, filler: `fill-${Math.floor(index / latencyCriticalImages)}`, mean: random.below(2) * random.next() * 0.2, deviation: 0.02,
 	})), 0);
-	return harm;
+	return interference;
 };
 
 const getMedian = (values: number[]): number => values.toSorted((a, b) => a - b)[Math.floor(values.length / 2)]!;
 
 const cases = [
-	{size: 11, waitingJobs: 20, filling: 2},
-	{size: 160, waitingJobs: 20, filling: 2},
-	{size: 1000, waitingJobs: 20, filling: 2},
-	{size: 15, waitingJobs: 70, filling: 8},
-	{size: 160, waitingJobs: 200, filling: 8},
+	{size: 11, waitingJobs: 20, bestEffort: 2},
+	{size: 160, waitingJobs: 20, bestEffort: 2},
+	{size: 1000, waitingJobs: 20, bestEffort: 2},
+	{size: 15, waitingJobs: 70, bestEffort: 8},
+	{size: 160, waitingJobs: 200, bestEffort: 8},
 ];
 const rows = cases.map(({size, ...load}) => {
 	const {model, workers} = createFleet(size, load);
-	const harm = createHarm();
+	const interference = createInterference();
 	let starts = 0;
 	const times = Array.from({length: repeats}, () => {
 		const startMs = performance.now();
-		starts = placeAll(model, workers, {harm}).length;
+		starts = placeAll(model, workers, {harm: interference}).length;
 		return performance.now() - startMs;
 	});
 	const cycleMs = getMedian(times);
--- a/test/perf/measure-filling.ts
+++ b/test/perf/measure-filling.ts
@@ -1,5 +1,6 @@
 /**
-Measures what a round of placement costs beside serving tasks, and a look for other places: `npx tsx test/perf/measure-filling.ts`.
+Measures the time of a scheduling cycle that places best-effort tasks beside latency-critical ones; and of checking whether tasks could
+be placed elsewhere, with a new placement check for each task and with one for all: `npx tsx test/perf/measure-best-effort-placement.ts`.
 */
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
@@ -14,10 +15,10 @@
 import {createSpec, createStep} from '../site-world.ts';
 
 const repeats = 30;
-const heldTasks = 30;
+const relocatableTasks = 30;
 const waitingTasks = 40;
 
-/** Workers of 16 processors, each with four serving tasks and three that fill; long jobs wait. */
+/** Creates workers of 16 processors, each with four latency-critical and three best-effort tasks; best-effort tasks of one job wait. */
 const createFleet = (size: number) => {
 	const {model} = load([
 		createWorkflow('s', createSpec([createStep({
@@ -36,31 +37,31 @@
 		run(task, workers[index % size]!, {recent: task.step.spec.isFilling ? 1800 : 12, percent: 100});
 	}
 
-	return {model, workers, held: tasks.slice(4 * size, (4 * size) + heldTasks)};
+	return {model, workers, relocatable: tasks.slice(4 * size, (4 * size) + relocatableTasks)};
 };
 
-const measureMs = (act: () => void): number => {
+const measureMs = (operation: () => void): number => {
 	const times = Array.from({length: repeats}, () => {
 		const startMs = performance.now();
-		act();
+		operation();
 		return performance.now() - startMs;
 	});
 	return times.toSorted((a, b) => a - b)[repeats / 2]!;
 };
 
 const rows = [11, 72, 300].map(size => {
-	const {model, workers, held} = createFleet(size);
-	const harm = new FillHarm();
-	const terms = {harm, isAllowed: () => true, policy: createPolicy()};
-	const askAnew = (task: LiveTask) => createPlaceFinder(workers, terms)(task);
-	const round = measureMs(() => placeAll(model, workers, {harm}));
-	const before = measureMs(() => held.filter(task => askAnew(task)));
-	const after = measureMs(() => {
-		const hasPlace = createPlaceFinder(workers, terms);
-		held.filter(task => hasPlace(task));
+	const {model, workers, relocatable} = createFleet(size);
+	const interference = new FillHarm();
+	const options = {harm: interference, isAllowed: () => true, policy: createPolicy()};
+	const canPlaceWithNewCheck = (task: LiveTask) => createPlaceFinder(workers, options)(task);
+	const placementMs = measureMs(() => placeAll(model, workers, {harm: interference}));
+	const newChecksMs = measureMs(() => relocatable.filter(task => canPlaceWithNewCheck(task)));
+	const sharedCheckMs = measureMs(() => {
+		const canPlace = createPlaceFinder(workers, options);
+		relocatable.filter(task => canPlace(task));
 	});
 	return {
-		labels: {workers: String(size)}, figures: {roundMs: round, lookForEachTaskMs: before, oneLookMs: after},
+		labels: {workers: String(size)}, figures: {cycleMs: placementMs, newCheckPerTaskMs: newChecksMs, oneCheckMs: sharedCheckMs},
 	};
 });
 
--- a/test/perf/profile-entry.ts
+++ b/test/perf/profile-entry.ts
@@ -1,7 +1,8 @@
 /**
-Runs a whole entry as a process of its own beside a stand-in store, agents and workers, and tells what processor time it
-takes for what it does: `npx tsx test/perf/profile-entry.ts --workers 15 --arrivals 0.5 --seconds 25 [--share 0.07]
-[--profile FOLDER] [--flags V8-FLAGS]`. With a share, the process gets that part of a processor, a tenth of a second at a time.
+Runs an entry as a separate process with a stand-in store, agents and workers, and prints the processor time that it takes and what it
+does in that time: `npx tsx test/perf/profile-entry.ts --workers 15 --arrivals 0.5 --seconds 25 [--share 0.07]
+[--profile FOLDER] [--flags V8-FLAGS]`. `--arrivals` scales the arrival rate of the load; `--share` limits the process to that share of a
+processor in each period of 100 ms.
 */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {
@@ -44,7 +45,7 @@
 const secondMs = 1000;
 const stepMs = 50;
 const quotaPeriodMs = 100;
-const leadMs = 3000;
+const warmUpMs = 3000;
 const partitions = 8;
 const service = 'desk';
 const clock = createSystemClock();
@@ -60,7 +61,7 @@
 	watches: 0, orders: 0, started: 0, done: 0, failed: 0, stopped: 0, accepted: 0, refused: 0,
 };
 
-/** Processor time of a process in ms, by the scheduler's own account of its threads. */
+/** Processor time of a process in ms, in ticks of 10 ms; 0 if the process has exited. */
 const readCpuMs = (pid: number): number => {
 	try {
 		const [user, system] = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ').slice(11, 13).map(Number);
@@ -70,10 +71,11 @@
 	}
 };
 
-/** Processor time of each thread in ms, the main one first. */
+/** Processor time of each thread in ms, main thread first. */
 const readThreadsMs = (pid: number): number[] => readdirSync(`/proc/${pid}/task`).map(Number).toSorted((a, b) => a - b)
 	.map(thread => Math.round(Number(readFileSync(`/proc/${pid}/task/${thread}/schedstat`, 'utf8').split(' ')[0]) / 1e6));
 
+/** Processor time of all threads in ms, with the kernel's full resolution. */
 const readExactCpuMs = (pid: number): number => {
 	let sumMs = 0;
 	for (const thread of readdirSync(`/proc/${pid}/task`)) {
@@ -103,7 +105,7 @@
 	services: [{name: service}],
 	limits: {},
 })));
-const getChance = (text: string): number => {
+const hashToUnitInterval = (text: string): number => {
 	let hash = 7;
 	for (const char of text) {
 		hash = Math.imul(hash ^ char.codePointAt(0)!, 16_777_619);
@@ -125,7 +127,7 @@
 				const {phase, kind: {serving}} = getJob(taskId);
 				return serving!.load * (1 + (serving!.swing * Math.sin(2 * Math.PI * ((nowMs / (serving!.periodS * secondMs)) + phase))));
 			},
-			getEffect: (server, filler) => load.effects[Math.floor(getChance(`${server} ${filler}`) * load.effects.length)]!,
+			getEffect: (server, filler) => load.effects[Math.floor(hashToUnitInterval(`${server} ${filler}`) * load.effects.length)]!,
 		},
 		checkpointEveryMs: 1000,
 		restoreMs: 100,
@@ -136,9 +138,9 @@
 		getTruth(taskId, run) {
 			const {step, index: taskIndex} = parseTaskId(taskId)!;
 			const job = getJob(taskId);
-			const luck = getChance(`${taskId} ${run}`);
+			const failureDraw = hashToUnitInterval(`${taskId} ${run}`);
 			return {
-				spec: job.spec.steps[step]!, workMs: job.kind.serving ? undefined : job.workMs[step]![taskIndex]!, failsAt: luck < job.kind.errorShare ? luck / job.kind.errorShare : undefined,
+				spec: job.spec.steps[step]!, workMs: job.kind.serving ? undefined : job.workMs[step]![taskIndex]!, failsAt: failureDraw < job.kind.errorShare ? failureDraw / job.kind.errorShare : undefined,
 			};
 		},
 		onStart() {
@@ -217,27 +219,27 @@
 });
 const pid = entry.pid!;
 const lines: string[] = [];
-let rest = '';
+let partialLine = '';
 entry.stdout!.on('data', (chunk: Buffer) => {
-	const parts = (rest + chunk.toString()).split('\n');
-	rest = parts.pop()!;
+	const parts = (partialLine + chunk.toString()).split('\n');
+	partialLine = parts.pop()!;
 	lines.push(...parts);
 });
 
-/** Holds the process to a part of a processor, as a quota does. */
-const holdToShare = (share: number): void => {
+/** Limits the process to a share of a processor with SIGSTOP and SIGCONT, as a CPU quota does. */
+const limitToShare = (share: number): void => {
 	let periodStartMs = performance.now();
-	let usedAtStartMs = readExactCpuMs(pid);
+	let usedAtPeriodStartMs = readExactCpuMs(pid);
 	let isStopped = false;
 	setInterval(() => {
 		try {
-			const usedMs = readExactCpuMs(pid) - usedAtStartMs;
+			const usedMs = readExactCpuMs(pid) - usedAtPeriodStartMs;
 			const nowMs = performance.now();
 			if (nowMs - periodStartMs >= quotaPeriodMs) {
 				periodStartMs = nowMs;
-				// What was used beyond the quota is taken off the next one.
-				usedAtStartMs += Math.min(usedMs, share * quotaPeriodMs);
-				if (isStopped && readExactCpuMs(pid) - usedAtStartMs < share * quotaPeriodMs) {
+				// Use above the quota is charged to the next period.
+				usedAtPeriodStartMs += Math.min(usedMs, share * quotaPeriodMs);
+				if (isStopped && readExactCpuMs(pid) - usedAtPeriodStartMs < share * quotaPeriodMs) {
 					isStopped = false;
 					entry.kill('SIGCONT');
 				}
@@ -246,13 +248,13 @@
 				entry.kill('SIGSTOP');
 			}
 		} catch {
-			// The process has ended.
+			// The process has exited.
 		}
 	}, 1);
 };
 
 if (values.share !== undefined) {
-	holdToShare(Number(values.share));
+	limitToShare(Number(values.share));
 }
 
 const formatStep = (step: WorkflowStep) => ({
@@ -273,7 +275,7 @@
 	call.end(JSON.stringify({spec: 'text', steps: spec.steps.map(step => formatStep(step))}));
 });
 
-await clock.sleep(leadMs);
+await clock.sleep(warmUpMs);
 const startMs = performance.now();
 const cpuAtStartMs = readCpuMs(pid);
 for (const job of offered) {
@@ -291,7 +293,7 @@
 		const name = refusal === undefined ? msg : `${msg}: ${refusal}`;
 		events.set(name, (events.get(name) ?? 0) + 1);
 	} catch {
-		// A line that is not whole.
+		// An incomplete line.
 	}
 }
 
--- a/test/perf/store-server.ts
+++ b/test/perf/store-server.ts
@@ -1,5 +1,5 @@
 /**
-Serves the stand-in store over HTTP in the platform's format, so that real processes can be measured against it.
+Serves the stand-in store over HTTP in the platform's format, so that measurements can run real processes against it.
 */
 import {Buffer} from 'node:buffer';
 import {createServer, type IncomingMessage, type Server} from 'node:http';
@@ -9,7 +9,7 @@
 import {AppendOutcome, type KeyedWrite, type PartitionRef} from '../../src/types/store.ts';
 
 const lengthBytes = 4;
-const headBytes = 16;
+const headerBytes = 16;
 const keyedPrefix = 'keyed.';
 
 const readBody = async (request: IncomingMessage): Promise<Buffer> => {
@@ -46,7 +46,7 @@
 
 const encodeKeyed = ({key, value}: KeyedWrite): Buffer => Buffer.concat([Buffer.from([Buffer.byteLength(key)]), Buffer.from(key), value ?? Buffer.alloc(0)]);
 
-/** Starts the server; resolves to its address. */
+/** Starts the server; resolves to it, its address and the number of calls by path and topic. */
 export const serveStore = async (store: MemoryStore): Promise<{server: Server; address: string; calls: Map<string, number>}> => {
 	const calls = new Map<string, number>();
 	const client = store.createClient('http');
@@ -96,11 +96,11 @@
 			case '/log-read': {
 				const from = Number(query.get('from'));
 				const waitMs = Number(query.get('waitMs') ?? 0);
-				const head = Buffer.alloc(headBytes);
+				const header = Buffer.alloc(headerBytes);
 				const page = isKeyed ? await client.readKeyed(ref, from, waitMs) : await client.read(ref, from, {waitMs, maxBytes: Number(query.get('maxKb') ?? 1024) * 1024});
-				head.writeBigUInt64BE(BigInt(page.endOffset), 0);
+				header.writeBigUInt64BE(BigInt(page.endOffset), 0);
 				const values = page.records.map(record => 'key' in record ? encodeKeyed(record) : record.value);
-				return {status: 200, body: Buffer.concat([head, frame(values)])};
+				return {status: 200, body: Buffer.concat([header, frame(values)])};
 			}
 
 			case '/log-newest': {
@@ -110,10 +110,10 @@
 
 			case '/log-join': {
 				const {group, member, topics, ttlMs, generation} = JSON.parse(body.toString()) as {group: string; member: string; topics: string[]; ttlMs: number; generation: number};
-				const share = await client.join({
+				const assignment = await client.join({
 					group, member, topics, ttlMs, generation,
 				});
-				return {status: 200, body: JSON.stringify({generation: share.generation, parts: share.partitions.map(({topic, partition}) => [topic, partition, 0])})};
+				return {status: 200, body: JSON.stringify({generation: assignment.generation, parts: assignment.partitions.map(({topic, partition}) => [topic, partition, 0])})};
 			}
 
 			case '/log-owners': {
