--- a/src/standin/shared-worker.ts
+++ b/src/standin/shared-worker.ts
@@ -229,7 +229,14 @@
 		const checkpointedMs = start.checkpoint === '' ? 0 : Number(start.checkpoint);
 		this.#lastRuns.set(start.taskId, start.run);
 		this.runs.set(start.taskId, {
-			start, truth: getTruth(start.taskId, start.run), startedAtMs: nowMs, doneMs: checkpointedMs === 0 ? 0 : checkpointedMs - restoreMs, checkpointedMs, throttlePercent: fullPercent, recent: 0, isStopping: false,
+			start,
+			truth: getTruth(start.taskId, start.run),
+			startedAtMs: nowMs,
+			doneMs: checkpointedMs === 0 ? 0 : checkpointedMs - restoreMs,
+			checkpointedMs,
+			throttlePercent: fullPercent,
+			recent: 0,
+			isStopping: false,
 		});
 		onStart(start.taskId);
 		return {isDone: true};
--- a/test/perf/profile-entry.ts
+++ b/test/perf/profile-entry.ts
@@ -140,7 +140,9 @@
 			const job = getJob(taskId);
 			const failureDraw = hashToUnitInterval(`${taskId} ${run}`);
 			return {
-				spec: job.spec.steps[step]!, workMs: job.kind.serving ? undefined : job.workMs[step]![taskIndex]!, failsAt: failureDraw < job.kind.errorShare ? failureDraw / job.kind.errorShare : undefined,
+				spec: job.spec.steps[step]!,
+				workMs: job.kind.serving ? undefined : job.workMs[step]![taskIndex]!,
+				failsAt: failureDraw < job.kind.errorShare ? failureDraw / job.kind.errorShare : undefined,
 			};
 		},
 		onStart() {
