--- a/scripts/break-guards.ts
+++ b/scripts/break-guards.ts
@@ -1,5 +1,5 @@
 /**
-Mutation tests: removes one safeguard at a time from the source while it is loaded, runs the tests of the promise that it protects,
+Mutation tests: removes one safeguard at a time from the source while it is loaded, runs the tests of the guarantee that it protects,
 and prints which of them fail. Exits with 0 only if every mutation makes a test fail.
 */
 import {spawnSync} from 'node:child_process';
@@ -13,7 +13,7 @@
 const timeoutMs = 90_000;
 
 type Mutation = {
-	promised: Promised;
+	guarantee: Promised;
 	/** What the code does without the safeguard. */
 	faultyBehaviour: string;
 	file: string;
@@ -25,7 +25,7 @@
 
 const mutations: Mutation[] = [
 	{
-		promised: Promised.AtMostOnce,
+		guarantee: Promised.AtMostOnce,
 		faultyBehaviour: 'a later claim of the same id succeeds too',
 		file: 'src/requests/claim-fold.ts',
 		find: 'if (known && (known.state !== ClaimState.NotRun || known.releasedIds?.includes(claimId))) {',
@@ -33,7 +33,7 @@
 		tests: ['test/claims.test.ts'],
 	},
 	{
-		promised: Promised.AtMostOnce,
+		guarantee: Promised.AtMostOnce,
 		faultyBehaviour: 'the HTTP client may resend a request on its own',
 		file: 'src/requests/dispatch-attempt.ts',
 		find: 'if (this.#isWritten || this.#isEnded || !this.#options.mayWrite()) {',
@@ -41,7 +41,7 @@
 		tests: ['test/requests.test.ts', 'test/retry.test.ts', 'test/answers.test.ts'],
 	},
 	{
-		promised: Promised.NotRunTrue,
+		guarantee: Promised.NotRunTrue,
 		faultyBehaviour: 'a request that was written counts as not written',
 		file: 'src/requests/dispatch-attempt.ts',
 		find: '\t\tthis.#isWritten = true;\n',
@@ -49,7 +49,7 @@
 		tests: ['test/requests.test.ts', 'test/answers.test.ts', 'test/retry.test.ts'],
 	},
 	{
-		promised: Promised.OwnAnswer,
+		guarantee: Promised.OwnAnswer,
 		faultyBehaviour: 'a response that does not state its length is forwarded',
 		file: 'src/requests/dispatch-attempt.ts',
 		find: 'if (!isFramed(this.#options.request.method, status, headers)) {',
@@ -57,7 +57,7 @@
 		tests: ['test/answers.test.ts'],
 	},
 	{
-		promised: Promised.LeavingQuiet,
+		guarantee: Promised.LeavingQuiet,
 		faultyBehaviour: 'a late announcement undoes a drain',
 		file: 'src/requests/announcement-book.ts',
 		find: 'return stateRank[next.state] > stateRank[known.state];',
@@ -65,7 +65,7 @@
 		tests: ['test/membership.test.ts', 'test/drain.test.ts'],
 	},
 	{
-		promised: Promised.NoOvercommit,
+		guarantee: Promised.NoOvercommit,
 		faultyBehaviour: 'slots of an unresponsive entry are granted to others when its lease ends, while its requests may still run',
 		file: 'src/requests/slot-table.ts',
 		find: 'nowMs >= leaseEndMs + maxHoldMs',
@@ -73,7 +73,7 @@
 		tests: ['test/slots.test.ts', 'test/slots-property.test.ts'],
 	},
 	{
-		promised: Promised.NoOvercommit,
+		guarantee: Promised.NoOvercommit,
 		faultyBehaviour: 'a sponsor grants more slots than are free',
 		file: 'src/requests/slot-table.ts',
 		find: 'const free = Math.max(0, this.#capacity - this.granted);',
@@ -81,7 +81,7 @@
 		tests: ['test/slots.test.ts', 'test/slots-property.test.ts'],
 	},
 	{
-		promised: Promised.NoOvercommit,
+		guarantee: Promised.NoOvercommit,
 		faultyBehaviour: 'placement ignores the free capacity of a worker',
 		file: 'src/jobs/placement-fleet.ts',
 		find: 'return isAvailable(worker) && isWithin(getSum(amount, foreign), getDifference(capacity, worker.used));',
@@ -89,7 +89,7 @@
 		tests: ['test/placement.test.ts', 'test/placement-properties.test.ts'],
 	},
 	{
-		promised: Promised.OnePlace,
+		guarantee: Promised.OnePlace,
 		faultyBehaviour: 'a new owner starts tasks before it has received the state of all workers that may run them',
 		file: 'src/jobs/recovery.ts',
 		find: 'const isWaitedOut = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;',
@@ -97,7 +97,7 @@
 		tests: ['test/recovery.test.ts', 'test/ownership.test.ts'],
 	},
 	{
-		promised: Promised.ConfigHolds,
+		guarantee: Promised.ConfigHolds,
 		faultyBehaviour: 'a change based on an older record is accepted',
 		file: 'src/core/config-fold.ts',
 		find: 'if (stale === undefined) {',
@@ -105,7 +105,7 @@
 		tests: ['test/config-fold.test.ts'],
 	},
 	{
-		promised: Promised.ConfigHolds,
+		guarantee: Promised.ConfigHolds,
 		faultyBehaviour: 'an older snapshot reverts the state of a reader',
 		file: 'src/core/config-fold.ts',
 		find: 'const isUsable = snapshot.upToOffset > this.#offset && ',
@@ -113,7 +113,7 @@
 		tests: ['test/config-fold.test.ts'],
 	},
 	{
-		promised: Promised.ShutdownWhole,
+		guarantee: Promised.ShutdownWhole,
 		faultyBehaviour: 'a stopping entry closes connections at once, while requests are on their way to it',
 		file: 'src/plugins/callers-service.ts',
 		find: 'await clock.sleep(settings.callers.drainMs);',
@@ -153,13 +153,13 @@
 };
 
 const runAll = (): void => {
-	process.stdout.write('| promise | without its safeguard | detected by |\n| --- | --- | --- |\n');
+	process.stdout.write('| guarantee | without its safeguard | detected by |\n| --- | --- | --- |\n');
 	let undetected = 0;
-	for (const [index, {promised, faultyBehaviour, file}] of mutations.entries()) {
+	for (const [index, {guarantee, faultyBehaviour, file}] of mutations.entries()) {
 		const failed = runInProcess(index);
 		undetected += failed.length === 0 ? 1 : 0;
 		const detectedBy = failed.length === 0 ? '**nothing**' : `${failed.length} failures, first: ${failed[0]}`;
-		process.stdout.write(`| ${promised} | ${faultyBehaviour} (\`${file}\`) | ${detectedBy} |\n`);
+		process.stdout.write(`| ${guarantee} | ${faultyBehaviour} (\`${file}\`) | ${detectedBy} |\n`);
 	}
 
 	process.exitCode = undetected === 0 ? 0 : 1;
--- a/scripts/measure-deciding.ts
+++ b/scripts/measure-deciding.ts
@@ -1,5 +1,5 @@
 /**
-Simulates the loads of `src/measure/deciding-load.ts` with the real owner: `tsx scripts/measure-scheduling.ts --seeds 5 --load heavy
+Simulates the loads of `src/measure/scheduling-load.ts` with the real owner: `tsx scripts/measure-scheduling.ts --seeds 5 --load heavy
 --without value-order`. `--first` is the first seed, `--without` disables mechanisms of the policy, and `--known` gives the owner the
 true interference of all pairs of images at the start.
 */
--- a/scripts/soak.ts
+++ b/scripts/soak.ts
@@ -1,5 +1,5 @@
 /**
-Runs a soak test and prints its results. Exits with 0 only if every promise held.
+Runs a soak test and prints its results. Exits with 0 only if every guarantee held.
 
 Needs the bundle `dist/chervilworks.cjs`, which `npm run soak -- --seed 1 --seconds 60` builds first.
 */
@@ -43,7 +43,7 @@
 	...[...report.use].map(([role, {count, residentMb, cpuShare}]) =>
 		`${role}: ${count} processes, peak resident memory ${residentMb.toFixed(0)} MB, peak processor use ${(100 * cpuShare).toFixed(1)}% of a core`),
 	`crashes: ${report.crashes.join(', ') || 'none'}; logs in ${report.directory}`,
-	report.isHeld ? 'Every promise held.' : 'A promise was broken.',
+	report.isHeld ? 'Every guarantee held.' : 'A guarantee was violated.',
 ];
 process.stdout.write(`${lines.join('\n')}\n`);
 process.exitCode = report.isHeld ? 0 : 1;
--- a/src/commands/demo-command.ts
+++ b/src/commands/demo-command.ts
@@ -9,7 +9,7 @@
 	static override readonly paths = [['demo']];
 	static override readonly usage = Command.Usage({
 		category: 'Trying out',
-		description: 'Run entries, log, workers and upstreams in one process and send requests and jobs. Exits with 0 only if every promise held.',
+		description: 'Run entries, log, workers and upstreams in one process and send requests and jobs. Exits with 0 only if every guarantee held.',
 		examples: [['A short run', 'chervilworks demo --requests 100 --jobs 5']],
 	});
 
--- a/src/standin/demo.ts
+++ b/src/standin/demo.ts
@@ -38,7 +38,7 @@
 
 /** Result of the demonstration. */
 export type DemoReport = {
-	/** Whether every promise held, all jobs succeeded and at least one request was answered. */
+	/** Whether every guarantee held, all jobs succeeded and at least one request was answered. */
 	isHeld: boolean;
 	lines: string[];
 };
@@ -83,7 +83,7 @@
 const maxWaitMs = 15_000;
 const anyAddress = '127.0.0.1:0';
 
-/** Runs the demonstration; the report states whether every promise held for the requests and jobs that were sent. */
+/** Runs the demonstration; the report states whether every guarantee held for the requests and jobs that were sent. */
 export const runDemo = async (options: DemoOptions): Promise<DemoReport> => {
 	const cluster = await createCluster();
 	try {
@@ -207,14 +207,14 @@
 	const requestClass = index % 5 === 0 ? RequestClass.Long : RequestClass.Check;
 	const entry = entries[index % entries.length]!;
 	const path = `/${user.service}/${requestClass}/${index}`;
-	const tryId = `${path}#${random.id()}`;
+	const attemptId = `${path}#${random.id()}`;
 	const requestId = requestClass === RequestClass.Long ? createRequestId(clock, random) : undefined;
-	checker.noteTry(tryId, requestId);
+	checker.noteTry(attemptId, requestId);
 	const startMs = clock.monotonicMs();
 	const answer = await request(`http://${entry.get(ServiceName.Callers).getAddress()}${path}`, {
 		method: requestClass === RequestClass.Long ? 'POST' : 'GET',
 		headers: {
-			[tryHeader]: tryId,
+			[tryHeader]: attemptId,
 			[Header.RequestClass]: requestClass,
 			[Header.CallerId]: user.team,
 			...(requestId !== undefined && {[Header.RequestId]: requestId}),
@@ -227,7 +227,7 @@
 		const reason = String(answer.headers[Header.RefusalReason] ?? answer.statusCode);
 		stats.refused.set(reason, (stats.refused.get(reason) ?? 0) + 1);
 		if (answer.headers[Header.Outcome] === Outcome.NotRun) {
-			checker.noteNotRun(tryId);
+			checker.noteNotRun(attemptId);
 		}
 
 		return;
@@ -235,7 +235,7 @@
 
 	stats.answered++;
 	stats.latencies[requestClass].recordValue(Math.round((clock.monotonicMs() - startMs) * 1000));
-	checker.noteAnswer(tryId, (JSON.parse(text) as {path: string}).path === path);
+	checker.noteAnswer(attemptId, (JSON.parse(text) as {path: string}).path === path);
 };
 
 const runJobs = async ({clock, entries}: DemoCluster, count: number): Promise<JobStatus[]> => {
@@ -287,7 +287,7 @@
 		...allStats.flatMap((stats, index) => describeStats(users[index]!, stats)),
 		`jobs: ${succeeded} of ${jobs.length} succeeded`,
 		...formatPromises(checker.getReport()).filter(line => !line.endsWith('not put at risk')),
-		isHeld ? 'Every promise held in what was sent.' : 'A promise was broken.',
+		isHeld ? 'Every guarantee held for the requests and jobs sent.' : 'A guarantee was violated.',
 	];
 	return {isHeld, lines};
 };
--- a/src/standin/hosts.ts
+++ b/src/standin/hosts.ts
@@ -50,8 +50,8 @@
 	const upstream = createStandinUpstream({
 		clock,
 		getServiceMs: options.getServiceMs,
-		onRan(tryId) {
-			observe({type: HostEventType.Ran, tryId});
+		onRan(attemptId) {
+			observe({type: HostEventType.Ran, tryId: attemptId});
 		},
 	});
 	return createHost(options, upstream, 'upstreams', {
--- a/src/standin/upstream-server.ts
+++ b/src/standin/upstream-server.ts
@@ -11,7 +11,7 @@
 	clock: Clock;
 	getServiceMs(path: string): number;
 	/** Called when a request starts to run, with the attempt id from its header. */
-	onRan?(tryId: string): void;
+	onRan?(attemptId: string): void;
 };
 
 /** A running stand-in upstream. */
@@ -26,9 +26,9 @@
 export const createStandinUpstream = (options: UpstreamOptions): StandinUpstream => {
 	const serve = async (request: IncomingMessage, response: ServerResponse) => {
 		const body = await readBody(request, options.clock, bodyLimits);
-		const tryId = request.headers[tryHeader];
-		if (typeof tryId === 'string') {
-			options.onRan?.(tryId);
+		const attemptId = request.headers[tryHeader];
+		if (typeof attemptId === 'string') {
+			options.onRan?.(attemptId);
 		}
 
 		const path = request.url ?? '/';
