--- a/src/standin/memory-store.ts
+++ b/src/standin/memory-store.ts
@@ -314,7 +314,10 @@
 		};
 	}
 
-	/** Removes members that have not called within their time to live; this includes a member that joins again too late. */
+	/**
+	Removes members that have not called within their time to live. This includes a member that joins again too late: its partitions
+	go to others before it is added again.
+	*/
 	#removeExpired(state: Group): void {
 		const nowMs = this.#clock.monotonicMs();
 		const expired = [...state.members].filter(([, {lastSeenMs, ttlMs}]) => nowMs - lastSeenMs > ttlMs);
