--- a/src/measure/capacity-announcements.ts
+++ b/src/measure/capacity-announcements.ts
@@ -1,5 +1,5 @@
 /**
-What an announcement costs over HTTP: processor time of both ends together, and bytes.
+Measures the cost of an announcement over HTTP: processor time of both ends together, and bytes.
 */
 import {Agent} from 'undici';
 import {parseUpstreamAnnouncement} from '../requests/membership-messages.ts';
@@ -27,7 +27,7 @@
 	const agent = new Agent({connections: concurrency});
 	const send = async (count: number) => {
 		let left = count;
-		const sendInTurn = async () => {
+		const sendRemaining = async () => {
 			while (left-- > 0) {
 				await callJson({
 					method: 'POST', url: `http://${address}/v1/announcements/upstreams`, body: announcement, timeoutMs, dispatcher: agent, step: 'announce',
@@ -35,7 +35,7 @@
 			}
 		};
 
-		await Promise.all(Array.from({length: concurrency}, sendInTurn));
+		await Promise.all(Array.from({length: concurrency}, sendRemaining));
 	};
 
 	await send(warmUpCount);
--- a/src/measure/capacity-claims.ts
+++ b/src/measure/capacity-claims.ts
@@ -1,5 +1,5 @@
 /**
-What at most once costs: appends and bytes of the log, processor time and state of a claim.
+Measures the cost of at-most-once requests: appends and bytes of the log, processor time and state of a claim.
 */
 import {followLog} from '../core/log-reader.ts';
 import {createSettings} from '../core/settings.ts';
@@ -19,7 +19,7 @@
 const logDelayMs = 10;
 const claimTimeoutMs = 2000;
 
-/** Measures one entry that claims and ends requests, at several rates. */
+/** Measures one entry that claims and finishes requests, at several rates. */
 export const measureClaims = async (seed: number): Promise<Slope[]> => {
 	const appends: Sample[] = [];
 	const cpu: Sample[] = [];
@@ -30,23 +30,23 @@
 		const random = createRandom(seed);
 		const log = new MemoryLog(clock, random);
 		log.faults.delayMs = logDelayMs;
-		const book = new ClaimBook({
+		const registry = new ClaimBook({
 			log, clock, random, entryId: 'entry-1', settings: createSettings(),
 		});
 		const aborter = new AbortController();
-		const following = followLog(book, {
+		const following = followLog(registry, {
 			log, stream: Stream.Claims, clock, random, fromOffset: 0, signal: aborter.signal,
 		});
-		const writing = book.run(aborter.signal);
+		const writing = registry.run(aborter.signal);
 		await clock.advance(claimTimeoutMs);
 		const before = getHeapBytes();
 		let won = 0;
 		const claimOnce = async () => {
 			const requestId = createRequestId(clock, random);
-			const {isWon} = await book.claim(requestId, 'lading-desk', claimTimeoutMs);
+			const {isWon} = await registry.claim(requestId, 'lading-desk', claimTimeoutMs);
 			if (isWon) {
 				won++;
-				book.finish(requestId, {state: ClaimState.Done, status: 200});
+				registry.finish(requestId, {state: ClaimState.Done, status: 200});
 			}
 		};
 
@@ -85,5 +85,5 @@
 	return reading;
 };
 
-/** The stand-in log lives in the same heap; its records are taken off, as large as their text. */
+/** Size of the records in the stand-in log, which shares the heap and is subtracted. Each record counts as its JSON text. */
 const getLogBytes = (records: Array<{value: unknown}>): number => records.reduce((sum, {value}) => sum + JSON.stringify(value).length, 0);
--- a/src/measure/capacity-config.ts
+++ b/src/measure/capacity-config.ts
@@ -1,5 +1,5 @@
 /**
-What the configuration costs: processor time of a change, state and snapshot of a section, size of a record.
+Measures the cost of the configuration: processor time of a change, state and snapshot size of a section, size of a record.
 */
 import {ConfigFold} from '../core/config-fold.ts';
 import {ConfigRecordType, type ConfigPublish} from '../types/config.ts';
--- a/src/measure/capacity-entries.ts
+++ b/src/measure/capacity-entries.ts
@@ -1,6 +1,6 @@
 /**
-What entries tell each other: messages, bytes, processor time and state by hosts and by entries,
-measured on whole entries that share a network in memory and manual time.
+Measures the traffic between entries, their processor time and their state by number of hosts and of entries,
+on complete entries that share an in-memory network and manual time.
 */
 import {encode} from '@msgpack/msgpack';
 import {type RunningKernel} from '../core/kernel.ts';
@@ -22,7 +22,7 @@
 	bytes: number;
 };
 
-type Figures = {
+type EntryMeasurements = {
 	callsPerSecond: number;
 	bytesPerSecond: number;
 	announcementUs: number;
@@ -32,39 +32,39 @@
 
 const hostSizes = [300, 900, 2700];
 const entrySizes = [3, 5, 8];
-const usualHosts = 300;
-const usualEntries = 3;
-const warmMs = 6000;
+const defaultHosts = 300;
+const defaultEntries = 3;
+const warmUpMs = 6000;
 const measuredMs = 10_000;
 const announceEveryMs = 1000;
 const anyAddress = '127.0.0.1:0';
 
 /** Measures entries at several numbers of hosts and of entries. */
 export const measureEntries = async (seed: number): Promise<Slope[]> => {
-	const byHosts = new Map<number, Figures>();
+	const byHosts = new Map<number, EntryMeasurements>();
 	for (const hosts of hostSizes) {
-		byHosts.set(hosts, await runEntries(usualEntries, hosts, seed));
+		byHosts.set(hosts, await runEntries(defaultEntries, hosts, seed));
 	}
 
-	const byEntries = new Map<number, Figures>();
+	const byEntries = new Map<number, EntryMeasurements>();
 	for (const entries of entrySizes) {
-		byEntries.set(entries, await runEntries(entries, usualHosts, seed));
+		byEntries.set(entries, await runEntries(entries, defaultHosts, seed));
 	}
 
-	const fit = (name: string, per: string, figures: Map<number, Figures>, pick: (figures: Figures) => number) =>
+	const fit = (name: string, per: string, figures: Map<number, EntryMeasurements>, pick: (figures: EntryMeasurements) => number) =>
 		fitSlope(name, per, [...figures].map(([size, value]): Sample => ({size, value: pick(value)})));
 	return [
-		fit(`calls of one entry to ${usualEntries - 1} peers, a second`, 'host', byHosts, ({callsPerSecond}) => callsPerSecond),
-		fit(`bytes between one entry and ${usualEntries - 1} peers, a second`, 'host', byHosts, ({bytesPerSecond}) => bytesPerSecond),
+		fit(`calls of one entry to ${defaultEntries - 1} peers, a second`, 'host', byHosts, ({callsPerSecond}) => callsPerSecond),
+		fit(`bytes between one entry and ${defaultEntries - 1} peers, a second`, 'host', byHosts, ({bytesPerSecond}) => bytesPerSecond),
 		fit('processor time of one announcement, us', 'host', byHosts, ({announcementUs}) => announcementUs),
 		fit('state of one entry, bytes', 'host', byHosts, ({stateBytes}) => stateBytes),
-		fit(`calls of one entry with ${usualHosts} hosts, a second`, 'entry', byEntries, ({callsPerSecond}) => callsPerSecond),
-		fit(`bytes of one entry with ${usualHosts} hosts, a second`, 'entry', byEntries, ({bytesPerSecond}) => bytesPerSecond),
+		fit(`calls of one entry with ${defaultHosts} hosts, a second`, 'entry', byEntries, ({callsPerSecond}) => callsPerSecond),
+		fit(`bytes of one entry with ${defaultHosts} hosts, a second`, 'entry', byEntries, ({bytesPerSecond}) => bytesPerSecond),
 		fit('appends to the log of all entries at rest, a second', 'entry', byEntries, ({appendsPerSecond}) => appendsPerSecond),
 	];
 };
 
-const runEntries = async (entryCount: number, hostCount: number, seed: number): Promise<Figures> => {
+const runEntries = async (entryCount: number, hostCount: number, seed: number): Promise<EntryMeasurements> => {
 	const clock = new ManualClock();
 	const random = createRandom(seed);
 	const log = new MemoryLog(clock, random);
@@ -87,10 +87,10 @@
 		entries.push(entry);
 	}
 
-	await clock.advance(warmMs);
+	await clock.advance(warmUpMs);
 	const stateBefore = getHeapBytes();
 	const hosts = new Announcers(entries, hostCount, clock);
-	for (let passedMs = 0; passedMs < warmMs; passedMs += announceEveryMs) {
+	for (let passedMs = 0; passedMs < warmUpMs; passedMs += announceEveryMs) {
 		await hosts.announceAll();
 		await clock.advance(announceEveryMs);
 	}
--- a/src/measure/capacity-jobs.ts
+++ b/src/measure/capacity-jobs.ts
@@ -1,5 +1,5 @@
 /**
-What jobs cost: appends to the log, processor time of a start, calls to workers and state of a task.
+Measures the cost of jobs: appends to the log, processor time of a start, calls to workers and state of a task.
 */
 import {createSettings} from '../core/settings.ts';
 import {JobScheduler} from '../jobs/job-scheduler.ts';
@@ -15,7 +15,7 @@
 import {getCpuUs, getHeapBytes} from './process-cost.ts';
 import {fitSlope, type Sample, type Slope} from './slope.ts';
 
-type Figures = {
+type JobMeasurements = {
 	appends: number;
 	startUs: number;
 	taskBytes: number;
@@ -25,28 +25,28 @@
 
 const taskSizes = [1000, 2000, 4000];
 const workerSizes = [25, 50, 100];
-const usualWorkers = 50;
-const usualTasks = 2000;
+const defaultWorkers = 50;
+const defaultTasks = 2000;
 const tasksPerJob = 50;
 const runTimeMs = 3_600_000;
-const warmMs = 30_000;
+const warmUpMs = 30_000;
 const placingMs = 15_000;
 const restMs = 10_000;
 const stepMs = 100;
 
 /** Measures one entry that owns all shards, at several numbers of tasks and workers. */
 export const measureJobScheduling = async (seed: number): Promise<Slope[]> => {
-	const byTasks: Array<[number, Figures]> = [];
+	const byTasks: Array<[number, JobMeasurements]> = [];
 	for (const tasks of taskSizes) {
-		byTasks.push([tasks, await runScheduler(usualWorkers, tasks, seed)]);
+		byTasks.push([tasks, await runScheduler(defaultWorkers, tasks, seed)]);
 	}
 
-	const byWorkers: Array<[number, Figures]> = [];
+	const byWorkers: Array<[number, JobMeasurements]> = [];
 	for (const workers of workerSizes) {
-		byWorkers.push([workers, await runScheduler(workers, usualTasks, seed)]);
+		byWorkers.push([workers, await runScheduler(workers, defaultTasks, seed)]);
 	}
 
-	const fit = (name: string, per: string, figures: Array<[number, Figures]>, pick: (figures: Figures) => number) =>
+	const fit = (name: string, per: string, figures: Array<[number, JobMeasurements]>, pick: (figures: JobMeasurements) => number) =>
 		fitSlope(name, per, figures.map(([size, value]): Sample => ({size, value: pick(value)})));
 	return [
 		fit('appends while the tasks are accepted and started', 'task', byTasks, ({appends}) => appends),
@@ -57,16 +57,16 @@
 	];
 };
 
-const runScheduler = async (workerCount: number, taskCount: number, seed: number): Promise<Figures> => {
+const runScheduler = async (workerCount: number, taskCount: number, seed: number): Promise<JobMeasurements> => {
 	const clock = new ManualClock();
 	const random = createRandom(seed);
 	const log = new MemoryLog(clock, random);
 	const settings = createSettings();
 	const calls = {count: 0};
-	// Just room enough, so that every worker has tasks.
+	// The capacity just suffices, so that every worker has tasks.
 	const capacity = {processors: Math.ceil(taskCount / workerCount), memoryMb: 1_048_576, accelerators: 0};
 	const workers = createWorkers(workerCount, capacity, clock, calls);
-	const metrics = createSilentMetrics();
+	const metrics = createNoopMetrics();
 	const scheduler = new JobScheduler({
 		log,
 		clock,
@@ -80,7 +80,7 @@
 	});
 	const aborter = new AbortController();
 	const running = scheduler.run(aborter.signal);
-	await clock.advance(warmMs);
+	await clock.advance(warmUpMs);
 	const heapBefore = getHeapBytes();
 	const appendsBefore = log.appends;
 	const startUs = await getCpuUs(async () => {
@@ -101,7 +101,7 @@
 	const restUs = await getCpuUs(async () => advance(clock, restMs));
 	const figures = {
 		appends,
-		// What keeping tasks costs goes on while others start; it is not part of a start.
+		// Running tasks also take processor time while others start; it is subtracted.
 		startUs: Math.max(0, startUs - (restUs * placingMs / restMs)) / taskCount,
 		taskBytes,
 		restUsPerSecond: restUs / (restMs / 1000),
@@ -168,15 +168,15 @@
 	},
 });
 
-const createSilentMetrics = (): Metrics => ({
+const createNoopMetrics = (): Metrics => ({
 	count() {
-		// Nobody asks.
+		// Not read in this measurement.
 	},
 	gauge() {
-		// Nobody asks.
+		// Not read in this measurement.
 	},
 	timing() {
-		// Nobody asks.
+		// Not read in this measurement.
 	},
 	getCounts: () => ({}),
 });
--- a/src/measure/capacity-measurement.ts
+++ b/src/measure/capacity-measurement.ts
@@ -1,5 +1,5 @@
 /**
-Measures the slopes and works out the capacity table from them.
+Measures the slopes and computes the capacity table from them.
 */
 import {createSettings} from '../core/settings.ts';
 import {measureAnnouncements} from './capacity-announcements.ts';
@@ -11,7 +11,7 @@
 import {type MeasureOptions, type MeasureReport, type MeasureRow} from './measure-types.ts';
 import {type Slope} from './slope.ts';
 
-/** Slopes and the lines worked out from them. */
+/** Slopes and the lines computed from them. */
 export type Capacity = {
 	slopes: Slope[];
 	lines: CapacityLine[];
@@ -57,7 +57,7 @@
 	return {slopes: [...config, ...announcements, ...claims, ...jobs, ...entries], lines};
 };
 
-/** Turns a capacity into a report like any other. */
+/** Measures the capacity and returns it as a report. */
 export const reportCapacity = async (options: MeasureOptions): Promise<MeasureReport> => {
 	const {slopes, lines} = await measureCapacity(options);
 	const rows: MeasureRow[] = lines.map(({role, what, value, unit, budget, mechanism}) => ({
--- a/src/measure/capacity-model.ts
+++ b/src/measure/capacity-model.ts
@@ -1,5 +1,5 @@
 /**
-What each role needs at the size ahead, worked out from measured slopes.
+Computes what each role needs at the planned size from measured slopes.
 */
 import {getAppendPaceMs} from '../core/append-pace.ts';
 import {
@@ -13,9 +13,9 @@
 	what: string;
 	value: number;
 	unit: string;
-	/** The budget, where there is one. */
+	/** Undefined if there is no budget. */
 	budget?: number;
-	/** What carries it in the program. */
+	/** The part of the program that causes or bounds the value. */
 	mechanism: string;
 };
 
@@ -34,7 +34,7 @@
 	roundMs: number;
 };
 
-/** Slopes by a short name. */
+/** Slopes by name. */
 export type Slopes = Record<
 	'announcementUs' | 'announcementBytes' | 'hostState' | 'peerBytes' | 'peerCalls' | 'configUs' | 'sectionState' | 'snapshotBytes'
 	| 'changeBytes' | 'claimUs' | 'claimBytes' | 'claimState' | 'startUs' | 'taskState' | 'restUs' | 'renewCalls',
@@ -43,8 +43,8 @@
 
 const megabyte = 1024 * 1024;
 const usPerSecond = 1_000_000;
-/** One attempt in a message that renews leases. */
-const refBytes = 90;
+/** Size of one attempt's entry in a message that renews leases. */
+const attemptBytes = 90;
 
 const entryCount = scale.failureDomains * assumed.entriesPerDomain;
 const entriesPerRegion = entryCount / scale.regions;
@@ -52,7 +52,7 @@
 const hostsPerRegion = hostCount / scale.regions;
 const taskCount = scale.latencyCriticalTasks + scale.batchTasks;
 
-/** Works out all lines. */
+/** Computes all lines. */
 export const getCapacityLines = (slopes: Slopes, settings: CapacitySettings): CapacityLine[] => [
 	...getEntryLines(slopes, settings),
 	...getHostLines(slopes, settings),
@@ -205,7 +205,7 @@
 	const tasks = taskCount / scale.workers;
 	// Tasks of one worker belong to shards of all entries of its region.
 	const renewers = Math.min(tasks, entriesPerRegion);
-	const bytes = ((tasks * refBytes) + (renewers * assumed.announcementOverheadBytes)) * 1000 / renewEveryMs;
+	const bytes = ((tasks * attemptBytes) + (renewers * assumed.announcementOverheadBytes)) * 1000 / renewEveryMs;
 	return [
 		{
 			role,
@@ -227,15 +227,15 @@
 
 const getLogLines = (slopes: Slopes, settings: CapacitySettings): CapacityLine[] => {
 	const role = 'platform log';
-	const claimPaceMs = getAppendPaceMs(entryCount, settings.appendsPerSecond, settings.claimAppendEveryMs);
-	const jobPaceMs = getAppendPaceMs(entryCount, settings.appendsPerSecond, settings.jobGatherMs);
-	const claimAppends = entryCount * Math.min(1000 / claimPaceMs, 2 * assumed.claimsPerSecond / entryCount);
+	const claimAppendIntervalMs = getAppendPaceMs(entryCount, settings.appendsPerSecond, settings.claimAppendEveryMs);
+	const jobAppendIntervalMs = getAppendPaceMs(entryCount, settings.appendsPerSecond, settings.jobGatherMs);
+	const claimAppends = entryCount * Math.min(1000 / claimAppendIntervalMs, 2 * assumed.claimsPerSecond / entryCount);
 	const jobEntries = jobsPerSecond * (1 + assumed.tasksPerJob);
-	const jobAppends = entryCount * Math.min(1000 / jobPaceMs, jobEntries / entryCount);
+	const jobAppends = entryCount * Math.min(1000 / jobAppendIntervalMs, jobEntries / entryCount);
 	const ownership = entryCount * 1000 / settings.ownershipRenewEveryMs;
 	const presence = entryCount * 1000 / settings.presenceEveryMs;
-	const paceLine: CapacityLine = {
-		role, what: 'wait that the pace adds to a claim, mean', value: claimPaceMs / 2, unit: 'ms', mechanism: 'appends shared among all entries',
+	const appendWaitLine: CapacityLine = {
+		role, what: 'wait that the pace adds to a claim, mean', value: claimAppendIntervalMs / 2, unit: 'ms', mechanism: 'appends shared among all entries',
 	};
 	const lines: Array<[string, number, string]> = [
 		['appends of claims', claimAppends, 'claim writer: one record for all that gathered'],
@@ -249,7 +249,7 @@
 		...lines.map(([what, value, mechanism]) => ({
 			role, what, value, unit: 'a second', mechanism,
 		})),
-		paceLine,
+		appendWaitLine,
 		{
 			role,
 			what: 'appends, all',
--- a/src/measure/capacity-scale.ts
+++ b/src/measure/capacity-scale.ts
@@ -1,10 +1,10 @@
 /**
-The size that the product is made for, and the budgets that hold there.
+The planned size of the system, and the budgets that apply at this size.
 */
 
 const daySeconds = 86_400;
 
-/** The size ahead. */
+/** The planned size. */
 export const scale = {
 	workers: 26_000,
 	accelerators: 45_000,
@@ -23,14 +23,14 @@
 	logAppendsPerSecond: 300,
 } as const;
 
-/** Budgets of control for one daemon. */
+/** Budgets for the control overhead of one daemon. */
 export const budget = {
 	cpuShare: 0.015,
 	memoryMb: 32,
 	bytesPerSecond: 4096,
 } as const;
 
-/** What the size ahead leaves open and the model assumes; each is named in docs/CAPACITY.md. */
+/** Assumptions of the model on what the planned size does not specify; docs/CAPACITY.md names each. */
 export const assumed = {
 	/** Entries of one failure domain. */
 	entriesPerDomain: 3,
--- a/src/measure/compare.ts
+++ b/src/measure/compare.ts
@@ -1,5 +1,5 @@
 /**
-Compares a report with an earlier one of the same matter.
+Compares a report with an earlier one of the same measurement.
 */
 import {type MeasureReport, type MeasureRow} from './measure-types.ts';
 import {formatFigure} from './table.ts';
--- a/src/measure/day-report.ts
+++ b/src/measure/day-report.ts
@@ -1,5 +1,5 @@
 /**
-Prints the story of a day.
+Formats the job timelines of a day as text.
 */
 import {type DayStory, type JobStory} from './day-story.ts';
 import {type MeasureRow} from './measure-types.ts';
@@ -20,7 +20,7 @@
 
 const isInTime = ({tookMs, allowedMs}: JobStory): boolean => tookMs !== undefined && tookMs <= allowedMs!;
 
-const getWasted = (jobs: JobStory[]): string => {
+const formatWasted = (jobs: JobStory[]): string => {
 	const sums = new Map<string, number>();
 	for (const {wastedMs} of jobs) {
 		for (const [end, ms] of wastedMs) {
@@ -72,7 +72,7 @@
 	return groups;
 };
 
-/** Formats a day: by queue, by time, and the jobs that were latest, in full. */
+/** Formats a day: tables by queue and by time, then all events of the jobs that were latest in relation to the time allowed. */
 export const formatDay = (day: DayStory): string[] => {
 	const queues = groupBy([...day.jobs.values()], ({queue}) => queue);
 	const rows = [...queues].map(([queue, jobs]) => createQueueRow(queue, jobs));
@@ -83,7 +83,7 @@
 	return [
 		...formatTable(rows),
 		'',
-		...[...queues].map(([queue, jobs]) => `${queue}: runs that ended in no success: ${getWasted(jobs)}`),
+		...[...queues].map(([queue, jobs]) => `${queue}: runs that ended in no success: ${formatWasted(jobs)}`),
 		`answers: ${[...day.answers].map(([key, count]) => `${key}: ${count}`).join('; ')}`,
 		'',
 		...formatTable(createWaitRows(day)),
--- a/src/measure/day-story.ts
+++ b/src/measure/day-story.ts
@@ -1,11 +1,11 @@
 /**
-Reads the logs of the entries of a site and tells where the time of jobs went: on average by queue, by second, and for the
-worst jobs in full. On-call engineers have the same logs.
+Reads the logs of the entries of a site and reconstructs how jobs spent their time: waits, runs and their ends. It uses only
+log lines, which on-call engineers have too.
 */
 import {parseTaskId} from '../types/workflows.ts';
 import {Fields} from '../utils/fields.ts';
 
-/** One line of log. */
+/** One parsed log line. */
 export type LogLine = {
 	atMs: number;
 	process: string;
@@ -13,42 +13,42 @@
 	fields: Fields;
 };
 
-/** What befell one job. */
+/** Times and events of one job. */
 export type JobStory = {
 	id: string;
 	queue: string;
 	takenAtMs: number;
-	/** From its first record to the owner's notice. */
+	/** Time from its first record until the owner logged it as accepted. */
 	acceptedAfterMs: number;
 	firstStartAtMs?: number;
-	overAtMs?: number;
+	finishedAtMs?: number;
 	end?: string;
 	tookMs?: number;
 	allowedMs?: number;
 	coreMs: number;
-	/** Sums over its tasks. */
+	/** Sum over all starts of its tasks. */
 	waitedMs: number;
 	ranMs: number;
-	/** Time of runs that ended in no success, by how they ended. */
+	/** Time of unsuccessful runs, by how they ended. */
 	wastedMs: Map<string, number>;
 	starts: number;
 	events: string[];
 };
 
-/** All that was read. */
+/** Timelines of all jobs of a day, with waiting tasks and answers. */
 export type DayStory = {
 	jobs: Map<string, JobStory>;
-	/** Waiting tasks by second and reason. */
+	/** Waiting tasks by reason, each time they were logged. */
 	waits: Array<{atMs: number; reasons: Record<string, number>; fillingMilliCpu: number; spareMilliCpu: number}>;
 	/** Answers to callers by status. */
 	answers: Map<string, number>;
 };
 
-type Open = {startedAtMs: number; host: string};
+type OpenRun = {startedAtMs: number; host: string};
 
 const maxEvents = 60;
 
-/** Parses a line; the JSON may stand behind a prefix. Undefined: it is none of the program's. */
+/** Parses a line; the JSON may follow a prefix. Undefined for a truncated line or one that the program did not log. */
 export const parseLogLine = (line: string): LogLine | undefined => {
 	const from = line.indexOf('{"level"');
 	if (from === -1) {
@@ -61,42 +61,42 @@
 			atMs: fields.number('time'), process: fields.text('process', ''), event: fields.text('msg'), fields,
 		};
 	} catch {
-		// A line that was cut off tells nothing.
+		// The line is truncated.
 		return undefined;
 	}
 };
 
-/** Follows the lines of all entries, in the order of time. */
+/** Builds the timelines from the lines of all entries, in order of time. */
 export const readDay = (lines: Iterable<LogLine>): DayStory => {
 	const day: DayStory = {jobs: new Map(), waits: [], answers: new Map()};
-	const open = new Map<string, Open>();
+	const openRuns = new Map<string, OpenRun>();
 	for (const line of [...lines].toSorted((a, b) => a.atMs - b.atMs)) {
-		readLine(day, open, line);
+		readLine(day, openRuns, line);
 	}
 
 	return day;
 };
 
-const readLine = (day: DayStory, open: Map<string, Open>, {atMs, event, fields}: LogLine): void => {
+const readLine = (day: DayStory, openRuns: Map<string, OpenRun>, {atMs, event, fields}: LogLine): void => {
 	switch (event) {
 		case 'job taken': {
-			takeJob(day, atMs, fields);
+			addJob(day, atMs, fields);
 			break;
 		}
 
 		case 'start': {
-			noteStart(day, open, atMs, fields);
+			recordStart(day, openRuns, atMs, fields);
 			break;
 		}
 
 		case 'run ended':
 		case 'run lost': {
-			noteEnd(day, open, {atMs, event, fields});
+			recordEnd(day, openRuns, {atMs, event, fields});
 			break;
 		}
 
 		case 'run moved': {
-			noteEvent(getJob(day, fields), atMs, `${fields.text('taskId')} moved from ${fields.text('host')} at ${fields.number('percent', 0)}%`);
+			addEvent(getJob(day, fields), atMs, `${fields.text('taskId')} moved from ${fields.text('host')} at ${fields.number('percent', 0)}%`);
 			break;
 		}
 
@@ -104,9 +104,9 @@
 			const job = day.jobs.get(fields.text('id'));
 			if (job) {
 				Object.assign(job, {
-					overAtMs: atMs, end: fields.text('end'), tookMs: fields.number('tookMs'), allowedMs: fields.number('allowedMs'), coreMs: fields.number('coreMs', 0),
+					finishedAtMs: atMs, end: fields.text('end'), tookMs: fields.number('tookMs'), allowedMs: fields.number('allowedMs'), coreMs: fields.number('coreMs', 0),
 				});
-				noteEvent(job, atMs, `over: ${job.end} after ${job.tookMs} ms of ${job.allowedMs} allowed`);
+				addEvent(job, atMs, `over: ${job.end} after ${job.tookMs} ms of ${job.allowedMs} allowed`);
 			}
 
 			break;
@@ -130,7 +130,7 @@
 	}
 };
 
-const takeJob = (day: DayStory, atMs: number, fields: Fields): void => {
+const addJob = (day: DayStory, atMs: number, fields: Fields): void => {
 	const id = fields.text('id');
 	if (!day.jobs.has(id)) {
 		day.jobs.set(id, {
@@ -141,7 +141,7 @@
 
 const getJob = (day: DayStory, fields: Fields): JobStory | undefined => day.jobs.get(parseTaskId(fields.text('taskId'))?.workflowId ?? '');
 
-const noteStart = (day: DayStory, open: Map<string, Open>, atMs: number, fields: Fields): void => {
+const recordStart = (day: DayStory, openRuns: Map<string, OpenRun>, atMs: number, fields: Fields): void => {
 	const job = getJob(day, fields);
 	if (!job) {
 		return;
@@ -149,21 +149,21 @@
 
 	const host = fields.text('host');
 	const waitedMs = fields.number('waitedMs', 0);
-	open.set(getRunKey(fields), {startedAtMs: atMs, host});
+	openRuns.set(getRunKey(fields), {startedAtMs: atMs, host});
 	job.firstStartAtMs ??= atMs;
 	job.starts++;
 	job.waitedMs += waitedMs;
-	noteEvent(job, atMs, `${fields.text('taskId')} run ${fields.number('run')} on ${host} after ${waitedMs} ms`);
+	addEvent(job, atMs, `${fields.text('taskId')} run ${fields.number('run')} on ${host} after ${waitedMs} ms`);
 };
 
-const noteEnd = (day: DayStory, open: Map<string, Open>, {atMs, event, fields}: {atMs: number; event: string; fields: Fields}): void => {
+const recordEnd = (day: DayStory, openRuns: Map<string, OpenRun>, {atMs, event, fields}: {atMs: number; event: string; fields: Fields}): void => {
 	const job = getJob(day, fields);
-	const run = open.get(getRunKey(fields));
+	const run = openRuns.get(getRunKey(fields));
 	if (!job || !run) {
 		return;
 	}
 
-	open.delete(getRunKey(fields));
+	openRuns.delete(getRunKey(fields));
 	const ranMs = atMs - run.startedAtMs;
 	const end = event === 'run lost' ? `lost, ${fields.text('reason')}` : fields.text('end');
 	if (end === 'done') {
@@ -172,12 +172,12 @@
 		job.wastedMs.set(end, (job.wastedMs.get(end) ?? 0) + ranMs);
 	}
 
-	noteEvent(job, atMs, `${fields.text('taskId')} run ${fields.number('run')} ${end} after ${ranMs} ms`);
+	addEvent(job, atMs, `${fields.text('taskId')} run ${fields.number('run')} ${end} after ${ranMs} ms`);
 };
 
 const getRunKey = (fields: Fields): string => `${fields.text('taskId')} ${fields.number('run')}`;
 
-const noteEvent = (job: JobStory | undefined, atMs: number, text: string): void => {
+const addEvent = (job: JobStory | undefined, atMs: number, text: string): void => {
 	if (job && job.events.length < maxEvents) {
 		job.events.push(`+${((atMs - job.takenAtMs) / 1000).toFixed(2)} s ${text}`);
 	}
--- a/src/measure/deciding-load.ts
+++ b/src/measure/deciding-load.ts
@@ -1,18 +1,18 @@
 /**
-Loads for measuring the owner's decisions: kinds of jobs with their sizes, run times, estimates and arrivals, and what they do
-to each other. The figures are those that the users' sheets give for their sites.
+Loads for simulating the owner's scheduling decisions: kinds of jobs with their sizes, run times, estimates and arrivals, and
+the interference between them. The numbers are those that the users' sheets give for their sites.
 */
 import {type Random} from '../types/random.ts';
 import {type WorkflowSpec, type WorkflowStep} from '../types/workflows.ts';
 
-/** A quantity that is spread around its mean, in logarithms, and bounded. */
+/** A log-normal quantity with an upper bound. */
 export type Spread = {mean: number; spread: number; max: number};
 
 /** A kind of job. */
 export type JobKind = {
 	name: string;
 	perS: number;
-	/** Jobs that are handed in before the load begins. */
+	/** Jobs submitted at the start of the load. */
 	early: number;
 	worth: number;
 	priority: number;
@@ -24,20 +24,20 @@
 	workMs: Spread;
 	milliCpu: Spread;
 	memoryMb: number;
-	/** Spread of estimates around the work, in logarithms. */
+	/** Standard deviation of the logarithm of estimate over work. */
 	estimateSpread: number;
-	/** Spread of the tasks of a step. */
+	/** Standard deviation of the logarithm of the work of a step's tasks. */
 	unevenness: number;
 	errorShare: number;
 	isCheckpointing: boolean;
-	/** Fills beside what serves. */
+	/** Best-effort: uses only processors that other tasks leave idle. */
 	isFilling: boolean;
-	/** Serves until it is cancelled, after so long on the mean. */
+	/** Set for latency-critical jobs, which run until they are cancelled. The load varies periodically; a share of the jobs limits its tasks per worker. */
 	serving?: {stayS: Spread; targetMs: number; load: number; swing: number; periodS: number; apartShare: number; apartMost: number[]};
 	images: number;
 };
 
-/** A time of higher arrivals of one kind. */
+/** A period in which jobs of one kind arrive more often. */
 export type Burst = {kind: string; atS: number; forS: number; times: number};
 
 /** A load. */
@@ -45,16 +45,16 @@
 	name: string;
 	workers: number[];
 	restMs: number;
-	/** Effects of whole workers of filling images on serving ones: one is drawn for each pair. */
+	/** Loads that a best-effort image with a whole worker may add to a latency-critical image; one is drawn for each pair of images. */
 	effects: number[];
 	kinds: JobKind[];
 	bursts: Burst[];
 	lengthS: number;
-	/** All workers and the owner lose what they have at this time; undefined: never. */
+	/** Time of an outage in which all workers, agents and the owner lose their state; undefined: none. */
 	darkAtS?: number;
 };
 
-/** A job as it is handed in, with what its tasks really are. */
+/** A job as submitted, with the true work of its tasks. */
 export type OfferedJob = {
 	id: string;
 	kind: JobKind;
@@ -62,10 +62,10 @@
 	spec: WorkflowSpec;
 	/** By step and index. */
 	workMs: number[][];
-	/** Longest chain at full speed. */
+	/** Length of the critical path at full speed. */
 	chainMs: number;
 	coreMs: number;
-	/** When it is cancelled; for what lasts. */
+	/** When it is cancelled; infinite for jobs that complete. */
 	cancelAtMs: number;
 	/** Phase of its load, 0 to 1. */
 	phase: number;
@@ -73,11 +73,11 @@
 
 const secondMs = 1000;
 
-const gauss = (random: Random): number => Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
+const drawNormal = (random: Random): number => Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
 
-/** Draws around the mean; the mean of what is drawn is the mean. */
+/** Draws a value; the mean of the values before they are bounded is `mean`. */
 const draw = (random: Random, {mean, spread, max}: Spread): number =>
-	Math.min(max, mean * Math.exp((spread * gauss(random)) - (spread * spread / 2)));
+	Math.min(max, mean * Math.exp((spread * drawNormal(random)) - (spread * spread / 2)));
 
 const pick = (random: Random, values: number[]): number => values.length === 1 ? values[0]! : values[random.below(values.length)]!;
 
@@ -92,13 +92,13 @@
 		const count = Math.max(1, Math.round(draw(random, kind.width)));
 		const milliCpu = Math.max(50, Math.round(draw(random, kind.milliCpu) / 50) * 50);
 		const stepMs = draw(random, kind.workMs);
-		const works = Array.from({length: count}, () => stepMs * Math.exp(kind.unevenness * gauss(random)));
+		const works = Array.from({length: count}, () => stepMs * Math.exp(kind.unevenness * drawNormal(random)));
 		steps.push({
 			count,
 			milliCpu,
 			memoryMb: kind.memoryMb,
 			accelerators: 0,
-			estimateMs: Math.round(stepMs * Math.exp(kind.estimateSpread * gauss(random))),
+			estimateMs: Math.round(stepMs * Math.exp(kind.estimateSpread * drawNormal(random))),
 			after: index === 0 ? [] : [index - 1],
 			isCheckpointing: kind.isCheckpointing,
 			isGang: false,
@@ -140,8 +140,8 @@
 			jobs.push(createJob(random, kind, 0));
 		}
 
-		const ofKind = bursts.filter(burst => burst.kind === kind.name);
-		const peak = Math.max(1, ...ofKind.map(({times}) => times));
+		const kindBursts = bursts.filter(burst => burst.kind === kind.name);
+		const peak = Math.max(1, ...kindBursts.map(({times}) => times));
 		for (let atS = 0; ;) {
 			atS -= Math.log(1 - random.next()) / (kind.perS * peak);
 			if (atS >= lengthS) {
@@ -149,7 +149,7 @@
 			}
 
 			const now = atS;
-			const times = ofKind.find(({atS: fromS, forS}) => now >= fromS && now < fromS + forS)?.times ?? 1;
+			const times = kindBursts.find(({atS: fromS, forS}) => now >= fromS && now < fromS + forS)?.times ?? 1;
 			if (random.next() < times / peak) {
 				jobs.push(createJob(random, kind, atS * secondMs));
 			}
@@ -173,11 +173,11 @@
 	},
 };
 
-// A third of the pairs hardly disturbs, a third somewhat, a third severely: as learned on the users' sites.
+// As observed on the users' sites: a third of the pairs interferes little, a third moderately, a third severely.
 const effects = [0, 0, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 1.1, 1.4, 1.8, 2.2, 2.6, 3];
 const workers = [16_000, 16_000, 24_000, 16_000, 16_000, 24_000, 16_000, 16_000, 24_000, 16_000, 16_000];
 
-/** A service of many workers: wide jobs of many images fill beside as many that serve. */
+/** A service with many workers: best-effort jobs with many tasks and images run beside many latency-critical tasks. */
 const large: DecidingLoad = {
 	name: 'large',
 	workers: Array.from({length: 160}, (_, index) => index % 3 === 2 ? 24_000 : 16_000),
@@ -202,7 +202,7 @@
 	lengthS: 30,
 };
 
-/** A service of large workers: each wide task that fills takes a ninth of one, and serving tasks use half of what they reserve. */
+/** A service with large workers: a best-effort task takes a ninth of one, and latency-critical tasks use about half of what they reserve. */
 const shifted: DecidingLoad = {
 	name: 'shifted',
 	workers: Array.from({length: 73}, (_, index) => index % 3 === 2 ? 96_000 : 64_000),
@@ -227,7 +227,7 @@
 	lengthS: 34,
 };
 
-/** A day with room for all, a day of more than there is room for, the same with all hosts dark for a second, a large service, and one of large workers. */
+/** A load below capacity, a load above capacity, the same with an outage of all hosts for a second, a large service, and a service with large workers. */
 export const decidingLoads: DecidingLoad[] = [
 	{
 		name: 'light', workers, restMs: 4, effects, kinds: [match, {...build, perS: 0.25, early: 1}, {...relay, early: 7}], bursts: [{
--- a/src/measure/deciding-run.ts
+++ b/src/measure/deciding-run.ts
@@ -1,5 +1,5 @@
 /**
-Plays a load against the owner and the agents as they are, on manual time, and counts what callers get.
+Simulates a load on manual time with the real owner and agents on stand-in workers, and measures what callers get.
 */
 import {createHash} from 'node:crypto';
 import {Agent} from '../agents/agent.ts';
@@ -19,24 +19,24 @@
 	offerJobs, type DecidingLoad, type JobKind, type OfferedJob,
 } from './deciding-load.ts';
 
-/** What callers got. */
+/** Result of one simulation. */
 export type DecidingResult = {
-	/** Credit by kind, of what was owed. */
+	/** By kind of job: credit earned, and the credit that is possible. */
 	credit: Map<string, {earned: number; owed: number}>;
-	/** Core-seconds of work that was done and lost. */
+	/** Core-seconds of work done and then lost. */
 	lostCoreS: number;
-	/** Seconds of serving tasks over their target by what fills beside them. */
+	/** Seconds that latency-critical tasks were over their target because of best-effort tasks on the same worker. */
 	harmS: number;
-	/** Jobs of each kind that were in time, late, and not done. */
+	/** Jobs of each kind that completed in time, completed late, or did not complete. */
 	counts: Map<string, {inTime: number; late: number; open: number}>;
-	/** Mean of processors in use by what fills, while jobs were open. */
+	/** Mean number of processors that best-effort tasks used while there were jobs. */
 	fillingCores: number;
 };
 
-/** How a load is played. */
+/** Options of one simulation. */
 export type DecidingOptions = {
 	policy: Policy;
-	/** The owner begins with the true harm of all pairs: what there is to gain by learning better. */
+	/** The owner starts with the true interference of all pairs of images. This shows how much better learning could gain. */
 	isHarmKnown?: boolean;
 	note?: (event: string, fields: Record<string, unknown>) => void;
 };
@@ -46,19 +46,19 @@
 const ref = {topic: workflowsTopic, partition};
 const settleMs = 4000;
 const tailS = 14;
-const darkMs = 1000;
+const outageMs = 1000;
 const windowMs = 2000;
 const lateShare = 0.15;
-const lateTimes = 3;
-const harmTimes = 4;
+const maxLateFactor = 3;
+const interferencePenalty = 4;
 const checkpointEveryMs = 1000;
 const restoreMs = 100;
 const secondMs = 1000;
-/** Effects are handed on for a tenth of a worker. */
+/** Interference records hold the load added by a tenth of a worker. */
 const tenths = 10;
 const knownDeviation = 0.01;
 
-type World = {
+type Simulation = {
 	clock: ManualClock;
 	store: MemoryStore;
 	jobs: Map<string, OfferedJob>;
@@ -66,94 +66,94 @@
 	agents: Map<string, {agent: Agent; aborter: AbortController}>;
 	result: DecidingResult;
 	policy: Policy;
-	/** Load that a whole worker of the filling image adds to the serving one's. */
+	/** Load that a best-effort image with a whole worker adds to a latency-critical image. */
 	getEffect: (server: string, filler: string) => number;
-	/** Time that tasks of serving jobs were well at work, and were harmed, by job, in the present window. */
-	served: Map<string, {goodMs: number; harmMs: number}>;
-	/** Jobs that were seen to be completed. */
+	/** By latency-critical job: time in the current window that its tasks met their target, and that they missed it because of interference. */
+	served: Map<string, {withinTargetMs: number; interferenceMs: number}>;
+	/** Completed jobs that are already credited. */
 	ended: Set<string>;
 };
 
-/** Plays the load once. */
+/** Simulates the load once. */
 export const playDeciding = async (load: DecidingLoad, seed: number, {policy, isHarmKnown = false, note = () => undefined}: DecidingOptions): Promise<DecidingResult> => {
 	const random = createRandom(seed);
 	const offered = offerJobs(load, random);
-	const world = createWorld(load, random, policy);
-	for (const host of world.workers.keys()) {
-		startAgent(world, host);
+	const simulation = createSimulation(load, random, policy);
+	for (const host of simulation.workers.keys()) {
+		startAgent(simulation, host);
 	}
 
 	if (isHarmKnown) {
-		await writeHarm(world, load);
+		await writeInterference(simulation, load);
 	}
 
-	let entry = startEntry(world, 1, note);
-	await advance(world, settleMs);
-	const startMs = world.clock.monotonicMs();
-	const waiting = offered.map(job => ({...job, atMs: job.atMs + startMs, cancelAtMs: job.cancelAtMs + startMs}));
+	let entry = startEntry(simulation, 1, note);
+	await advance(simulation, settleMs);
+	const startMs = simulation.clock.monotonicMs();
+	const waitingJobs = offered.map(job => ({...job, atMs: job.atMs + startMs, cancelAtMs: job.cancelAtMs + startMs}));
 	const endMs = startMs + ((load.lengthS + tailS) * secondMs);
-	const serving: OfferedJob[] = [];
-	let darkAtMs = load.darkAtS === undefined ? Number.POSITIVE_INFINITY : startMs + (load.darkAtS * secondMs);
-	let windowEndsMs = startMs + windowMs;
+	const latencyCriticalJobs: OfferedJob[] = [];
+	let outageAtMs = load.darkAtS === undefined ? Number.POSITIVE_INFINITY : startMs + (load.darkAtS * secondMs);
+	let windowEndMs = startMs + windowMs;
 	let busyMs = 0;
-	let fillingMs = 0;
-	while (world.clock.monotonicMs() < endMs) {
-		const nowMs = world.clock.monotonicMs();
-		while (waiting.length > 0 && waiting[0]!.atMs <= nowMs) {
-			const job = waiting.shift()!;
-			world.jobs.set(job.id, job);
-			await submit(world, job);
+	let bestEffortCoreMs = 0;
+	while (simulation.clock.monotonicMs() < endMs) {
+		const nowMs = simulation.clock.monotonicMs();
+		while (waitingJobs.length > 0 && waitingJobs[0]!.atMs <= nowMs) {
+			const job = waitingJobs.shift()!;
+			simulation.jobs.set(job.id, job);
+			await submit(simulation, job);
 			if (job.kind.serving) {
-				serving.push(job);
+				latencyCriticalJobs.push(job);
 			}
 		}
 
-		for (const job of serving) {
+		for (const job of latencyCriticalJobs) {
 			if (job.cancelAtMs <= nowMs && job.cancelAtMs > nowMs - stepMs) {
-				await write(world, {type: RecordType.Cancel, id: job.id});
+				await write(simulation, {type: RecordType.Cancel, id: job.id});
 			}
 		}
 
-		if (nowMs >= darkAtMs) {
-			darkAtMs = Number.POSITIVE_INFINITY;
-			entry = await goDark(world, entry, note);
+		if (nowMs >= outageAtMs) {
+			outageAtMs = Number.POSITIVE_INFINITY;
+			entry = await simulateOutage(simulation, entry, note);
 		}
 
-		await advance(world, stepMs);
+		await advance(simulation, stepMs);
 		if (entry.follower.fold.workflows.size > 0) {
 			busyMs += stepMs;
-			fillingMs += stepMs * getFillingCores(world);
+			bestEffortCoreMs += stepMs * getBestEffortCores(simulation);
 		}
 
-		if (world.clock.monotonicMs() >= windowEndsMs) {
-			windowEndsMs += windowMs;
-			countWindow(world, serving, windowEndsMs - (2 * windowMs), endMs - (tailS * secondMs));
+		if (simulation.clock.monotonicMs() >= windowEndMs) {
+			windowEndMs += windowMs;
+			creditWindow(simulation, latencyCriticalJobs, windowEndMs - (2 * windowMs), endMs - (tailS * secondMs));
 		}
 
-		takeEnds(world, entry.follower);
+		creditCompletedJobs(simulation, entry.follower);
 	}
 
 	entry.stop();
-	for (const {aborter} of world.agents.values()) {
+	for (const {aborter} of simulation.agents.values()) {
 		aborter.abort();
 	}
 
-	countOpen(world);
-	world.result.fillingCores = fillingMs / Math.max(1, busyMs);
-	return world.result;
+	countUnfinishedJobs(simulation);
+	simulation.result.fillingCores = bestEffortCoreMs / Math.max(1, busyMs);
+	return simulation.result;
 };
 
-const createWorld = (load: DecidingLoad, random: Random, policy: Policy): World => {
+const createSimulation = (load: DecidingLoad, random: Random, policy: Policy): Simulation => {
 	const clock = new ManualClock();
 	const salt = random.below(1e6);
 	const getEffect = (server: string, filler: string) =>
 		load.effects[Math.floor(getChance(`${salt} ${server} ${filler}`) * load.effects.length)]!;
-	const world: World = {
+	const simulation: Simulation = {
 		clock, store: new MemoryStore(clock, 1), jobs: new Map(), workers: new Map(), agents: new Map(), policy, getEffect, served: new Map(), ended: new Set(), result: {
 			credit: new Map(), lostCoreS: 0, harmS: 0, counts: new Map(), fillingCores: 0,
 		},
 	};
-	const getJob = (taskId: string) => world.jobs.get(parseTaskId(taskId)!.workflowId)!;
+	const getJob = (taskId: string) => simulation.jobs.get(parseTaskId(taskId)!.workflowId)!;
 	const harm = {
 		restMs: load.restMs,
 		getLoad(taskId: string, nowMs: number) {
@@ -164,7 +164,7 @@
 	};
 	for (const [index, milliCpu] of load.workers.entries()) {
 		const host = `host-${String(index).padStart(2, '0')}`;
-		world.workers.set(host, new SharedWorker(host, {
+		simulation.workers.set(host, new SharedWorker(host, {
 			clock,
 			harm,
 			checkpointEveryMs,
@@ -187,56 +187,56 @@
 			onStart: () => undefined,
 			onEnd(taskId, end, lostMs) {
 				if (end !== RunEnd.Failed) {
-					world.result.lostCoreS += lostMs * getJob(taskId).spec.steps[parseTaskId(taskId)!.step]!.milliCpu / 1e6;
+					simulation.result.lostCoreS += lostMs * getJob(taskId).spec.steps[parseTaskId(taskId)!.step]!.milliCpu / 1e6;
 				}
 			},
 			onServed(taskId, {isAtWork, isOver, isDisturbed}, elapsedMs) {
 				const {workflowId} = parseTaskId(taskId)!;
-				const served = world.served.get(workflowId) ?? {goodMs: 0, harmMs: 0};
-				world.served.set(workflowId, served);
-				served.goodMs += isAtWork && !isOver ? elapsedMs : 0;
-				served.harmMs += isAtWork && isOver && isDisturbed ? elapsedMs : 0;
+				const served = simulation.served.get(workflowId) ?? {withinTargetMs: 0, interferenceMs: 0};
+				simulation.served.set(workflowId, served);
+				served.withinTargetMs += isAtWork && !isOver ? elapsedMs : 0;
+				served.interferenceMs += isAtWork && isOver && isDisturbed ? elapsedMs : 0;
 			},
 		}));
 	}
 
-	return world;
+	return simulation;
 };
 
-/** A number from 0 to 1 that depends on the text alone: what happens to a run does not depend on what was decided before. */
+/** A number from 0 to 1 that depends on the text alone, so that the outcome of a run does not depend on earlier decisions. */
 const getChance = (text: string): number => createHash('md5').update(text).digest().readUInt32BE(0) / (2 ** 32);
 
-const advance = async (world: World, durationMs: number): Promise<void> => {
+const advance = async (simulation: Simulation, durationMs: number): Promise<void> => {
 	for (let passedMs = 0; passedMs < durationMs; passedMs += stepMs) {
-		await world.clock.advance(stepMs);
-		for (const worker of world.workers.values()) {
+		await simulation.clock.advance(stepMs);
+		for (const worker of simulation.workers.values()) {
 			worker.advance(stepMs);
 		}
 	}
 };
 
-const startAgent = (world: World, host: string): void => {
+const startAgent = (simulation: Simulation, host: string): void => {
 	const aborter = new AbortController();
-	const worker = world.workers.get(host)!;
+	const worker = simulation.workers.get(host)!;
 	const agent = new Agent({
 		registration: {
 			host, address: host, service: 'desk', failureDomain: 'hall',
 		},
 		partition,
-		store: world.store.createClient(host),
+		store: simulation.store.createClient(host),
 		client: worker.createClient(),
-		clock: world.clock,
-		life: `${host}-${world.clock.monotonicMs()}`,
+		clock: simulation.clock,
+		life: `${host}-${simulation.clock.monotonicMs()}`,
 		leaseHorizonMs,
 		maxLeaseMs: 10_000,
 		note: () => undefined,
 	});
-	world.agents.set(host, {agent, aborter});
+	simulation.agents.set(host, {agent, aborter});
 	void agent.run(aborter.signal);
 	const announce = () => {
 		if (!aborter.signal.aborted) {
 			agent.announce(worker.announce());
-			world.clock.setTimer(announce, secondMs);
+			simulation.clock.setTimer(announce, secondMs);
 		}
 	};
 
@@ -245,9 +245,9 @@
 
 type EntryParts = {follower: WorkflowFollower; epoch: number; stop: () => void};
 
-const startEntry = (world: World, epoch: number, note: (event: string, fields: Record<string, unknown>) => void): EntryParts => {
-	const {clock, policy} = world;
-	const store = world.store.createClient('entry');
+const startEntry = (simulation: Simulation, epoch: number, note: (event: string, fields: Record<string, unknown>) => void): EntryParts => {
+	const {clock, policy} = simulation;
+	const store = simulation.store.createClient('entry');
 	const aborter = new AbortController();
 	const follower = new WorkflowFollower({
 		store, clock, ref, onStoreState: () => undefined, onInvalid: () => undefined,
@@ -255,7 +255,7 @@
 	void follower.run(aborter.signal);
 	const call = async <Reply>(host: string, act: (agent: Agent) => Promise<Reply>): Promise<Reply> => {
 		await clock.sleep(1);
-		return structuredClone(await act(world.agents.get(host)!.agent));
+		return structuredClone(await act(simulation.agents.get(host)!.agent));
 	};
 
 	const client: AgentClient = {
@@ -279,45 +279,45 @@
 	};
 };
 
-/** Everything stops at once: what runs is lost, and all processes begin anew. */
-const goDark = async (world: World, entry: EntryParts, note: (event: string, fields: Record<string, unknown>) => void): Promise<EntryParts> => {
+/** Stops the owner, the agents and the workers at once, so that active runs are lost, and starts all of them again. */
+const simulateOutage = async (simulation: Simulation, entry: EntryParts, note: (event: string, fields: Record<string, unknown>) => void): Promise<EntryParts> => {
 	entry.stop();
-	for (const [host, {aborter}] of world.agents) {
+	for (const [host, {aborter}] of simulation.agents) {
 		aborter.abort();
-		world.workers.get(host)!.crash();
+		simulation.workers.get(host)!.crash();
 	}
 
-	await advance(world, darkMs);
-	for (const host of world.workers.keys()) {
-		startAgent(world, host);
+	await advance(simulation, outageMs);
+	for (const host of simulation.workers.keys()) {
+		startAgent(simulation, host);
 	}
 
-	return startEntry(world, entry.epoch + 1, note);
+	return startEntry(simulation, entry.epoch + 1, note);
 };
 
-const write = async ({store}: World, record: Parameters<typeof encodeRecord>[0]): Promise<void> => {
+const write = async ({store}: Simulation, record: Parameters<typeof encodeRecord>[0]): Promise<void> => {
 	void store.createClient('callers').append(ref, [encodeRecord(record)], {timeoutMs: secondMs});
 };
 
-/** Writes the harm of all pairs as an owner before would have learned it. */
-const writeHarm = async (world: World, {kinds}: DecidingLoad): Promise<void> => {
-	const getImages = (isMeant: (kind: JobKind) => boolean) => kinds.filter(kind => isMeant(kind)).flatMap(({name, images}) => Array.from({length: images}, (_, index) => `${name}-${index}`));
-	const servers = getImages(({serving}) => serving !== undefined);
-	const fillers = getImages(({isFilling}) => isFilling);
-	await write(world, {
-		type: RecordType.Harm, pairs: servers.flatMap(server => fillers.map(filler => ({
-			server, filler, mean: world.getEffect(server, filler) / tenths, deviation: knownDeviation,
+/** Writes the true interference of all pairs, as if an earlier owner had learned it. */
+const writeInterference = async (simulation: Simulation, {kinds}: DecidingLoad): Promise<void> => {
+	const getImages = (isIncluded: (kind: JobKind) => boolean) => kinds.filter(kind => isIncluded(kind)).flatMap(({name, images}) => Array.from({length: images}, (_, index) => `${name}-${index}`));
+	const latencyCriticalImages = getImages(({serving}) => serving !== undefined);
+	const bestEffortImages = getImages(({isFilling}) => isFilling);
+	await write(simulation, {
+		type: RecordType.Harm, pairs: latencyCriticalImages.flatMap(server => bestEffortImages.map(filler => ({
+			server, filler, mean: simulation.getEffect(server, filler) / tenths, deviation: knownDeviation,
 		}))),
 	});
 };
 
-const submit = async (world: World, {id, kind, spec}: OfferedJob): Promise<void> => write(world, {
+const submit = async (simulation: Simulation, {id, kind, spec}: OfferedJob): Promise<void> => write(simulation, {
 	type: RecordType.Submit, workflow: {
-		...spec, id, queue: kind.name, service: 'desk', priority: kind.priority, maxAttempts: kind.maxAttempts, stretch: kind.stretch, targetLatencyMs: kind.targetLatencyMs, needsAdvice: false, receivedAtMs: world.clock.now().getTime(),
+		...spec, id, queue: kind.name, service: 'desk', priority: kind.priority, maxAttempts: kind.maxAttempts, stretch: kind.stretch, targetLatencyMs: kind.targetLatencyMs, needsAdvice: false, receivedAtMs: simulation.clock.now().getTime(),
 	},
 });
 
-const getFillingCores = ({workers}: World): number => {
+const getBestEffortCores = ({workers}: Simulation): number => {
 	let cores = 0;
 	for (const worker of workers.values()) {
 		for (const {truth: {spec}, recent} of worker.runs.values()) {
@@ -328,61 +328,61 @@
 	return cores;
 };
 
-const credit = ({result}: World, kind: string, earned: number, owed: number): void => {
+const credit = ({result}: Simulation, kind: string, earned: number, owed: number): void => {
 	const sum = result.credit.get(kind) ?? {earned: 0, owed: 0};
 	result.credit.set(kind, {earned: sum.earned + earned, owed: sum.owed + owed});
 };
 
-const getCount = ({result}: World, kind: string): {inTime: number; late: number; open: number} => {
+const getCount = ({result}: Simulation, kind: string): {inTime: number; late: number; open: number} => {
 	const count = result.counts.get(kind) ?? {inTime: 0, late: 0, open: 0};
 	result.counts.set(kind, count);
 	return count;
 };
 
-/** A job is worth a part for being done at all, and a part for its work against the mean of its kind. */
+/** Credit for a job: a fixed part, and a part in proportion to its work relative to the mean of its kind. */
 const getWorth = ({kind, coreMs}: OfferedJob): number => {
 	const meanCoreMs = kind.steps.mean * kind.width.mean * kind.workMs.mean * kind.milliCpu.mean / 1000;
 	return kind.worth * Math.min(4, 0.3 + (0.7 * coreMs / meanCoreMs));
 };
 
-const takeEnds = (world: World, follower: WorkflowFollower): void => {
-	const nowMs = world.clock.monotonicMs();
-	for (const job of world.jobs.values()) {
-		const isEnded = world.ended.has(job.id);
+const creditCompletedJobs = (simulation: Simulation, follower: WorkflowFollower): void => {
+	const nowMs = simulation.clock.monotonicMs();
+	for (const job of simulation.jobs.values()) {
+		const isEnded = simulation.ended.has(job.id);
 		if (job.kind.serving !== undefined || isEnded || follower.fold.workflows.get(job.id)?.state !== WorkflowState.Completed) {
 			continue;
 		}
 
 		const allowedMs = (job.kind.stretch * job.chainMs) + job.kind.targetLatencyMs;
 		const tookMs = nowMs - job.atMs;
-		const share = tookMs <= allowedMs ? 1 : (tookMs <= lateTimes * allowedMs ? lateShare : 0);
-		credit(world, job.kind.name, share * getWorth(job), getWorth(job));
-		const count = getCount(world, job.kind.name);
+		const share = tookMs <= allowedMs ? 1 : (tookMs <= maxLateFactor * allowedMs ? lateShare : 0);
+		credit(simulation, job.kind.name, share * getWorth(job), getWorth(job));
+		const count = getCount(simulation, job.kind.name);
 		count.inTime += share === 1 ? 1 : 0;
 		count.late += share === 1 ? 0 : 1;
-		world.ended.add(job.id);
+		simulation.ended.add(job.id);
 	}
 };
 
-/** Each job that serves earns by the share of its tasks at work in each window. */
-const countWindow = (world: World, serving: OfferedJob[], fromMs: number, untilMs: number): void => {
-	for (const job of serving) {
-		const served = world.served.get(job.id) ?? {goodMs: 0, harmMs: 0};
+/** Credits each latency-critical job with the share of the window in which its tasks met their target, less a penalty for interference. */
+const creditWindow = (simulation: Simulation, latencyCriticalJobs: OfferedJob[], fromMs: number, untilMs: number): void => {
+	for (const job of latencyCriticalJobs) {
+		const served = simulation.served.get(job.id) ?? {withinTargetMs: 0, interferenceMs: 0};
 		if (job.atMs <= fromMs && job.cancelAtMs >= fromMs + windowMs && fromMs < untilMs) {
-			const wholeMs = job.spec.steps[0]!.count * windowMs;
-			credit(world, job.kind.name, job.kind.worth * Math.max(0, served.goodMs - ((harmTimes - 1) * served.harmMs)) / wholeMs, job.kind.worth);
-			world.result.harmS += served.harmMs / secondMs;
+			const fullMs = job.spec.steps[0]!.count * windowMs;
+			credit(simulation, job.kind.name, job.kind.worth * Math.max(0, served.withinTargetMs - ((interferencePenalty - 1) * served.interferenceMs)) / fullMs, job.kind.worth);
+			simulation.result.harmS += served.interferenceMs / secondMs;
 		}
 	}
 
-	world.served.clear();
+	simulation.served.clear();
 };
 
-const countOpen = (world: World): void => {
-	for (const job of world.jobs.values()) {
-		if (!job.kind.serving && !world.ended.has(job.id)) {
-			credit(world, job.kind.name, 0, getWorth(job));
-			getCount(world, job.kind.name).open++;
+const countUnfinishedJobs = (simulation: Simulation): void => {
+	for (const job of simulation.jobs.values()) {
+		if (!job.kind.serving && !simulation.ended.has(job.id)) {
+			credit(simulation, job.kind.name, 0, getWorth(job));
+			getCount(simulation, job.kind.name).open++;
 		}
 	}
 };
--- a/src/measure/host-watch.ts
+++ b/src/measure/host-watch.ts
@@ -1,11 +1,11 @@
 /**
-Tells the promise checker what stand-in hosts observed.
+Passes the events of stand-in hosts on to the guarantee checker.
 */
 import {HostEventType, type HostEvent} from '../standin/host-events.ts';
 import {type Resources} from '../types/platform.ts';
 import {type PromiseChecker} from './promise-checker.ts';
 
-/** Notes an event; all tasks of the run have the resources given. */
+/** Records one event; all tasks of the run have the given resources. */
 export const noteHostEvent = (checker: PromiseChecker, event: HostEvent, taskResources: Resources): void => {
 	const {type, hostId, atMs, tryId = '', taskId = '', attempt = 0} = event;
 	switch (type) {
--- a/src/measure/jobs-measurement.ts
+++ b/src/measure/jobs-measurement.ts
@@ -1,5 +1,5 @@
 /**
-Measures placement policies for both users, then the rate and the state of ours at several fleet sizes.
+Measures placement policies for both users, then the decision rate and the memory of the product's placement at several fleet sizes.
 */
 import {awareName, blindName, measuredPolicies} from './jobs-policies.ts';
 import {runJobs, type JobsResult} from './jobs-run.ts';
@@ -7,11 +7,11 @@
 import {createUsers, type MeasuredUser} from './jobs-users.ts';
 import {type MeasureOptions, type MeasureReport, type MeasureRow} from './measure-types.ts';
 
-/** What to measure besides the usual options. */
+/** Options of the measurement. */
 export type JobsMeasureOptions = MeasureOptions & {
-	/** Runs with seeds of their own that make up one row. */
+	/** Runs for one row, each with its own seed. */
 	repeats: number;
-	/** Numbers of workers at which rate and state are measured. */
+	/** Numbers of workers at which decision rate and memory are measured. */
 	fleetSizes: number[];
 };
 
--- a/src/measure/jobs-policies.ts
+++ b/src/measure/jobs-policies.ts
@@ -1,5 +1,5 @@
 /**
-Placement policies that ours is measured against. All share its queue, quotas and evictions; only the choice differs.
+Placement policies to compare. All share the product's queue, quotas and evictions; only the choice of the worker differs.
 */
 import {getDominantShare} from '../jobs/placement-resources.ts';
 import {type ChooseWorker} from '../jobs/placement-search.ts';
@@ -7,9 +7,9 @@
 import {type Random} from '../types/random.ts';
 import {type MeasuredPolicy} from './jobs-run.ts';
 
-/** Our placement without and with what it learns of harm. */
+/** Name of the product's placement without learned interference. */
 export const blindName = 'blind';
-/** Name of the product's own placement among the policies measured. */
+/** Name of the product's placement with learned interference. */
 export const awareName = 'harm-aware';
 
 const getFreeShare = ({free, spec}: WorkerEntry): number => getDominantShare(free, spec.capacity);
@@ -26,7 +26,7 @@
 	return getFreeShare(first) >= getFreeShare(second) ? first : second;
 };
 
-/** All policies that are compared. The last two are ours, blind to harm and aware of it. */
+/** All policies that are compared. The last two are the product's placement without and with learned interference. */
 export const measuredPolicies: MeasuredPolicy[] = [
 	{name: 'first-fit', isHarmAware: false, createChoose: () => chooseFirst},
 	{name: 'best-fit', isHarmAware: false, createChoose: () => chooseTightest},
--- a/src/measure/jobs-run.ts
+++ b/src/measure/jobs-run.ts
@@ -1,5 +1,5 @@
 /**
-One run of one placement policy in the small world: arrivals, noisy waves, urgent work, evictions, and what came of it.
+One simulated run of one placement policy, with arrivals, waves of interfering batch work, urgent work and evictions.
 */
 import {build as buildHistogram, type Histogram} from 'hdr-histogram-js';
 import {createPlacementEngine} from '../jobs/placement-engine.ts';
@@ -13,7 +13,7 @@
 import {type MeasuredUser, type TrueKind} from './jobs-users.ts';
 import {JobsWorld, type TrueTask} from './jobs-world.ts';
 
-/** What one run gave. Counts are of the time after the warm-up. */
+/** Result of one run. Counts exclude the warm-up. */
 export type JobsResult = {
 	user: string;
 	policy: string;
@@ -21,7 +21,7 @@
 	serviceP99: number;
 	serviceP50: number;
 	batchPerHour: number;
-	/** Batch work done, as processor hours of unhindered run time an hour. */
+	/** Batch work completed, as processor hours of run time without interference, an hour. */
 	batchWorkPerHour: number;
 	evictionsPerHour: number;
 	evictionsByReason: Record<string, number>;
@@ -51,13 +51,13 @@
 
 const stepMs = 250;
 const warmUpMs = 300_000;
-const waveEveryMs = 240_000;
+const waveIntervalMs = 240_000;
 const waveTasks = 24;
-const urgentEveryMs = 45_000;
+const urgentIntervalMs = 45_000;
 const urgentPriority = 950;
 const batchPriority = 100;
-// Offered batch work over the processors that services leave, so that there is nearly always something to run.
-const offered = 0.85;
+// Offered batch work as a share of the processors that services leave; high enough that tasks are nearly always waiting.
+const offeredShare = 0.85;
 const restartMs = 5000;
 const hourMs = 3_600_000;
 const slowdownScale = 1000;
@@ -65,7 +65,7 @@
 const skippedDraws = 32;
 const streams = 8;
 
-/** Runs one policy for so long after the warm-up. */
+/** Runs one policy through the warm-up and for `countedMs` after it. */
 export const runJobs = (user: MeasuredUser, policy: MeasuredPolicy, {seed, countedMs}: {seed: number; countedMs: number}): JobsResult =>
 	new JobsRun(user, policy, seed).run(warmUpMs + countedMs);
 
@@ -75,12 +75,12 @@
 	readonly #seed: number;
 	readonly #engine: PlacementEngine;
 	readonly #world: JobsWorld;
-	// Arrivals are drawn apart, so that every policy gets the same ones.
+	// Arrivals have a random stream of their own, so that every policy gets the same ones.
 	readonly #arrivals: Random;
-	readonly #stops: Random;
+	readonly #stopDelays: Random;
 	readonly #waiting = new Map<string, PendingTask>();
-	readonly #specs = new Map<string, PendingTask>();
-	readonly #kept = new Map<string, number>();
+	readonly #startedTasks = new Map<string, PendingTask>();
+	readonly #savedMs = new Map<string, number>();
 	readonly #slowdowns = createHistogram();
 	readonly #starts = {urgent: createHistogram(), batch: createHistogram(), service: createHistogram()};
 	readonly #evictions = new Map<string, number>();
@@ -99,7 +99,7 @@
 		this.#policy = policy;
 		this.#seed = seed;
 		this.#arrivals = createStream(seed, 1);
-		this.#stops = createStream(seed, 2);
+		this.#stopDelays = createStream(seed, 2);
 		this.#world = new JobsWorld(user.workers, user.kinds, createStream(seed, 3));
 		this.#engine = createPlacementEngine({
 			settings: {...user.placement, isHarmAware: policy.isHarmAware}, random: createStream(seed, 0), choose: policy.createChoose?.(createStream(seed, 4)),
@@ -118,8 +118,8 @@
 		}
 
 		for (this.#nowMs = 0; this.#nowMs < durationMs; this.#nowMs += stepMs) {
-			this.#arrive();
-			this.#pass();
+			this.#submitArrivals();
+			this.#advance();
 			for (const {taskId, usage} of this.#world.takeReports(this.#nowMs)) {
 				this.#engine.noteUsage(taskId, usage);
 			}
@@ -162,7 +162,7 @@
 		this.#engine.enqueue(task);
 	}
 
-	#arrive(): void {
+	#submitArrivals(): void {
 		const random = this.#arrivals;
 		const batch = this.#user.kinds.filter(({taskClass}) => taskClass === TaskClass.Batch);
 		while (this.#nowMs >= this.#nextBatchMs) {
@@ -170,16 +170,16 @@
 			this.#nextBatchMs += -Math.log(1 - random.next()) * getMeanGapMs(this.#user);
 		}
 
-		if (this.#nowMs % waveEveryMs === 0 && this.#nowMs > 0) {
+		if (this.#nowMs % waveIntervalMs === 0 && this.#nowMs > 0) {
 			this.#submit(batch.at(-1 - random.below(2))!, {count: waveTasks, priority: batchPriority});
 		}
 
-		if (this.#nowMs % urgentEveryMs === 0 && this.#nowMs > 0) {
+		if (this.#nowMs % urgentIntervalMs === 0 && this.#nowMs > 0) {
 			this.#submit(batch[random.below(3)]!, {count: 2, priority: urgentPriority});
 		}
 	}
 
-	#pass(): void {
+	#advance(): void {
 		this.#world.step(this.#nowMs, stepMs);
 		for (const task of this.#world.tasks.values()) {
 			if (task.doneMs >= task.kind.runTimeMs) {
@@ -195,26 +195,26 @@
 	#finish(task: TrueTask): void {
 		this.#world.remove(task);
 		this.#engine.noteEnded(task.taskId, true, this.#nowMs);
-		this.#kept.delete(task.taskId);
-		this.#specs.delete(task.taskId);
+		this.#savedMs.delete(task.taskId);
+		this.#startedTasks.delete(task.taskId);
 		if (this.#isCounted) {
 			this.#finished++;
 			this.#workMs += task.kind.runTimeMs * task.kind.processors;
 		}
 	}
 
-	/** An eviction takes effect: with a checkpoint little is lost, without one all of it. */
+	/** Stops an evicted task. It loses `restartMs` of its work if it is checkpointable, otherwise all of it. */
 	#stop(task: TrueTask): void {
 		const {kind, taskId, doneMs} = task;
-		const keptMs = kind.isCheckpointable ? Math.max(0, doneMs - restartMs) : 0;
+		const savedMs = kind.isCheckpointable ? Math.max(0, doneMs - restartMs) : 0;
 		if (this.#isCounted) {
-			this.#lostMs += (doneMs - keptMs) * kind.processors;
+			this.#lostMs += (doneMs - savedMs) * kind.processors;
 		}
 
 		this.#world.remove(task);
-		this.#kept.set(taskId, keptMs);
+		this.#savedMs.set(taskId, savedMs);
 		this.#engine.noteEnded(taskId, false, this.#nowMs);
-		this.#enqueue({...this.#specs.get(taskId)!, attempt: task.attempt + 1, queuedAtMs: this.#nowMs});
+		this.#enqueue({...this.#startedTasks.get(taskId)!, attempt: task.attempt + 1, queuedAtMs: this.#nowMs});
 	}
 
 	#apply(decision: Decision): void {
@@ -228,7 +228,7 @@
 			case DecisionType.Evict: {
 				const task = this.#world.tasks.get(decision.taskId);
 				if (task) {
-					task.stopAtMs = this.#nowMs + 200 + this.#stops.below(800);
+					task.stopAtMs = this.#nowMs + 200 + this.#stopDelays.below(800);
 				}
 
 				if (this.#isCounted) {
@@ -261,7 +261,7 @@
 		const kindIndex = this.#user.kinds.findIndex(({name}) => name === spec.kind);
 		const isUrgent = spec.priority === urgentPriority;
 		this.#waiting.delete(taskId);
-		this.#specs.set(taskId, pending);
+		this.#startedTasks.set(taskId, pending);
 		this.#world.start({
 			taskId,
 			attempt,
@@ -269,11 +269,11 @@
 			kindIndex,
 			workerId,
 			isUrgent,
-			doneMs: this.#kept.get(taskId) ?? 0,
+			doneMs: this.#savedMs.get(taskId) ?? 0,
 			share: 1,
 			slowdown: 1,
 			stopAtMs: Number.POSITIVE_INFINITY,
-			reportAtMs: this.#nowMs + 2000 + this.#stops.below(8000),
+			reportAtMs: this.#nowMs + 2000 + this.#stopDelays.below(8000),
 		});
 		const waitedMs = this.#nowMs - pending.queuedAtMs;
 		if (this.#isCounted || spec.taskClass === TaskClass.LatencyCritical) {
@@ -324,7 +324,7 @@
 	}
 }
 
-/** The first numbers of small seeds lie close together: the streams of a run are spread and started further on. */
+/** Small seeds give similar first numbers. So the seeds of a run's streams are spread, and the first draws are skipped. */
 const createStream = (seed: number, stream: number): Random => {
 	const random = createRandom(((seed * streams) + stream) * seedSpread);
 	for (let draw = 0; draw < skippedDraws; draw++) {
@@ -343,19 +343,19 @@
 	const services = kinds.reduce((sum, kind) => sum + (kind.replicas * kind.processors), 0);
 	const batch = kinds.filter(({taskClass}) => taskClass === TaskClass.Batch);
 	const meanWork = batch.reduce((sum, kind) => sum + (kind.processors * kind.runTimeMs), 0) / batch.length;
-	return meanWork / (offered * (capacity - services));
+	return meanWork / (offeredShare * (capacity - services));
 };
 
 /**
-The user's measure: slowdown of services at the 99th percentile beyond 1, batch work not done of what the processors
-left by services could do, and evictions for each ten batch tasks finished, each by its weight.
+The user's cost, a weighted sum of the 99th percentile of services' slowdown above 1, the share of the batch work that the
+processors left by services could do but did not, and the evictions for each ten batch tasks finished.
 */
 const getCost = ({weights, workers, kinds}: MeasuredUser, result: {serviceP99: number; batchWorkPerHour: number; evictionsPerHour: number; batchPerHour: number}): number => {
 	const capacity = workers.reduce((sum, worker) => sum + worker.capacity.processors, 0);
 	const services = kinds.reduce((sum, kind) => sum + (kind.replicas * kind.processors), 0);
-	const undone = 1 - (result.batchWorkPerHour / (capacity - services));
+	const undoneShare = 1 - (result.batchWorkPerHour / (capacity - services));
 	const evictions = 10 * result.evictionsPerHour / Math.max(1, result.batchPerHour);
-	return (weights.tail * (result.serviceP99 - 1)) + (weights.batch * undone) + (weights.evictions * evictions);
+	return (weights.tail * (result.serviceP99 - 1)) + (weights.batch * undoneShare) + (weights.evictions * evictions);
 };
 
 const addToDigest = (digest: number, line: string): number => {
--- a/src/measure/jobs-scale.ts
+++ b/src/measure/jobs-scale.ts
@@ -10,13 +10,13 @@
 import {createRandom} from '../utils/seeded-random.ts';
 import {getHeapBytes} from './process-cost.ts';
 
-/** What one fleet size gave. */
+/** Result for one fleet size. */
 export type ScaleResult = {
 	workers: number;
 	tasks: number;
 	/** Start decisions a second of processor time, on a fleet that is nearly full. */
 	decisionsPerSecond: number;
-	/** Usage reports taken in a second of processor time. */
+	/** Usage reports processed in a second of processor time. */
 	reportsPerSecond: number;
 	workerBytes: number;
 	taskBytes: number;
@@ -27,20 +27,20 @@
 const measuredStarts = 20_000;
 const measuredReports = 20_000;
 const waitingJobs = 2000;
-const leastWorkers = 400;
+const minWorkers = 400;
 const batchSize = 100;
 const teams = 80;
 const kinds = 24;
 const domains = 17;
 const rackSize = 20;
 const churnMs = 100;
-const fillRounds = 600;
-const collections = 3;
+const maxFillRounds = 600;
+const collectionCount = 3;
 
 /** Measures one fleet size. */
 export const measureScale = (workerCount: number, seed: number): ScaleResult => {
-	// A small fleet is lost in the noise of the heap: several of them are held at once.
-	const fleets = Array.from({length: Math.ceil(leastWorkers / workerCount)}, (_, index) => new ScaleFleet(workerCount, createRandom(seed + index)));
+	// The heap use of a small fleet is within the noise of the measurement, so several are held at once.
+	const fleets = Array.from({length: Math.ceil(minWorkers / workerCount)}, (_, index) => new ScaleFleet(workerCount, createRandom(seed + index)));
 	const [fleet] = fleets as [ScaleFleet];
 	const steps = [() => undefined, ...getSteps(fleets)].map(step => {
 		step();
@@ -111,13 +111,13 @@
 	/** Fills nine tenths of the fleet. */
 	fill(): void {
 		this.#submit(Math.floor(0.9 * tasksPerWorker * this.#workerCount));
-		for (let round = 0; round < fillRounds && this.#waiting.size > 0; round++) {
+		for (let round = 0; round < maxFillRounds && this.#waiting.size > 0; round++) {
 			this.#decide();
 			this.#nowMs += churnMs;
 		}
 	}
 
-	/** Tasks end and others start in their place; gives starts a second. */
+	/** Ends tasks and starts others in their place; returns starts a second. */
 	churn(): number {
 		let starts = 0;
 		const size = Math.max(1, Math.min(batchSize, Math.floor(this.running.length / batchSize)));
@@ -135,7 +135,7 @@
 		return starts / ((getCpuMs() - startMs) / 1000);
 	}
 
-	/** Takes in usage reports; gives reports a second. */
+	/** Processes usage reports; returns reports a second. */
 	report(): number {
 		const startMs = getCpuMs();
 		for (let count = 0; count < measuredReports; count++) {
@@ -148,7 +148,7 @@
 		return measuredReports / ((getCpuMs() - startMs) / 1000);
 	}
 
-	/** Queues jobs of one task; nothing is decided on them. */
+	/** Queues jobs of one task without deciding on them. */
 	queueJobs(): void {
 		for (let count = 0; count < waitingJobs; count++) {
 			this.#engine.enqueue({
@@ -157,7 +157,7 @@
 		}
 	}
 
-	/** Takes the queued jobs back. */
+	/** Cancels the queued jobs. */
 	cancelJobs(): void {
 		for (let count = 0; count < waitingJobs; count++) {
 			this.#engine.cancel(`waiting-${count}/0`);
@@ -227,10 +227,10 @@
 	return (user + system) / 1000;
 };
 
-/** What earlier runs left is gone only after several collections. */
+/** Several collectionCount are needed to free what earlier runs left. */
 const getSettledHeapBytes = (): number => {
 	let bytes = 0;
-	for (let count = 0; count < collections; count++) {
+	for (let count = 0; count < collectionCount; count++) {
 		bytes = getHeapBytes();
 	}
 
--- a/src/measure/jobs-users.ts
+++ b/src/measure/jobs-users.ts
@@ -6,14 +6,14 @@
 import {TaskClass} from '../types/jobs.ts';
 import {type PlacementWorker} from '../types/placement.ts';
 
-/** How the results of a run are weighed into one figure. */
+/** Weights of the results in the cost of a run. */
 export type ResultWeights = {
 	tail: number;
 	batch: number;
 	evictions: number;
 };
 
-/** A kind of task as it really is. */
+/** A kind of task with its true properties. */
 export type TrueKind = {
 	name: string;
 	taskClass: TaskClass;
@@ -23,13 +23,13 @@
 	/** Declared size over true size, and declared run time over true run time. */
 	declaredRatio: number;
 	declaredTimeRatio: number;
-	/** Mean harm to a neighbour on a full host. */
+	/** Mean slowdown that a task of this kind causes to another task on a full host. */
 	noise: number;
 	replicas: number;
 	isCheckpointable: boolean;
 };
 
-/** One user as measured. */
+/** One user in the measurement. */
 export type MeasuredUser = {
 	name: string;
 	weights: ResultWeights;
@@ -91,7 +91,7 @@
 	...changes,
 });
 
-// Quiet and noisy kinds, small and large, declared too large, too small and too long.
+// Kinds with little and with much interference, small and large, some with sizes declared too large or too small, or run times declared too short or too long.
 const batchKinds = (names: [string, string, string, string, string, string]): TrueKind[] => [
 	createBatch(names[0], {declaredRatio: 1.5}),
 	createBatch(names[1], {processors: 3, runTimeMs: 90_000, declaredTimeRatio: 0.4}),
@@ -107,7 +107,7 @@
 	}),
 ];
 
-/** Both users of today. */
+/** Both current users. */
 export const createUsers = (): MeasuredUser[] => [
 	{
 		name: 'clydeside',
--- a/src/measure/jobs-world.ts
+++ b/src/measure/jobs-world.ts
@@ -1,5 +1,5 @@
 /**
-Small fake workers on manual time: tasks that slow each other down by a hidden law, and report it late and noisily.
+Simulated workers on manual time: tasks slow each other down by factors that placement does not know, and report usage late and with noise.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type PlacementWorker} from '../types/placement.ts';
@@ -7,7 +7,7 @@
 import {type Random} from '../types/random.ts';
 import {type TrueKind} from './jobs-users.ts';
 
-/** A task as it really runs. */
+/** A task on a simulated worker. */
 export type TrueTask = {
 	taskId: string;
 	attempt: number;
@@ -15,11 +15,11 @@
 	kindIndex: number;
 	workerId: string;
 	isUrgent: boolean;
-	/** Unhindered run time that is done. */
+	/** Work done, as run time without interference. */
 	doneMs: number;
 	share: number;
 	slowdown: number;
-	/** When a stop that was asked for takes effect. */
+	/** When a requested stop takes effect. */
 	stopAtMs: number;
 	reportAtMs: number;
 };
@@ -30,23 +30,23 @@
 	arrivesAtMs: number;
 };
 
-const reportEveryMs = 10_000;
-const leastLateMs = 5000;
-const mostLateMs = 30_000;
+const reportIntervalMs = 10_000;
+const minReportDelayMs = 5000;
+const maxReportDelayMs = 30_000;
 const reportNoise = 0.15;
-const pairSpread = 0.9;
+const pairSigma = 0.9;
 const loadPeriodMs = 900_000;
 
 /** Draws from the normal distribution. */
 export const drawNormal = (random: Random): number =>
 	Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
 
-/** Fake workers with their tasks. */
+/** Simulated workers with their tasks. */
 export class JobsWorld {
 	readonly tasks = new Map<string, TrueTask>();
 	readonly #workers = new Map<string, {spec: PlacementWorker; tasks: Set<TrueTask>}>();
-	// Harm of each kind to each other on a full host.
-	readonly #harm: number[][];
+	// Slowdown of each kind (first index) by each kind (second index) on a full host.
+	readonly #interference: number[][];
 	readonly #random: Random;
 	readonly #reports: LateReport[] = [];
 	readonly #phases: number[];
@@ -57,9 +57,9 @@
 			this.#workers.set(spec.workerId, {spec, tasks: new Set()});
 		}
 
-		this.#harm = kinds.map(victim => kinds.map(neighbour => {
+		this.#interference = kinds.map(victim => kinds.map(neighbour => {
 			const sensitivity = victim.taskClass === TaskClass.LatencyCritical ? 1 : 0.5;
-			return sensitivity * neighbour.noise * Math.exp(pairSpread * drawNormal(random));
+			return sensitivity * neighbour.noise * Math.exp(pairSigma * drawNormal(random));
 		}));
 		this.#phases = kinds.map(() => random.next());
 	}
@@ -74,7 +74,7 @@
 		this.#workers.get(task.workerId)!.tasks.delete(task);
 	}
 
-	/** Lets the time pass on all workers. */
+	/** Advances all workers by one step. */
 	step(nowMs: number, stepMs: number): void {
 		for (const {spec, tasks} of this.#workers.values()) {
 			let used = 0;
@@ -87,30 +87,30 @@
 				task.slowdown = this.#getSlowdown(task, tasks, load);
 				task.doneMs += stepMs * task.share / task.slowdown;
 				if (nowMs >= task.reportAtMs) {
-					task.reportAtMs = nowMs + reportEveryMs;
+					task.reportAtMs = nowMs + reportIntervalMs;
 					this.#report(task, nowMs);
 				}
 			}
 		}
 	}
 
-	/** Takes the reports that have arrived by now. */
+	/** Removes and returns the reports that have arrived by now. */
 	takeReports(nowMs: number): LateReport[] {
 		const arrived: LateReport[] = [];
-		let kept = 0;
+		let remaining = 0;
 		for (const report of this.#reports) {
 			if (report.arrivesAtMs <= nowMs) {
 				arrived.push(report);
 			} else {
-				this.#reports[kept++] = report;
+				this.#reports[remaining++] = report;
 			}
 		}
 
-		this.#reports.length = kept;
+		this.#reports.length = remaining;
 		return arrived;
 	}
 
-	/** Services follow their callers; batch tasks use what their share allows. */
+	/** Services use processors as their load varies; batch tasks use what their share allows. */
 	#getProcessors(task: TrueTask, nowMs: number): number {
 		const {kind, kindIndex, share} = task;
 		if (kind.taskClass === TaskClass.Batch) {
@@ -121,17 +121,17 @@
 		return kind.processors * (0.6 + (0.4 * Math.sin(2 * Math.PI * phase)));
 	}
 
-	/** Harm grows faster than the load, and an overfull host harms all. */
+	/** Interference grows faster than the load, and an overloaded host slows down all tasks. */
 	#getSlowdown(task: TrueTask, tasks: Set<TrueTask>, load: number): number {
-		const row = this.#harm[task.kindIndex]!;
-		let harm = 0;
+		const row = this.#interference[task.kindIndex]!;
+		let interference = 0;
 		for (const other of tasks) {
 			if (other !== task) {
-				harm += row[other.kindIndex]! * other.share;
+				interference += row[other.kindIndex]! * other.share;
 			}
 		}
 
-		return 1 + (harm * (0.2 + (0.8 * (Math.max(0, load) ** 2)))) + (2 * Math.max(0, load - 1));
+		return 1 + (interference * (0.2 + (0.8 * (Math.max(0, load) ** 2)))) + (2 * Math.max(0, load - 1));
 	}
 
 	#report(task: TrueTask, nowMs: number): void {
@@ -139,12 +139,12 @@
 		const noise = Math.exp(reportNoise * drawNormal(random));
 		this.#reports.push({
 			taskId: task.taskId,
-			arrivesAtMs: nowMs + leastLateMs + random.below(mostLateMs - leastLateMs),
+			arrivesAtMs: nowMs + minReportDelayMs + random.below(maxReportDelayMs - minReportDelayMs),
 			usage: {
 				measuredAtMs: nowMs,
 				processors: this.#getProcessors(task, nowMs) * (0.95 + (0.1 * random.next())),
 				memoryMb: task.kind.memoryMb * (0.9 + (0.1 * random.next())),
-				// A throttled batch task is measured against its share, so that its neighbours alone count.
+				// The slowdown of a throttled batch task is relative to its share, so that only interference counts.
 				slowdown: task.slowdown * noise,
 			},
 		});
--- a/src/measure/measure-types.ts
+++ b/src/measure/measure-types.ts
@@ -14,15 +14,15 @@
 	seed: number;
 	seconds: number;
 	rows: MeasureRow[];
-	/** Sentences on what the figures say. */
+	/** Sentences that summarise the figures. */
 	notes: string[];
 };
 
-/** What every measurement is asked with. */
+/** Options that all measurements share. */
 export type MeasureOptions = {
 	seed: number;
 	/** Measured time of each run. */
 	seconds: number;
-	/** Told before each run. */
+	/** Called before each run. */
 	onProgress: (done: number, total: number, label: string) => void;
 };
--- a/src/measure/pass-through.ts
+++ b/src/measure/pass-through.ts
@@ -1,5 +1,5 @@
 /**
-A bare pass-through of node:http and undici: what an entry's processor time is held against.
+A bare HTTP pass-through of node:http and undici, the baseline for the processor time of an entry.
 */
 import {createServer} from 'node:http';
 import {Agent} from 'undici';
@@ -11,7 +11,7 @@
 	stop(): Promise<void>;
 };
 
-/** Creates a pass-through that takes its targets in turn. */
+/** Creates a pass-through that sends requests to its targets in turn. */
 export const createPassThrough = (targets: string[]): PassThrough => {
 	const agent = new Agent({pipelining: 1});
 	let turn = 0;
--- a/src/measure/promise-checker.ts
+++ b/src/measure/promise-checker.ts
@@ -1,10 +1,10 @@
 /**
-Watches what the outside sees of the system and tells, for each promise, how often it was at risk and whether it held.
-It knows nothing of the inside: it is told of starts, ends, requests and answers by stand-ins and callers.
+Checks the system's guarantees from outside: counts, for each one, how often it could have been violated and how often it was.
+Stand-in hosts and callers report starts, ends, requests and answers; no internal state of the system is read.
 */
 import {type Resources} from '../types/platform.ts';
 
-/** The promises. */
+/** Guarantees of the system. The values are printed in reports. */
 export enum Promised {
 	NoOvercommit = 'no host is given more than it has',
 	OnePlace = 'no task runs in two places',
@@ -17,47 +17,47 @@
 	ConfigHolds = 'an accepted configuration is in force everywhere and never reverts',
 }
 
-/** What was found of one promise. */
+/** Findings on one guarantee. */
 export type PromiseResult = {
-	/** How often something happened that could have broken it. */
+	/** Number of observations that could have violated it. */
 	atRisk: number;
 	broken: number;
-	/** The first few cases. */
+	/** Descriptions of the first violations. */
 	cases: string[];
 };
 
-/** Results of all promises. */
+/** Findings on all guarantees. */
 export type PromiseReport = Record<Promised, PromiseResult>;
 
-type RequestTry = {
+type RequestAttempt = {
 	requestId?: string;
 	runs: number;
-	isToldNotRun: boolean;
+	isReportedNotRun: boolean;
 };
 
-const maxCases = 5;
-/** Time after which an upstream that leaves may receive nothing new. */
+const maxExamples = 5;
+/** An upstream may still receive new requests for this long after it announces that it leaves. */
 const leaveGraceMs = 3000;
 const roundingError = 1e-6;
 
-/** Checks the promises. */
+/** Checks the guarantees during one run. */
 export class PromiseChecker {
-	readonly #results = new Map<Promised, PromiseResult>(Object.values(Promised).map(promised => [promised, {atRisk: 0, broken: 0, cases: []}]));
+	readonly #results = new Map<Promised, PromiseResult>(Object.values(Promised).map(guarantee => [guarantee, {atRisk: 0, broken: 0, cases: []}]));
 	readonly #capacities = new Map<string, Resources>();
-	readonly #running = new Map<string, Map<string, Resources>>();
-	readonly #places = new Map<string, Set<string>>();
+	readonly #tasksByWorker = new Map<string, Map<string, Resources>>();
+	readonly #workersByTask = new Map<string, Set<string>>();
 	readonly #lastAttempts = new Map<string, number>();
-	readonly #tries = new Map<string, RequestTry>();
-	readonly #runsById = new Map<string, number>();
+	readonly #attempts = new Map<string, RequestAttempt>();
+	readonly #runsByRequestId = new Map<string, number>();
 	readonly #leavingSinceMs = new Map<string, number>();
-	readonly #offsets = new Map<string, number>();
+	readonly #configOffsets = new Map<string, number>();
 
-	/** Results so far. */
+	/** Findings so far. */
 	getReport(): PromiseReport {
 		return Object.fromEntries(this.#results) as PromiseReport;
 	}
 
-	/** Whether no promise was broken. */
+	/** Whether no guarantee has been violated so far. */
 	get isHeld(): boolean {
 		return [...this.#results.values()].every(({broken}) => broken === 0);
 	}
@@ -66,17 +66,17 @@
 		this.#capacities.set(workerId, capacity);
 	}
 
-	/** A worker begins to run an attempt. */
+	/** A worker starts an attempt of a task. */
 	noteTaskStarted(workerId: string, taskId: string, attempt: number, resources: Resources): void {
-		const tasks = getOrCreate(this.#running, workerId, () => new Map<string, Resources>());
+		const tasks = getOrCreate(this.#tasksByWorker, workerId, () => new Map<string, Resources>());
 		tasks.set(taskId, resources);
 		this.#checkCapacity(workerId, tasks);
 
-		const places = getOrCreate(this.#places, taskId, () => new Set<string>());
-		places.add(workerId);
-		this.#check(Promised.OnePlace, places.size === 1, `${taskId} runs on ${[...places].join(' and ')}`);
+		const taskWorkers = getOrCreate(this.#workersByTask, taskId, () => new Set<string>());
+		taskWorkers.add(workerId);
+		this.#check(Promised.OnePlace, taskWorkers.size === 1, `${taskId} runs on ${[...taskWorkers].join(' and ')}`);
 
-		// An attempt that starts again, or one older than the last, is a second resume of the same eviction.
+		// An attempt number that is not higher than the last one means that the task was resumed twice after one eviction.
 		const lastAttempt = this.#lastAttempts.get(taskId);
 		if (lastAttempt !== undefined) {
 			this.#check(Promised.ResumeOnce, attempt > lastAttempt, `attempt ${attempt} of ${taskId} started after attempt ${lastAttempt}`);
@@ -87,81 +87,81 @@
 
 	/** A worker no longer runs a task. */
 	noteTaskEnded(workerId: string, taskId: string): void {
-		this.#running.get(workerId)?.delete(taskId);
-		this.#places.get(taskId)?.delete(workerId);
+		this.#tasksByWorker.get(workerId)?.delete(taskId);
+		this.#workersByTask.get(taskId)?.delete(workerId);
 	}
 
-	/** A worker is gone, and with it all that it ran. */
+	/** A worker process was lost with all tasks that it ran. */
 	noteWorkerGone(workerId: string): void {
-		for (const taskId of this.#running.get(workerId)?.keys() ?? []) {
-			this.#places.get(taskId)?.delete(workerId);
+		for (const taskId of this.#tasksByWorker.get(workerId)?.keys() ?? []) {
+			this.#workersByTask.get(taskId)?.delete(workerId);
 		}
 
-		this.#running.delete(workerId);
+		this.#tasksByWorker.delete(workerId);
 	}
 
-	/** A caller sends one try; `requestId` marks it as non-idempotent. */
-	noteTry(tryId: string, requestId?: string): void {
-		this.#tries.set(tryId, {requestId, runs: 0, isToldNotRun: false});
+	/** A caller sends an attempt of a request; only non-idempotent requests have a `requestId`. */
+	noteTry(attemptId: string, requestId?: string): void {
+		this.#attempts.set(attemptId, {requestId, runs: 0, isReportedNotRun: false});
 	}
 
-	/** An upstream begins to run a try. */
-	noteRan(upstreamId: string, tryId: string, atMs: number): void {
-		const sent = this.#tries.get(tryId);
+	/** An upstream starts to run an attempt. */
+	noteRan(upstreamId: string, attemptId: string, atMs: number): void {
+		const sent = this.#attempts.get(attemptId);
 		if (sent) {
 			sent.runs++;
-			this.#checkNotRun(tryId, sent);
+			this.#checkNotRun(attemptId, sent);
 			this.#checkAtMostOnce(sent.requestId);
 		}
 
 		const leavingSinceMs = this.#leavingSinceMs.get(upstreamId);
 		if (leavingSinceMs !== undefined) {
 			const afterMs = atMs - leavingSinceMs;
-			this.#check(Promised.LeavingQuiet, afterMs <= leaveGraceMs, `${upstreamId} received ${tryId} ${Math.round(afterMs)} ms after it said that it leaves`);
+			this.#check(Promised.LeavingQuiet, afterMs <= leaveGraceMs, `${upstreamId} received ${attemptId} ${Math.round(afterMs)} ms after it announced that it leaves`);
 		}
 	}
 
-	/** A caller was told that the try was not run. */
-	noteNotRun(tryId: string): void {
-		const sent = this.#tries.get(tryId);
+	/** A caller received the outcome that the attempt was not run. */
+	noteNotRun(attemptId: string): void {
+		const sent = this.#attempts.get(attemptId);
 		if (sent) {
-			sent.isToldNotRun = true;
-			this.#checkNotRun(tryId, sent);
+			sent.isReportedNotRun = true;
+			this.#checkNotRun(attemptId, sent);
 		}
 	}
 
-	/** A caller received an answer that it took for a good one. */
-	noteAnswer(tryId: string, isWholeAndOwn: boolean): void {
-		this.#check(Promised.OwnAnswer, isWholeAndOwn, `${tryId} got an answer that is not whole or not its own`);
+	/** A caller received an answer with a success status. */
+	noteAnswer(attemptId: string, isCompleteAndOwn: boolean): void {
+		this.#check(Promised.OwnAnswer, isCompleteAndOwn, `${attemptId} received an answer that is incomplete or belongs to another request`);
 	}
 
-	/** An upstream says that it leaves. */
+	/** An upstream announces that it leaves. */
 	noteLeaving(upstreamId: string, atMs: number): void {
 		this.#leavingSinceMs.set(upstreamId, atMs);
 		this.#check(Promised.LeavingQuiet, true, '');
 	}
 
-	/** The upstream is back under the same name. */
+	/** The upstream has started again under the same id. */
 	noteBack(upstreamId: string): void {
 		this.#leavingSinceMs.delete(upstreamId);
 	}
 
-	/** A request that was in progress when its entry was told to stop has ended. */
-	noteEndAtShutdown(tryId: string, isCut: boolean): void {
-		this.#check(Promised.ShutdownWhole, !isCut, `${tryId} was cut off by a graceful shutdown`);
+	/** A request that was in progress when its entry began a graceful shutdown has ended. */
+	noteEndAtShutdown(attemptId: string, isInterrupted: boolean): void {
+		this.#check(Promised.ShutdownWhole, !isInterrupted, `${attemptId} was cut off by a graceful shutdown`);
 	}
 
-	/** A process has the configuration up to an offset; `processKey` names one life of the process. */
+	/** A process has applied the configuration up to an offset; `processKey` identifies one incarnation of the process. */
 	noteConfig(processKey: string, offset: number): void {
-		const known = this.#offsets.get(processKey) ?? -1;
-		this.#offsets.set(processKey, Math.max(known, offset));
-		this.#check(Promised.ConfigHolds, offset >= known, `${processKey} went back from ${known} to ${offset}`);
+		const known = this.#configOffsets.get(processKey) ?? -1;
+		this.#configOffsets.set(processKey, Math.max(known, offset));
+		this.#check(Promised.ConfigHolds, offset >= known, `${processKey} went back from configuration offset ${known} to ${offset}`);
 	}
 
-	/** A process had time enough to take a change into force. */
+	/** The time within which a process must apply an accepted change has passed. */
 	noteConfigDue(processKey: string, acceptedOffset: number): void {
-		const known = this.#offsets.get(processKey) ?? -1;
-		this.#check(Promised.ConfigHolds, known >= acceptedOffset, `${processKey} has ${known}, not yet ${acceptedOffset}`);
+		const known = this.#configOffsets.get(processKey) ?? -1;
+		this.#check(Promised.ConfigHolds, known >= acceptedOffset, `${processKey} has configuration offset ${known}, expected at least ${acceptedOffset}`);
 	}
 
 	#checkCapacity(workerId: string, tasks: Map<string, Resources>): void {
@@ -171,7 +171,7 @@
 		}
 
 		const keys = ['processors', 'memoryMb', 'accelerators'] as const;
-		const over = keys.filter(key => {
+		const exceeded = keys.filter(key => {
 			let used = 0;
 			for (const resources of tasks.values()) {
 				used += resources[key];
@@ -179,12 +179,12 @@
 
 			return used > capacity[key] + roundingError;
 		});
-		this.#check(Promised.NoOvercommit, over.length === 0, `${workerId} has too much ${over.join(', ')}`);
+		this.#check(Promised.NoOvercommit, exceeded.length === 0, `${workerId} exceeds its capacity of ${exceeded.join(', ')}`);
 	}
 
-	#checkNotRun(tryId: string, sent: RequestTry): void {
-		if (sent.isToldNotRun) {
-			this.#check(Promised.NotRunTrue, sent.runs === 0, `${tryId} was said to be not run and ran`);
+	#checkNotRun(attemptId: string, sent: RequestAttempt): void {
+		if (sent.isReportedNotRun) {
+			this.#check(Promised.NotRunTrue, sent.runs === 0, `${attemptId} was reported as not run but ran`);
 		}
 	}
 
@@ -193,20 +193,20 @@
 			return;
 		}
 
-		const runs = (this.#runsById.get(requestId) ?? 0) + 1;
-		this.#runsById.set(requestId, runs);
+		const runs = (this.#runsByRequestId.get(requestId) ?? 0) + 1;
+		this.#runsByRequestId.set(requestId, runs);
 		this.#check(Promised.AtMostOnce, runs === 1, `${requestId} ran ${runs} times`);
 	}
 
-	#check(promised: Promised, isKept: boolean, text: string): void {
-		const result = this.#results.get(promised)!;
+	#check(guarantee: Promised, isSatisfied: boolean, text: string): void {
+		const result = this.#results.get(guarantee)!;
 		result.atRisk++;
-		if (isKept) {
+		if (isSatisfied) {
 			return;
 		}
 
 		result.broken++;
-		if (result.cases.length < maxCases) {
+		if (result.cases.length < maxExamples) {
 			result.cases.push(text);
 		}
 	}
@@ -222,8 +222,8 @@
 	return value;
 };
 
-/** Formats a report, a line for each promise. */
-export const formatPromises = (report: PromiseReport): string[] => Object.entries(report).map(([promised, {atRisk, broken, cases}]) => {
+/** Formats a report, one line for each guarantee. */
+export const formatPromises = (report: PromiseReport): string[] => Object.entries(report).map(([guarantee, {atRisk, broken, cases}]) => {
 	const verdict = broken > 0 ? `BROKEN ${broken} times: ${cases.join('; ')}` : (atRisk > 0 ? 'held' : 'not put at risk');
-	return `${promised}: at risk ${atRisk} times, ${verdict}`;
+	return `${guarantee}: at risk ${atRisk} times, ${verdict}`;
 });
--- a/src/measure/requests-conditions.ts
+++ b/src/measure/requests-conditions.ts
@@ -1,5 +1,5 @@
 /**
-Conditions in which requests are measured.
+Conditions under which requests are measured.
 */
 
 /** What happens to the hosts of a run. */
@@ -15,13 +15,13 @@
 	isFailingFast?: boolean;
 	/** Waves of batch work slow a third of the hosts by this factor. */
 	waveFactor?: number;
-	/** Measurements reach the chooser so much later. */
+	/** Delay with which measurements reach the chooser. */
 	measurementDelayMs?: number;
 };
 
-/** Load against which the goodput of the overload is held. */
+/** Name of the condition with whose goodput that of the overload is compared. */
 export const fullLoad = 'load-1.0';
-/** The overload. */
+/** Name of the condition of overload. */
 export const overload = 'load-1.3';
 
 /** All conditions. */
--- a/src/measure/requests-cpu.ts
+++ b/src/measure/requests-cpu.ts
@@ -1,6 +1,6 @@
 /**
-Measures an entry's processor time per request beside a bare pass-through, over real sockets on loopback. The measuring
-process starts the others and ends them.
+Compares an entry's processor time per request with that of a bare pass-through, over real sockets on loopback. The measuring
+process starts the others and stops them.
 */
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -22,7 +22,7 @@
 const service = 'lading-desk';
 const region = 'scot-central';
 const upstreamCount = 3;
-/** Below all slots of the upstreams, so that nothing queues. */
+/** Below the number of slots of all upstreams, so that nothing queues. */
 const concurrency = 12;
 const rounds = 3;
 const warmUpMs = 1500;
@@ -42,7 +42,7 @@
 	latencyUs: ReturnType<typeof build>;
 };
 
-/** Measures both, in turns. Only a bundled program can start itself as other processes. */
+/** Measures both alternately. Only the bundled program can start itself as other processes. */
 export const measureCpu = async ({seed, seconds, onProgress}: MeasureOptions): Promise<MeasureReport> => {
 	const program = process.argv[1]!;
 	if (program.endsWith('.ts')) {
@@ -121,7 +121,7 @@
 
 const waitUntilServing = async ({name, address}: Path, control: string): Promise<void> => {
 	const endMs = Date.now() + readyMs;
-	let last = 'nothing was answered';
+	let lastFailure = 'no answer was received';
 	while (Date.now() < endMs) {
 		try {
 			const {upstreams} = await callJson<{upstreams: unknown[]}>({
@@ -133,15 +133,15 @@
 				return;
 			}
 
-			last = `status ${statusCode}, ${upstreams.length} upstreams`;
+			lastFailure = `status ${statusCode}, ${upstreams.length} upstreams`;
 		} catch (error) {
-			last = getMessage(error);
+			lastFailure = getMessage(error);
 		}
 
 		await delay(100);
 	}
 
-	throw createError(ErrorCode.TimedOut, {step: 'wait until serving', peer: name, detail: last});
+	throw createError(ErrorCode.TimedOut, {step: 'wait until serving', peer: name, detail: lastFailure});
 };
 
 const measurePath = async (pool: ProcessPool, path: Path, durationMs: number, tally: Tally): Promise<void> => {
@@ -155,7 +155,7 @@
 	tally.cpuMs += after.cpuMs - before.cpuMs;
 };
 
-/** Keeps so many checks in flight for the duration. */
+/** Keeps `concurrency` checks in flight for the duration. */
 const load = async ({address}: Path, durationMs: number, tally: Tally): Promise<void> => {
 	const agent = new Agent({connections: concurrency, pipelining: 1});
 	const clock = createSystemClock();
--- a/src/measure/requests-entry.ts
+++ b/src/measure/requests-entry.ts
@@ -1,5 +1,5 @@
 /**
-One entry of a measured run: the product's decisions on fake hosts.
+One entry of a measured run: the product's decisions on simulated hosts.
 */
 import {settingsSchema} from '../core/settings-schema.ts';
 import {type Admission, type Ticket} from '../requests/admission.ts';
@@ -26,44 +26,44 @@
 	isCounted: boolean;
 };
 
-/** What an entry works with. */
+/** Options of a measured entry. */
 export type EntryOptions = {
 	site: Site;
 	index: number;
 	clock: Clock;
 	hosts: HostFakes;
 	recorder: Recorder;
-	/** End of the run; after it comes only the drain. */
+	/** End of the run; only the drain follows. */
 	endMs: number;
 	chooser: Chooser;
 	createAdmission: (getFreeSlots: () => number) => Admission;
 	getRoutable: () => readonly UpstreamAnnouncement[];
 	getSlotShare: (upstreamIndex: number) => number;
-	/** A try of a check is given up after so long; without, at its deadline. */
+	/** An attempt of a check times out after this long; undefined: at its deadline. */
 	tryTimeoutMs?: number;
 	limits?: LimitBook;
 	hedges?: HedgePolicy;
 };
 
-/** A deadline that comes earlier in a run says nothing of the upstream. */
-const youngShare = 0.5;
-/** Long requests run on past the deadline at which their callers are told, so that their end becomes known. */
-const longHoldMs = 60_000;
+/** A caller's deadline says nothing about the upstream if the attempt had less than this share of the full deadline. */
+const minDeadlineShare = 0.5;
+/** Long requests continue after the deadline, at which their callers receive an outcome, so that their end becomes known. */
+const longTimeoutMs = 60_000;
 const {budgetShare, budgetBurst, maxAttempts} = settingsSchema.retries;
 
-type Try = {
+type Attempt = {
 	upstream: UpstreamAnnouncement;
 	startedAtMs: number;
-	/** Its end is the caller's deadline, not the upstream's failure. */
+	/** Ended by the caller's deadline, not by a failure of the upstream. */
 	isAbandoned: boolean;
 	timer: Timer;
 	hedgeTimer?: Timer;
 };
 
-type Served = {
+type RequestState = {
 	request: OfferedRequest;
 	excluded: Set<string>;
-	tries: Set<Try>;
+	attempts: Set<Attempt>;
 	isAccepted: boolean;
 	isEnded: boolean;
 };
@@ -86,45 +86,45 @@
 		}
 	}
 
-	/** Takes a request that has just arrived. */
+	/** Submits a request that has just arrived. */
 	take(request: OfferedRequest): void {
-		const served: Served = {
-			request, excluded: new Set(), tries: new Set(), isAccepted: false, isEnded: false,
+		const state: RequestState = {
+			request, excluded: new Set(), attempts: new Set(), isAccepted: false, isEnded: false,
 		};
-		this.#admission.submit(this.#createTicket(served));
+		this.#admission.submit(this.#createTicket(state));
 	}
 
-	/** Tries what waits; for when the upstreams have changed. */
+	/** Tries to start waiting requests; called when the upstreams have changed. */
 	wake(): void {
 		this.#admission.wake();
 	}
 
-	#createTicket(served: Served): Ticket {
-		const {requestClass, callerId, deadlineAtMs} = served.request;
+	#createTicket(state: RequestState): Ticket {
+		const {requestClass, callerId, deadlineAtMs} = state.request;
 		return {
 			requestClass,
 			callerId,
 			arrivedAtMs: this.#options.clock.monotonicMs(),
 			deadlineAtMs,
-			tryStart: () => this.#tryStart(served),
+			tryStart: () => this.#tryStart(state),
 			refuse: ({reason}) => {
-				this.#refuse(served, reason);
+				this.#refuse(state, reason);
 			},
 		};
 	}
 
-	#tryStart(served: Served): boolean {
+	#tryStart(state: RequestState): boolean {
 		const {chooser, getRoutable, site, recorder} = this.#options;
-		const {requestClass, isCounted} = served.request;
+		const {requestClass, isCounted} = state.request;
 		const upstream = chooser.choose(site.service, getRoutable(), {
-			requestClass, excluded: served.excluded, hasSlot: upstreamId => this.#hasSlot(upstreamId),
+			requestClass, excluded: state.excluded, hasSlot: upstreamId => this.#hasSlot(upstreamId),
 		});
 		if (!upstream) {
 			return false;
 		}
 
-		if (!served.isAccepted) {
-			served.isAccepted = true;
+		if (!state.isAccepted) {
+			state.isAccepted = true;
 			this.#budget.noteFirstTry();
 			if (isCounted) {
 				recorder.firstTries++;
@@ -132,7 +132,7 @@
 			}
 		}
 
-		this.#dispatch(served, upstream);
+		this.#dispatch(state, upstream);
 		return true;
 	}
 
@@ -143,7 +143,7 @@
 	#getFree(upstreamId: string): number {
 		const {getSlotShare, limits, site} = this.#options;
 		const share = getSlotShare(this.#indexes.get(upstreamId)!);
-		// The limit is of the whole upstream; this entry keeps its part of it.
+		// The limit applies to the whole upstream; this entry uses its part of it.
 		const bound = limits ? Math.max(1, Math.floor(share * limits.getLimit(upstreamId, site.slots) / site.slots)) : share;
 		return bound - (this.#inFlight.get(upstreamId) ?? 0);
 	}
@@ -158,9 +158,9 @@
 		return this.#options.getRoutable().reduce((sum, {upstreamId}) => sum + Math.max(0, this.#getFree(upstreamId)), 0);
 	}
 
-	#dispatch(served: Served, upstream: UpstreamAnnouncement): void {
+	#dispatch(state: RequestState, upstream: UpstreamAnnouncement): void {
 		const {clock, hosts, chooser, site} = this.#options;
-		const {requestClass, idleMs, deadlineAtMs} = served.request;
+		const {requestClass, idleMs, deadlineAtMs} = state.request;
 		const {upstreamId, failureDomain} = upstream;
 		const startedAtMs = clock.monotonicMs();
 		this.#inFlight.set(upstreamId, (this.#inFlight.get(upstreamId) ?? 0) + 1);
@@ -169,33 +169,33 @@
 		const delayMs = 2 * (failureDomain === this.#failureDomain ? site.withinDomainMs : site.betweenDomainsMs);
 		const boundMs = requestClass === RequestClass.Check
 			? Math.min(this.#options.tryTimeoutMs ?? Number.POSITIVE_INFINITY, deadlineAtMs - startedAtMs)
-			: longHoldMs;
+			: longTimeoutMs;
 		const answerMs = run.durationMs + delayMs;
 		const answer = answerMs > boundMs ? HostAnswer.None : run.answer;
-		const isAbandoned = answer === HostAnswer.None && requestClass === RequestClass.Check && boundMs < youngShare * classLoads.check.deadlineMs
+		const isAbandoned = answer === HostAnswer.None && requestClass === RequestClass.Check && boundMs < minDeadlineShare * classLoads.check.deadlineMs
 			&& boundMs !== this.#options.tryTimeoutMs;
-		const oneTry: Try = {
+		const attempt: Attempt = {
 			upstream,
 			startedAtMs,
 			isAbandoned,
 			timer: clock.setTimer(() => {
-				this.#end(served, oneTry, answer);
+				this.#end(state, attempt, answer);
 			}, Math.min(answerMs, boundMs)),
 		};
-		served.tries.add(oneTry);
-		this.#planHedge(served, oneTry, Math.min(answerMs, boundMs));
+		state.attempts.add(attempt);
+		this.#planHedge(state, attempt, Math.min(answerMs, boundMs));
 	}
 
-	#planHedge(served: Served, oneTry: Try, endsAfterMs: number): void {
+	#planHedge(state: RequestState, attempt: Attempt, endsAfterMs: number): void {
 		const {hedges, clock} = this.#options;
 		const delayMs = hedges?.getDelayMs();
-		if (!hedges || delayMs === undefined || served.tries.size > 1 || endsAfterMs <= delayMs) {
+		if (!hedges || delayMs === undefined || state.attempts.size > 1 || endsAfterMs <= delayMs) {
 			return;
 		}
 
-		const {requestClass, deadlineAtMs} = served.request;
-		oneTry.hedgeTimer = clock.setTimer(() => {
-			const excluded = new Set([...served.excluded, oneTry.upstream.upstreamId]);
+		const {requestClass, deadlineAtMs} = state.request;
+		attempt.hedgeTimer = clock.setTimer(() => {
+			const excluded = new Set([...state.excluded, attempt.upstream.upstreamId]);
 			const other = this.#options.chooser.choose(this.#options.site.service, this.#options.getRoutable(), {
 				requestClass, excluded, hasSlot: upstreamId => this.#hasSlot(upstreamId),
 			});
@@ -203,67 +203,67 @@
 				requestClass, isIdempotent: requestClass === RequestClass.Check, deadlineAtMs, nowMs: clock.monotonicMs(), hasOtherSlot: other !== undefined, freeShare: this.#getFreeShare(),
 			};
 			if (other && hedges.mayHedge(candidate, () => this.#budget.tryTake())) {
-				this.#options.recorder.hedges += served.request.isCounted ? 1 : 0;
-				this.#dispatch(served, other);
+				this.#options.recorder.hedges += state.request.isCounted ? 1 : 0;
+				this.#dispatch(state, other);
 			}
 		}, delayMs);
 	}
 
-	#end(served: Served, oneTry: Try, answer: HostAnswer): void {
-		const {requestClass} = served.request;
-		const latencyMs = this.#release(served, oneTry, answer);
-		if (served.isEnded) {
+	#end(state: RequestState, attempt: Attempt, answer: HostAnswer): void {
+		const {requestClass} = state.request;
+		const latencyMs = this.#release(state, attempt, answer);
+		if (state.isEnded) {
 			return;
 		}
 
 		if (answer === HostAnswer.Whole) {
-			this.#answer(served, latencyMs);
-		} else if (served.tries.size === 0) {
-			this.#fail(served, oneTry, answer);
+			this.#answer(state, latencyMs);
+		} else if (state.attempts.size === 0) {
+			this.#fail(state, attempt, answer);
 		}
 
-		// Admission counts a request once, however many tries it has.
-		if (served.tries.size === 0) {
+		// Admission counts a request once, however many attempts it has.
+		if (state.attempts.size === 0) {
 			this.#admission.noteEnd(requestClass, latencyMs);
 		} else {
 			this.#admission.wake();
 		}
 	}
 
-	#release(served: Served, oneTry: Try, answer: HostAnswer): number {
+	#release(state: RequestState, attempt: Attempt, answer: HostAnswer): number {
 		const {clock, hosts, chooser, limits, site} = this.#options;
-		const {requestClass} = served.request;
-		const {upstreamId} = oneTry.upstream;
-		const latencyMs = clock.monotonicMs() - oneTry.startedAtMs;
+		const {requestClass} = state.request;
+		const {upstreamId} = attempt.upstream;
+		const latencyMs = clock.monotonicMs() - attempt.startedAtMs;
 		const inFlight = this.#inFlight.get(upstreamId)!;
 		const isSuccess = answer === HostAnswer.Whole;
-		served.tries.delete(oneTry);
-		oneTry.hedgeTimer?.cancel();
+		state.attempts.delete(attempt);
+		attempt.hedgeTimer?.cancel();
 		this.#inFlight.set(upstreamId, inFlight - 1);
 		hosts.end(this.#indexes.get(upstreamId)!, requestClass);
 		chooser.noteEnd(upstreamId, {
-			requestClass, latencyMs, isSuccess, isAbandoned: oneTry.isAbandoned,
+			requestClass, latencyMs, isSuccess, isAbandoned: attempt.isAbandoned,
 		});
 		const limit = limits?.getOrCreate(upstreamId, site.slots);
 		if (isSuccess) {
 			limit?.recordSuccess(requestClass, latencyMs, inFlight * site.entryCount);
-		} else if (!oneTry.isAbandoned) {
+		} else if (!attempt.isAbandoned) {
 			limit?.recordFailure();
 		}
 
 		return latencyMs;
 	}
 
-	#answer(served: Served, latencyMs: number): void {
+	#answer(state: RequestState, latencyMs: number): void {
 		const {clock, recorder, site, hedges} = this.#options;
-		const {requestClass, isCounted, sentAtMs, deadlineAtMs, idleMs} = served.request;
-		served.isEnded = true;
+		const {requestClass, isCounted, sentAtMs, deadlineAtMs, idleMs} = state.request;
+		state.isEnded = true;
 		if (requestClass === RequestClass.Check) {
 			hedges?.recordCheck(latencyMs);
 		}
 
-		for (const other of served.tries) {
-			this.#cancel(served, other);
+		for (const other of state.attempts) {
+			this.#cancel(state, other);
 		}
 
 		if (!isCounted) {
@@ -286,36 +286,36 @@
 		}
 	}
 
-	/** Closes the other try of a hedged check: the first answer won. */
-	#cancel(served: Served, oneTry: Try): void {
+	/** Cancels the other attempt of a hedged check after the first answer. */
+	#cancel(state: RequestState, attempt: Attempt): void {
 		const {chooser, hosts, clock} = this.#options;
-		const {requestClass} = served.request;
-		const {upstreamId} = oneTry.upstream;
-		oneTry.timer.cancel();
-		oneTry.hedgeTimer?.cancel();
-		served.tries.delete(oneTry);
+		const {requestClass} = state.request;
+		const {upstreamId} = attempt.upstream;
+		attempt.timer.cancel();
+		attempt.hedgeTimer?.cancel();
+		state.attempts.delete(attempt);
 		this.#inFlight.set(upstreamId, this.#inFlight.get(upstreamId)! - 1);
 		hosts.end(this.#indexes.get(upstreamId)!, requestClass);
-		const latencyMs = clock.monotonicMs() - oneTry.startedAtMs;
+		const latencyMs = clock.monotonicMs() - attempt.startedAtMs;
 		chooser.noteEnd(upstreamId, {
 			requestClass, latencyMs, isSuccess: false, isAbandoned: true,
 		});
 	}
 
-	#fail(served: Served, {upstream, startedAtMs}: Try, answer: HostAnswer): void {
+	#fail(state: RequestState, {upstream, startedAtMs}: Attempt, answer: HostAnswer): void {
 		const {recorder, clock, hosts} = this.#options;
-		const {requestClass, deadlineAtMs, isCounted} = served.request;
-		// An error of the upstream is its answer, and is passed on.
+		const {requestClass, deadlineAtMs, isCounted} = state.request;
+		// An error response of the upstream is its answer and is passed on without a retry.
 		const isRetryable = answer === HostAnswer.None && getRetryReason(AttemptFailure.TimedOut, requestClass === RequestClass.Check) !== undefined;
-		const isUseful = clock.monotonicMs() < deadlineAtMs && served.excluded.size + 1 < maxAttempts.fallback;
+		const isUseful = clock.monotonicMs() < deadlineAtMs && state.excluded.size + 1 < maxAttempts.fallback;
 		if (isRetryable && isUseful && this.#budget.tryTake()) {
 			recorder.retries += isCounted ? 1 : 0;
-			served.excluded.add(upstream.upstreamId);
-			this.#admission.resubmit(this.#createTicket(served));
+			state.excluded.add(upstream.upstreamId);
+			this.#admission.resubmit(this.#createTicket(state));
 			return;
 		}
 
-		served.isEnded = true;
+		state.isEnded = true;
 		if (!isCounted) {
 			return;
 		}
@@ -330,17 +330,17 @@
 		}
 	}
 
-	#refuse(served: Served, reason: string): void {
-		served.isEnded = true;
-		if (!served.request.isCounted) {
+	#refuse(state: RequestState, reason: string): void {
+		state.isEnded = true;
+		if (!state.request.isCounted) {
 			return;
 		}
 
 		const {recorder} = this.#options;
-		if (served.isAccepted) {
+		if (state.isAccepted) {
 			recorder.failCheck();
 		} else {
-			recorder.refuse(served.request.requestClass, reason);
+			recorder.refuse(state.request.requestClass, reason);
 		}
 	}
 }
--- a/src/measure/requests-hosts.ts
+++ b/src/measure/requests-hosts.ts
@@ -1,5 +1,5 @@
 /**
-Fakes of the upstream hosts: how long a request runs there, and whether it is answered.
+Simulated upstream hosts: how long a request runs there, and whether it is answered.
 */
 import {type Random} from '../types/random.ts';
 import {RequestClass} from '../types/requests.ts';
@@ -10,7 +10,7 @@
 export enum HostAnswer {
 	Whole = 'whole',
 	ServerError = 'server-error',
-	/** Nothing ever comes back. */
+	/** The host never answers. */
 	None = 'none',
 }
 
@@ -23,9 +23,9 @@
 const failFastMs = 0.5;
 const waveMs = 1500;
 const betweenWavesMs = 3000;
-/** Share of the hosts that one wave hits. */
+/** Share of the hosts that one wave slows. */
 const waveShare = 1 / 3;
-/** Spread of the harm between one pair of host and class. */
+/** Spread of the interference between pairs of host and class. */
 const pairSigma = 0.5;
 /** When a fault begins, as a share of the run. */
 const faultStartShare = 0.25;
@@ -42,7 +42,7 @@
 	readonly faultAtMs: number;
 	readonly #condition: Condition;
 	readonly #running: Array<Record<RequestClass, number>>;
-	readonly #pairHarm: Array<Record<RequestClass, number>>;
+	readonly #pairInterference: Array<Record<RequestClass, number>>;
 	readonly #waves: Wave[];
 	readonly #failureDomainCount: number;
 
@@ -52,8 +52,8 @@
 		this.faultAtMs = durationMs * faultStartShare;
 		const indexes = Array.from({length: site.upstreamCount}, (_, index) => index);
 		this.#running = indexes.map(() => ({[RequestClass.Check]: 0, [RequestClass.Long]: 0}));
-		const drawHarm = () => Math.exp(pairSigma * ((random.next() + random.next() + random.next()) - 1.5) * 2);
-		this.#pairHarm = indexes.map(() => ({[RequestClass.Check]: drawHarm(), [RequestClass.Long]: drawHarm()}));
+		const drawInterference = () => Math.exp(pairSigma * ((random.next() + random.next() + random.next()) - 1.5) * 2);
+		this.#pairInterference = indexes.map(() => ({[RequestClass.Check]: drawInterference(), [RequestClass.Long]: drawInterference()}));
 		this.#waves = condition.waveFactor ? createWaves(indexes, random, durationMs) : [];
 	}
 
@@ -62,16 +62,16 @@
 		return this.#condition.isDomainLost === true && nowMs >= this.faultAtMs && index % this.#failureDomainCount === 0;
 	}
 
-	/** Starts a request that takes so long on an idle host. */
+	/** Starts a request that takes `idleMs` on an idle host. */
 	start(index: number, requestClass: RequestClass, idleMs: number, nowMs: number): HostRun {
 		const isFaulty = index === 1 && nowMs >= this.faultAtMs;
-		const slowdown = this.#getHarm(index, requestClass) * this.#getWaveFactor(index, nowMs) * (isFaulty ? this.#condition.slowHostFactor ?? 1 : 1);
+		const slowdown = this.#getSlowdown(index, requestClass) * this.#getWaveFactor(index, nowMs) * (isFaulty ? this.#condition.slowHostFactor ?? 1 : 1);
 		this.#running[index]![requestClass]++;
 		if (isFaulty && this.#condition.isFailingFast) {
 			return {answer: HostAnswer.ServerError, durationMs: failFastMs};
 		}
 
-		// A host that will be lost before the end never answers either.
+		// A host that is lost before the request ends does not answer it either.
 		const durationMs = idleMs * slowdown;
 		return this.isLost(index, nowMs + durationMs)
 			? {answer: HostAnswer.None, durationMs: Number.POSITIVE_INFINITY}
@@ -89,10 +89,10 @@
 		return check + long;
 	}
 
-	#getHarm(index: number, requestClass: RequestClass): number {
+	#getSlowdown(index: number, requestClass: RequestClass): number {
 		const {harmBy} = classLoads[requestClass];
 		const {check, long} = this.#running[index]!;
-		return 1 + (this.#pairHarm[index]![requestClass] * ((check * harmBy.check) + (long * harmBy.long)));
+		return 1 + (this.#pairInterference[index]![requestClass] * ((check * harmBy.check) + (long * harmBy.long)));
 	}
 
 	#getWaveFactor(index: number, nowMs: number): number {
--- a/src/measure/requests-measurement.ts
+++ b/src/measure/requests-measurement.ts
@@ -1,5 +1,5 @@
 /**
-Measures every policy in every condition at every site.
+Measures every policy under every condition at every site.
 */
 import {createError, ErrorCode} from '../core/errors.ts';
 import {getNearest} from '../utils/nearest.ts';
@@ -17,9 +17,9 @@
 	sites?: string[];
 };
 
-/** The aim on p99 of checks: at most this many times the best. */
-const aimRatio = 1.03;
-/** Runs with seeds of their own that make up one row. */
+/** Target for the p99 of checks: at most this many times that of the best policy. */
+const targetRatio = 1.03;
+/** Runs for one row, each with its own seed. */
 const repeats = 3;
 
 const select = <Item extends {name: string}>(kind: string, items: Item[], names: string[] | undefined, fallback: Item[]): Item[] => {
@@ -63,11 +63,11 @@
 	}
 
 	return {
-		matter: 'requests', seed, seconds, rows, notes: [...getAimNotes(rows), ...getGoodputNotes(rows)],
+		matter: 'requests', seed, seconds, rows, notes: [...getTargetNotes(rows), ...getGoodputNotes(rows)],
 	};
 };
 
-/** Runs the policy with several seeds and pools the figures: one draw of hosts and faults is no measure. */
+/** Runs the policy with several seeds and pools the figures, as one draw of hosts and faults is not representative. */
 const getFigures = (options: Omit<RunOptions, 'recorder'>): Record<string, number> => {
 	const recorder = new Recorder();
 	let choiceDigest = 0;
@@ -84,14 +84,14 @@
 	return {...recorder.getFigures(options.seconds * repeats), choiceDigest};
 };
 
-/** Says, for each site and condition, whether the own policy is within the aim. */
-const getAimNotes = (rows: MeasureRow[]): string[] => {
+/** States for each site and condition whether the product's policy meets the target. */
+const getTargetNotes = (rows: MeasureRow[]): string[] => {
 	const notes: string[] = [];
 	for (const own of rows.filter(({labels}) => labels.policy === ownPolicy)) {
 		const rivals = rows.filter(({labels}) => labels.site === own.labels.site && labels.condition === own.labels.condition);
 		const best = rivals.reduce((least, row) => row.figures.p99Ms! < least.figures.p99Ms! ? row : least);
 		const ratio = own.figures.p99Ms! / best.figures.p99Ms!;
-		const verdict = ratio <= aimRatio ? 'met' : 'missed';
+		const verdict = ratio <= targetRatio ? 'met' : 'missed';
 		notes.push(`${own.labels.site} ${own.labels.condition}: p99 of checks ${ratio.toFixed(3)} times the best (${best.labels.policy}): ${verdict}`);
 	}
 
--- a/src/measure/requests-policies.ts
+++ b/src/measure/requests-policies.ts
@@ -1,5 +1,5 @@
 /**
-Ways of serving requests that are measured against each other.
+Policies for serving requests that are compared with each other.
 */
 import {
 	createLeastInFlightChooser, createPreviousChooser, createRandomChooser, createRoundRobinChooser,
@@ -11,26 +11,26 @@
 import {type Site} from './requests-sites.ts';
 import {solveSplit} from './requests-split.ts';
 
-/** What a way may know of the run beside what an entry learns. */
+/** What a policy may know about the run besides what an entry learns. */
 export type Surroundings = {
 	site: Site;
 	condition: Condition;
 	getRoutable: () => readonly UpstreamAnnouncement[];
 };
 
-/** One way. */
+/** One policy. */
 export type Policy = {
 	name: string;
 	isHedging?: boolean;
 	isLimiting?: boolean;
-	/** A try of a check is given up after so long; without, at its deadline. */
+	/** An attempt of a check times out after this long; undefined: at its deadline. */
 	tryTimeoutMs?: number;
-	/** Only measured when it is asked for. */
+	/** Measured only if it is selected by name. */
 	isVariant?: boolean;
-	createChooser(options: ChooserOptions, surroundings: Surroundings): Chooser;
+	createChooser(options: ChooserOptions, policyContext: Surroundings): Chooser;
 };
 
-/** The product's chooser with weights solved anew whenever the upstreams change. */
+/** The product's chooser with failure domain weights that are solved again whenever the upstreams change. */
 const createSplitChooser = (options: ChooserOptions, {site, condition, getRoutable}: Surroundings): Chooser => {
 	const {failureDomain} = options;
 	let solvedFor: readonly UpstreamAnnouncement[] | undefined;
@@ -51,10 +51,10 @@
 	});
 };
 
-/** Name of the product's own way. */
+/** Name of the product's own policy. */
 export const ownPolicy = 'chervilworks';
 
-/** All ways. */
+/** All policies. */
 export const policies: Policy[] = [
 	{name: ownPolicy, createChooser},
 	{name: 'round-robin', createChooser: () => createRoundRobinChooser()},
@@ -64,7 +64,7 @@
 	{
 		name: 'with-hedging', createChooser, isHedging: true, isVariant: true,
 	},
-	{name: 'with-optimal-split', createChooser: (options, surroundings) => createSplitChooser(options, surroundings), isVariant: true},
+	{name: 'with-optimal-split', createChooser: (options, policyContext) => createSplitChooser(options, policyContext), isVariant: true},
 	{
 		name: 'with-try-timeout', createChooser, tryTimeoutMs: 400, isVariant: true,
 	},
--- a/src/measure/requests-recorder.ts
+++ b/src/measure/requests-recorder.ts
@@ -16,36 +16,36 @@
 	readonly inTime: Record<RequestClass, number> = {check: 0, long: 0};
 	/** Answers that came in time and before the end of the run, not in the drain after it. */
 	goodAnswers = 0;
-	/** Run time on an idle host of those. */
+	/** Sum of the run times of these requests on an idle host. */
 	usefulMs = 0;
 	firstTries = 0;
 	retries = 0;
 	hedges = 0;
 	longAccepted = 0;
 	longCompleted = 0;
-	/** Those of them whose answer came after their deadline. */
+	/** Completed long requests whose answer came after their deadline. */
 	longLate = 0;
 	/** Long requests that ended with an error of their upstream. */
 	longFailed = 0;
-	/** Long requests of which nobody knows whether they ran. */
+	/** Long requests for which it is unknown whether they ran. */
 	longUnknown = 0;
-	/** Those of them that were in progress when the fault began. */
+	/** Long requests of unknown outcome that were in progress when the fault began. */
 	longCaught = 0;
 	/** Checks that ended with no answer. */
 	checksFailed = 0;
 	/** All checks that arrived; one with no answer counts as answered at its deadline. */
 	readonly #allUs = createHistogram();
-	/** Checks with a whole answer. */
+	/** Checks with a complete answer. */
 	readonly #answeredUs = createHistogram();
 
-	/** A check got a whole answer. */
+	/** A check received a complete answer. */
 	recordCheck(latencyMs: number): void {
 		const latencyUs = Math.round(latencyMs * 1000);
 		this.#allUs.recordValue(latencyUs);
 		this.#answeredUs.recordValue(latencyUs);
 	}
 
-	/** A check that was started got no answer. */
+	/** A check that was started received no answer. */
 	failCheck(): void {
 		this.checksFailed++;
 		this.#allUs.recordValue(classLoads.check.deadlineMs * 1000);
--- a/src/measure/requests-run.ts
+++ b/src/measure/requests-run.ts
@@ -18,18 +18,18 @@
 	classLoads, createUpstreams, drawRunMs, getCapacityPerS, getSlotShare, type Site,
 } from './requests-sites.ts';
 
-/** What is run. */
+/** Options of one run. */
 export type RunOptions = {
 	site: Site;
 	condition: Condition;
 	policy: Policy;
 	seed: number;
 	seconds: number;
-	/** Takes the ends of requests; several runs may share one. */
+	/** Records how requests end; several runs may share one. */
 	recorder: Recorder;
 };
 
-/** What a run gave. */
+/** Result of one run. */
 export type RunResult = {
 	/** Digest of every choice in order. */
 	choiceDigest: number;
@@ -38,9 +38,9 @@
 };
 
 const warmUpMs = 2000;
-/** Lost upstreams leave the membership after so long. */
+/** Lost upstreams leave the membership after this time. */
 const leaseMs = 3000;
-/** Time for what was accepted to end. */
+/** Time for accepted requests to end. */
 const drainMs = 90_000;
 /** Streams of random numbers of one seed. */
 const streams = {
@@ -51,10 +51,10 @@
 const admissionLimits: AdmissionLimits = {queueLimit: queueLimit.fallback, longShare: longShare.fallback, waitShare: waitShare.fallback};
 const callerCount = 20;
 
-/** Runs once. */
+/** Simulates one run. */
 export const runRequests = (options: RunOptions): RunResult => {
 	const {site, condition, seed, seconds} = options;
-	// From 0 on, so that fractions of a millisecond keep their precision.
+	// The time starts at 0, so that fractions of a millisecond keep their precision.
 	const clock = new ManualClock(0);
 	const endMs = warmUpMs + (seconds * 1000);
 	const hosts = new HostFakes(site, condition, createStream(seed, streams.hosts), endMs);
@@ -133,7 +133,7 @@
 	choose: chooser.choose.bind(chooser), noteStart: chooser.noteStart.bind(chooser), noteEnd: chooser.noteEnd.bind(chooser),
 });
 
-/** Offers requests until the end, as a Poisson process that no policy influences. */
+/** Offers requests until the end, as a Poisson process that does not depend on the policy. */
 const offer = (run: RunState, entries: MeasuredEntry[]): void => {
 	const {site, condition, seed, clock, recorder, endMs} = run;
 	const random = createStream(seed, streams.offer);
--- a/src/measure/requests-sites.ts
+++ b/src/measure/requests-sites.ts
@@ -1,5 +1,5 @@
 /**
-Sizes of today's installations, and the work that is offered to them.
+Sizes of the current installations, and the work that is offered to them.
 */
 import {HostState, type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type Random} from '../types/random.ts';
@@ -46,7 +46,7 @@
 	harmBy: Record<RequestClass, number>;
 };
 
-/** Work of both classes. Checks may be tried again; long requests may not. */
+/** Work of both classes. Checks may be retried; long requests may not. */
 export const classLoads: Record<RequestClass, ClassLoad> = {
 	[RequestClass.Check]: {
 		share: 0.9, meanMs: 20, sigma: 0.6, deadlineMs: 1000, harmBy: {[RequestClass.Check]: 0.01, [RequestClass.Long]: 0.05},
@@ -59,12 +59,12 @@
 const getFullHostMs = ({meanMs, harmBy}: ClassLoad, slots: number, longShare: number): number =>
 	meanMs * (1 + ((slots - 1) * ((longShare * harmBy.long) + ((1 - longShare) * harmBy.check))));
 
-/** Requests a second that all slots together carry, with the harm that full hosts do to themselves. */
+/** Requests a second that all slots together carry, with the interference between requests on full hosts. */
 export const getCapacityPerS = ({upstreamCount, slots}: Site): number => {
 	const {check, long} = classLoads;
 	let longShare = 0.5;
 	let meanMs = 0;
-	// A few rounds settle which share of the slots long requests hold, as they harm checks more than checks harm them.
+	// Iterates until the share of the slots that long requests hold converges; it depends on the slowdown, which long requests cause more than checks do.
 	for (let round = 0; round < 20; round++) {
 		const checkMs = check.share * getFullHostMs(check, slots, longShare);
 		const longMs = long.share * getFullHostMs(long, slots, longShare);
@@ -96,7 +96,7 @@
 	isGuarded: false,
 }));
 
-/** Slots of the upstream that the entry may use: divided evenly, the rest dealt out in turn. */
+/** Slots of the upstream that the entry may use: divided evenly, with the remainder assigned in turn. */
 export const getSlotShare = ({slots, entryCount}: Site, upstreamIndex: number, entryIndex: number): number => {
 	const isExtra = (entryIndex + upstreamIndex) % entryCount < slots % entryCount;
 	return Math.floor(slots / entryCount) + (isExtra ? 1 : 0);
--- a/src/measure/requests-split.ts
+++ b/src/measure/requests-split.ts
@@ -18,7 +18,7 @@
 	upstreams: readonly UpstreamAnnouncement[];
 };
 
-/** Parts into which the flow of a class is cut. */
+/** Parts into which the flow of a class is divided. */
 const quantumCount = 200;
 /** Cost of a domain that would be full. */
 const fullCost = 1e9;
@@ -32,7 +32,7 @@
 	parts: Record<RequestClass, number>;
 };
 
-/** Solves the split by giving each small part of the flows to the failure domain where it adds least to the mean latency. */
+/** Solves the split by assigning each small part of the flows to the failure domain where it adds least to the mean latency. */
 export const solveSplit = ({site, condition, failureDomain, upstreams}: SplitProblem): Record<RequestClass, FailureDomainWeights> => {
 	const domains = createDomains(site, failureDomain, upstreams);
 	const ratePerMs = condition.load * getCapacityPerS(site) / 1000 / site.entryCount;
@@ -59,7 +59,7 @@
 		parts: {[RequestClass.Check]: 0, [RequestClass.Long]: 0},
 	})).filter(({slots}) => slots > 0);
 
-/** Mean latency that one more part adds to the flow of all: its own round trip, and the harm to the domain's queue. */
+/** Mean latency that one more part adds to the whole flow: its own round trip, and the additional queueing in the failure domain. */
 const getAddedCost = ({slots, busy, roundTripMs}: Domain, added: number, share: number): number => {
 	const getQueueCost = (load: number) => load < slots ? load / (1 - (load / slots)) : fullCost * load;
 	return (share * roundTripMs / quantumCount) + (getQueueCost(busy + added) - getQueueCost(busy));
--- a/src/measure/slope.ts
+++ b/src/measure/slope.ts
@@ -1,5 +1,5 @@
 /**
-Straight lines through measured points: what one more of something costs.
+Fits straight lines to measured points: the slope is the cost of one more unit.
 */
 
 /** One measured point. */
--- a/src/measure/slots-measure.ts
+++ b/src/measure/slots-measure.ts
@@ -1,5 +1,6 @@
 /**
-What dividing slots among entries strands: static shares beside shares that follow demand, on seeded manual time.
+Measures slots that stay idle while requests wait because slots are divided among entries: static shares compared with
+shares that follow demand, on manual time with a seed.
 */
 import {SlotAsker, type AskedShare} from '../requests/slot-asker.ts';
 import {divideByDemand, getWaitingPart} from '../requests/slot-policy.ts';
@@ -10,11 +11,11 @@
 
 /** Ways to divide slots. */
 export enum SlotDivision {
-	/** Equal shares of the configured entries; the odd slots belong to nobody. */
+	/** Equal shares for the configured entries; remaining slots are not used. */
 	Static = 'static',
 	/** Leased shares that follow demand. */
 	Leased = 'leased',
-	/** A guard at each upstream admits: nothing is divided. */
+	/** A guard at each upstream admits requests; slots are not divided. */
 	Guarded = 'guarded',
 }
 
@@ -25,7 +26,7 @@
 	slots: number;
 	/** Part of the load that each entry gets; sums to one. */
 	entryShares: number[];
-	/** How often the parts move on by one entry; 0: never. */
+	/** Interval after which each part moves to the next entry; 0: never. */
 	rotateEveryMs: number;
 	/** Offered load as a part of what all slots carry. */
 	load: number;
@@ -40,17 +41,17 @@
 	division: SlotDivision;
 	offered: number;
 	completed: number;
-	/** Slots that stood idle while a request waited at some entry, as a part of all slots, over time. */
+	/** Slots that were idle while a request waited at some entry, as a part of all slots, averaged over time. */
 	strandedShare: number;
 	waitP50Ms: number;
 	waitP99Ms: number;
-	/** Messages of slots a second between all entries together. */
+	/** Messages about slots a second between all entries together. */
 	messagesPerSecond: number;
 	/** Most requests at once at one upstream; never more than its slots. */
 	peakHeld: number;
 };
 
-/** Both users' shape, with the load spread as a balancer would. */
+/** Size of both users' installations, with the load spread evenly as by a load balancer. */
 export const defaultSlotsCondition: SlotsCondition = {
 	seed: 1, upstreamCount: 11, slots: 8, entryShares: [1 / 3, 1 / 3, 1 / 3], rotateEveryMs: 0, load: 0.8, meanServiceMs: 50, delayMs: 1.5, periodMs: 100, durationMs: 20_000,
 };
@@ -59,10 +60,10 @@
 const maxHoldMs = 30_000;
 const firstMs = 1000;
 
-/** Measures one way under one condition. */
+/** Measures one division under one condition. */
 export const measureSlots = (division: SlotDivision, condition: SlotsCondition): SlotsMeasurement => new SlotsRun(division, condition).run();
 
-type MeasuredEntry = {
+type SlotsEntry = {
 	index: number;
 	shares: SlotShare[];
 	sponsor: SlotSponsor;
@@ -70,17 +71,17 @@
 	queue: number[];
 };
 
-type Question = {
+type ShareRequest = {
 	asker: SlotAsker;
 	shares: AskedShare[];
-	/** Sent only to report what was given back. */
+	/** Sent only to report slots that were returned. */
 	isReport: boolean;
 };
 
 class SlotsRun {
 	readonly #clock = new ManualClock();
 	readonly #random;
-	readonly #entries: MeasuredEntry[];
+	readonly #entries: SlotsEntry[];
 	readonly #held: number[];
 	readonly #waitsMs: number[] = [];
 	readonly #division: SlotDivision;
@@ -127,7 +128,7 @@
 		};
 	}
 
-	#createEntry(index: number): MeasuredEntry {
+	#createEntry(index: number): SlotsEntry {
 		const {upstreamCount, slots, entryShares} = this.#condition;
 		const shares = Array.from({length: upstreamCount}, () => {
 			const share = new SlotShare(this.#clock, {
@@ -158,8 +159,8 @@
 		};
 	}
 
-	/** One period of an entry: grants its own, asks the others. */
-	#tick(entry: MeasuredEntry): void {
+	/** One period of an entry: grants itself shares of the upstreams that it sponsors, and requests shares of the others. */
+	#tick(entry: SlotsEntry): void {
 		const {periodMs, entryShares, upstreamCount} = this.#condition;
 		const waiting = entry.queue.length;
 		const first = this.#random.below(upstreamCount);
@@ -185,7 +186,7 @@
 		}, periodMs * (0.75 + (this.#random.next() / 2)));
 	}
 
-	#ask(entry: MeasuredEntry, other: number, {asker, shares, isReport}: Question): void {
+	#ask(entry: SlotsEntry, other: number, {asker, shares, isReport}: ShareRequest): void {
 		const {delayMs} = this.#condition;
 		const asked = asker.compose(shares, this.#clock.monotonicMs());
 		if (!asked) {
@@ -233,12 +234,12 @@
 		return (index + turns) % entryShares.length;
 	}
 
-	#serve(entry: MeasuredEntry): void {
+	#serve(entry: SlotsEntry): void {
 		const {meanServiceMs, slots} = this.#condition;
 		while (entry.queue.length > 0) {
 			const upstream = this.#findFree(entry);
 			const share = entry.shares[upstream];
-			// With a guard, what is free is what the guard would admit.
+			// With a guard, a slot is free if the guard would admit a request.
 			if (!share || this.#held[upstream]! >= slots) {
 				return;
 			}
@@ -267,7 +268,7 @@
 		}
 	}
 
-	#findFree(entry: MeasuredEntry): number {
+	#findFree(entry: SlotsEntry): number {
 		const isGuarded = this.#division === SlotDivision.Guarded;
 		let best = -1;
 		let bestFree = 0;
@@ -282,7 +283,7 @@
 		return best;
 	}
 
-	/** Adds up the time since the last change. */
+	/** Adds the slot time that was stranded since the last change. */
 	#account(): void {
 		const nowMs = this.#clock.monotonicMs();
 		const {upstreamCount, slots} = this.#condition;
--- a/src/measure/soak-callers.ts
+++ b/src/measure/soak-callers.ts
@@ -1,5 +1,5 @@
 /**
-Callers of a soak run: send requests through a stand-in for the balancer and judge the answers.
+Callers of a soak run: send requests to ready entries, as behind a load balancer, and check the answers.
 */
 import {build as createHistogram, type Histogram} from 'hdr-histogram-js';
 import {Agent, request} from 'undici';
@@ -18,12 +18,12 @@
 	isReady(): boolean;
 };
 
-/** What callers count. */
+/** Counts and latencies of the callers' requests. */
 export type CallerTally = {
 	answered: number;
-	/** Answers of the program itself, by reason. */
+	/** Answers with another status than 200, by refusal reason or else by status. */
 	refused: Map<string, number>;
-	/** Connections that broke. */
+	/** Attempts that ended with a connection error or a time-out. */
 	broken: number;
 	latencies: Record<RequestClass, Histogram>;
 };
@@ -36,11 +36,11 @@
 
 const services = ['lading-desk', 'tariff-relief'];
 const longShare = 0.2;
-const maxTries = 3;
+const maxAttempts = 3;
 const retryPauseMs = 300;
 const callTimeoutMs = 40_000;
-/** A request younger than this may not have reached the entry when it was told to stop. */
-const settledMs = 100;
+/** A request younger than this may not have reached its entry when the entry was asked to stop. */
+const minAgeMs = 100;
 
 /** Sends requests until stopped. */
 export class SoakCallers {
@@ -49,7 +49,7 @@
 	};
 
 	readonly #agent = new Agent({connections: 64, pipelining: 1});
-	readonly #inProgress = new Map<string, InProgress>();
+	readonly #attemptsInProgress = new Map<string, InProgress>();
 	readonly #tasks = new Set<Promise<void>>();
 	readonly #options: {clock: Clock; random: Random; checker: PromiseChecker; targets: CallerTarget[]};
 	#count = 0;
@@ -58,7 +58,7 @@
 		this.#options = options;
 	}
 
-	/** Sends at the rate, evenly spread, until the signal aborts; then waits for all answers. */
+	/** Sends requests at a constant rate until the signal aborts, then waits for all answers. */
 	async run(ratePerSecond: number, signal: AbortSignal): Promise<void> {
 		const {clock} = this.#options;
 		while (!signal.aborted) {
@@ -72,11 +72,11 @@
 		await this.#agent.close();
 	}
 
-	/** Marks what is in progress at an entry that is told to stop: none of it may be cut off. */
+	/** Marks the requests in progress at an entry that is asked to stop: none of them may be interrupted. */
 	noteShutdown(entry: SoakProcess): void {
 		const nowMs = this.#options.clock.monotonicMs();
-		for (const sent of this.#inProgress.values()) {
-			if (sent.entry === entry && nowMs - sent.sentAtMs >= settledMs) {
+		for (const sent of this.#attemptsInProgress.values()) {
+			if (sent.entry === entry && nowMs - sent.sentAtMs >= minAgeMs) {
 				sent.isAtShutdown = true;
 			}
 		}
@@ -89,8 +89,8 @@
 		const requestId = requestClass === RequestClass.Long ? createRequestId(clock, random) : undefined;
 		const startMs = clock.monotonicMs();
 		const path = `/${service}/${requestClass}/${this.#count++}`;
-		for (let tries = 0; tries < maxTries; tries++) {
-			const isDone = await this.#try(path, requestClass, requestId);
+		for (let attempt = 0; attempt < maxAttempts; attempt++) {
+			const isDone = await this.#sendAttempt(path, requestClass, requestId);
 			if (isDone) {
 				this.tally.latencies[requestClass].recordValue(Math.max(1, Math.round(clock.monotonicMs() - startMs)));
 				return;
@@ -100,25 +100,25 @@
 		}
 	}
 
-	/** True when the caller got its answer. */
-	async #try(path: string, requestClass: RequestClass, requestId: string | undefined): Promise<boolean> {
+	/** Sends one attempt; true if it was answered with status 200. */
+	async #sendAttempt(path: string, requestClass: RequestClass, requestId: string | undefined): Promise<boolean> {
 		const {clock, random, checker, targets} = this.#options;
-		const open = targets.filter(({entry, isReady}) => entry.child !== undefined && isReady());
-		const target = open[random.below(open.length)];
+		const readyTargets = targets.filter(({entry, isReady}) => entry.child !== undefined && isReady());
+		const target = readyTargets[random.below(readyTargets.length)];
 		if (!target) {
 			return false;
 		}
 
-		const tryId = `${path}#${random.id()}`;
+		const attemptId = `${path}#${random.id()}`;
 		const sent: InProgress = {entry: target.entry, sentAtMs: clock.monotonicMs(), isAtShutdown: false};
-		this.#inProgress.set(tryId, sent);
-		checker.noteTry(tryId, requestId);
-		let isCut = false;
+		this.#attemptsInProgress.set(attemptId, sent);
+		checker.noteTry(attemptId, requestId);
+		let isInterrupted = false;
 		try {
 			const answer = await request(`http://${target.address}${path}`, {
 				method: requestId === undefined ? 'GET' : 'POST',
 				headers: {
-					[tryHeader]: tryId, [Header.RequestClass]: requestClass, ...(requestId !== undefined && {[Header.RequestId]: requestId}),
+					[tryHeader]: attemptId, [Header.RequestClass]: requestClass, ...(requestId !== undefined && {[Header.RequestId]: requestId}),
 				},
 				body: requestId === undefined ? undefined : path,
 				dispatcher: this.#agent,
@@ -128,27 +128,27 @@
 			const text = await answer.body.text();
 			if (answer.statusCode === 200) {
 				this.tally.answered++;
-				checker.noteAnswer(tryId, isOwnAnswer(text, path, requestId));
+				checker.noteAnswer(attemptId, isOwnAnswer(text, path, requestId));
 				return true;
 			}
 
 			const outcome = answer.headers[Header.Outcome];
 			const reason = String(answer.headers[Header.RefusalReason] ?? answer.statusCode);
-			isCut = outcome !== Outcome.NotRun;
+			isInterrupted = outcome !== Outcome.NotRun;
 			this.tally.refused.set(reason, (this.tally.refused.get(reason) ?? 0) + 1);
 			if (outcome === Outcome.NotRun) {
-				checker.noteNotRun(tryId);
+				checker.noteNotRun(attemptId);
 			}
 
 			return false;
 		} catch {
-			isCut = true;
+			isInterrupted = true;
 			this.tally.broken++;
 			return false;
 		} finally {
-			this.#inProgress.delete(tryId);
+			this.#attemptsInProgress.delete(attemptId);
 			if (sent.isAtShutdown) {
-				checker.noteEndAtShutdown(tryId, isCut);
+				checker.noteEndAtShutdown(attemptId, isInterrupted);
 			}
 		}
 	}
--- a/src/measure/soak-faults.ts
+++ b/src/measure/soak-faults.ts
@@ -1,15 +1,15 @@
 /**
-Faults of a soak run, chosen by its seed.
+Faults of a soak run, drawn from its seed.
 */
 import {callJson} from '../utils/http-client.ts';
 import {type SoakCallers} from './soak-callers.ts';
 import {Role, type SoakProcess} from './soak-processes.ts';
 import {callTimeoutMs, type World} from './soak-world.ts';
 
-/** Time in which a process that is back is not yet held to the latest configuration. */
-const startMs = 3000;
+/** A process that was restarted or resumed need not have the latest configuration for this long. */
+const configGraceMs = 3000;
 
-/** Makes one fault after the other until the signal aborts. */
+/** Injects one fault after the other until the signal aborts. */
 export const makeFaults = async (world: World, callers: SoakCallers): Promise<void> => {
 	const {options, clock, random, signal} = world;
 	if (options.faultEveryMs === undefined) {
@@ -23,10 +23,10 @@
 			return;
 		}
 
-		const [name, act] = faults[random.below(faults.length)]!;
+		const [name, inject] = faults[random.below(faults.length)]!;
 		world.faults.set(name, (world.faults.get(name) ?? 0) + 1);
 		options.report(`Fault: ${name}.`);
-		await act();
+		await inject();
 	}
 };
 
@@ -37,15 +37,15 @@
 		return candidates[random.below(candidates.length)]!;
 	};
 
-	const excuse = ({name}: SoakProcess) => {
-		world.configExcusedUntilMs.set(name, clock.monotonicMs() + startMs);
+	const grantConfigGrace = ({name}: SoakProcess) => {
+		world.configExcusedUntilMs.set(name, clock.monotonicMs() + configGraceMs);
 	};
 
-	const restart = async (target: SoakProcess, end: () => Promise<void>) => {
-		await end();
+	const restart = async (target: SoakProcess, stop: () => Promise<void>) => {
+		await stop();
 		await clock.sleep(200 + random.below(2000));
 		pool.start(target);
-		excuse(target);
+		grantConfigGrace(target);
 	};
 
 	return [
@@ -63,7 +63,7 @@
 			pool.pause(target);
 			await clock.sleep(1000 + random.below(6000));
 			pool.resume(target);
-			excuse(target);
+			grantConfigGrace(target);
 		}],
 		['upstream killed', async () => {
 			const target = pick(Role.Upstream);
@@ -92,7 +92,7 @@
 			await clock.sleep(2000 + random.below(6000));
 			await setLogFaults(world, {isDown: false});
 			world.isLogDown = false;
-			world.logBackAtMs = clock.monotonicMs() + startMs;
+			world.logBackAtMs = clock.monotonicMs() + configGraceMs;
 		}],
 		['log slow, answers lost', async () => {
 			await setLogFaults(world, {delayMs: 100, loseAnswerChance: 0.2});
@@ -102,7 +102,7 @@
 	];
 };
 
-/** Sets what the stand-in log does wrong. */
+/** Sets the faults of the stand-in log. */
 export const setLogFaults = async ({logUrl}: World, faults: Record<string, unknown>): Promise<void> => {
 	await callJson({
 		method: 'POST', url: `${logUrl}/faults`, body: faults, timeoutMs: callTimeoutMs, step: 'set log faults',
--- a/src/measure/soak-processes.ts
+++ b/src/measure/soak-processes.ts
@@ -1,5 +1,5 @@
 /**
-Processes of a soak run: started, paused, killed and restarted by the script that owns them, by id.
+Processes of a soak run: starts, pauses, kills and restarts them, each by its process id.
 */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {randomInt} from 'node:crypto';
@@ -26,16 +26,16 @@
 	name: string;
 	role: Role;
 	args: string[];
-	/** Grows with each start. */
+	/** Number of starts so far. */
 	life: number;
 	child?: ChildProcess;
 	isPaused: boolean;
-	/** Exits that nobody asked for. */
+	/** Exits that the run did not cause. */
 	crashes: number;
 	startedAtMs: number;
 };
 
-/** Use of one process, read while it runs. */
+/** Resident memory and processor time of a running process. */
 export type ProcessUse = {
 	residentMb: number;
 	cpuMs: number;
@@ -45,7 +45,7 @@
 const pageKilobytes = 4;
 const msPerTick = 10;
 
-/** Starts and stops processes of one run. */
+/** Starts and stops the processes of one run. */
 export class ProcessPool {
 	readonly directory = mkdtempSync(path.join(tmpdir(), 'chervilworks-soak-'));
 	readonly processes: SoakProcess[] = [];
@@ -87,12 +87,12 @@
 		});
 	}
 
-	/** Kills at once; resolves when the process is gone. */
+	/** Kills the process; resolves when it has exited. */
 	async kill(target: SoakProcess): Promise<void> {
 		await this.#end(target, 'SIGKILL');
 	}
 
-	/** Asks for a graceful shutdown; resolves when the process is gone. */
+	/** Requests a graceful shutdown; resolves when the process has exited. */
 	async terminate(target: SoakProcess): Promise<void> {
 		await this.#end(target, 'SIGTERM');
 	}
@@ -163,7 +163,7 @@
 	}
 }
 
-/** Systems take ports for outgoing connections from above this: such a one may be taken between the choice and the bind. */
+/** Operating systems assign ports from here on to outgoing connections, which could take such a port after it was chosen and before it is bound. */
 const portsEnd = 32_768;
 const portsStart = 10_000;
 
@@ -178,7 +178,7 @@
 	});
 });
 
-/** Finds ports that are free on loopback, and that no outgoing connection takes before they are bound. */
+/** Finds ports that are free on loopback and outside the range for outgoing connections. */
 export const findFreePorts = async (count: number): Promise<number[]> => {
 	const servers = new Map<number, Server>();
 	while (servers.size < count) {
--- a/src/measure/soak-world.ts
+++ b/src/measure/soak-world.ts
@@ -1,5 +1,5 @@
 /**
-The processes of a soak run, and what its tasks share.
+Starts the processes of a soak run and holds the state that its concurrent tasks share.
 */
 import {createLogClient, type LogClient} from '../plugins/log-client.ts';
 import {workerShape} from '../standin/hosts.ts';
@@ -14,7 +14,7 @@
 	findFreePorts, ProcessPool, Role, type SoakProcess,
 } from './soak-processes.ts';
 
-/** What a soak run does. */
+/** Options of a soak run. */
 export type SoakOptions = {
 	binary: string;
 	seed: number;
@@ -22,21 +22,21 @@
 	entryCount: number;
 	hostsPerUser: number;
 	ratePerSecond: number;
-	/** Pause between two faults; none without. */
+	/** Mean interval between two faults; no faults if undefined. */
 	faultEveryMs?: number;
 	report(line: string): void;
 };
 
-/** An entry and where it listens. */
+/** An entry and the addresses where it listens. */
 export type EntryAddresses = {
 	entry: SoakProcess;
 	caller: string;
 	control: string;
-	/** As the balancer sees it. */
+	/** Result of the latest readiness check; true before the first one. */
 	isReady: boolean;
 };
 
-/** What the tasks of a run share. */
+/** State shared by the concurrent tasks of a run. */
 export type World = {
 	options: SoakOptions;
 	clock: Clock;
@@ -47,7 +47,7 @@
 	logUrl: string;
 	entries: EntryAddresses[];
 	faults: Map<string, number>;
-	/** Until then nobody can be held to a configuration that was accepted just before. */
+	/** By process name: the process need not have applied changes that were accepted before this time. */
 	configExcusedUntilMs: Map<string, number>;
 	logBackAtMs: number;
 	isLogDown: boolean;
@@ -55,7 +55,7 @@
 	jobs: Map<string, string | undefined>;
 };
 
-/** Both users: their regions, services, teams and failure domains. */
+/** Regions, services, teams and failure domains of both users. */
 export const regions = [
 	{
 		name: 'scot-central', service: 'lading-desk', team: 'clydeside', failureDomains: ['leith-hall', 'govan-hall', 'grange-hall'],
@@ -66,7 +66,7 @@
 ];
 /** Resources of every task of a run. */
 export const taskResources: Resources = {processors: 4, memoryMb: 8192, accelerators: 0};
-/** Longest wait for an answer to the run itself. */
+/** Time-out of calls that the run itself makes. */
 export const callTimeoutMs = 2000;
 const lingerMs = 3500;
 
@@ -106,11 +106,11 @@
 	const controls = entries.map(({control}) => control).join(',');
 	for (const {name, service, team, failureDomains} of regions) {
 		for (let index = 0; index < options.hostsPerUser; index++) {
-			const place = ['--entries', controls, '--region', name, '--failure-domain', failureDomains[index % failureDomains.length]!, '--events'];
-			pool.add(`${service}-${index + 1}`, Role.Upstream, ['standin', 'upstream', '--id', `${service}-${index + 1}`, '--service', service, '--linger-ms', String(lingerMs), ...place]);
+			const location = ['--entries', controls, '--region', name, '--failure-domain', failureDomains[index % failureDomains.length]!, '--events'];
+			pool.add(`${service}-${index + 1}`, Role.Upstream, ['standin', 'upstream', '--id', `${service}-${index + 1}`, '--service', service, '--linger-ms', String(lingerMs), ...location]);
 			const workerId = `${team}-worker-${index + 1}`;
 			checker.setCapacity(workerId, workerShape);
-			pool.add(workerId, Role.Worker, ['standin', 'worker', '--id', workerId, '--rack', `${team}-rack-${Math.floor(index / 3) + 1}`, ...place]);
+			pool.add(workerId, Role.Worker, ['standin', 'worker', '--id', workerId, '--rack', `${team}-rack-${Math.floor(index / 3) + 1}`, ...location]);
 		}
 	}
 
--- a/src/measure/soak.ts
+++ b/src/measure/soak.ts
@@ -1,6 +1,6 @@
 /**
-A soak run: the whole system in real processes on loopback, with kills, pauses, restarts and an unreachable log,
-chosen by a seed; watched by the promise checker from outside.
+A soak run: the whole system in real processes on loopback, with kills, pauses, restarts and an unreachable log that
+are drawn from a seed. The guarantee checker observes it from outside.
 */
 import {ConfigFold} from '../core/config-fold.ts';
 import {getChanges, publishChanges, readConfig} from '../core/config-publisher.ts';
@@ -17,7 +17,7 @@
 	callTimeoutMs, createWorld, regions, taskResources, type EntryAddresses, type SoakOptions, type World,
 } from './soak-world.ts';
 
-/** What a soak run found. */
+/** Result of a soak run. */
 export type SoakReport = {
 	promises: PromiseReport;
 	isHeld: boolean;
@@ -29,15 +29,15 @@
 	directory: string;
 };
 
-const configDueMs = 6000;
+const maxConfigDelayMs = 6000;
 const settleMs = 15_000;
-/** An owner that is lost twice in a row, and a log that was down, each add the wait for a lease. */
-const jobsDueMs = 60_000;
-const useAfterMs = 10_000;
-const readyEveryMs = 500;
-const readyTimeoutMs = 1000;
+/** Acknowledged jobs must end within this time after the last fault. An owner lost twice in a row, and a log that was down, each add the wait for a lease to expire. */
+const jobsTimeoutMs = 60_000;
+const minUptimeMs = 10_000;
+const readinessIntervalMs = 500;
+const readinessTimeoutMs = 1000;
 
-/** Runs a soak. */
+/** Runs a soak test. */
 export const runSoak = async (options: SoakOptions): Promise<SoakReport> => {
 	const aborter = new AbortController();
 	const world = await createWorld(options, aborter.signal);
@@ -46,18 +46,18 @@
 		clock, random: createRandom(options.seed + 1), checker, targets: entries.map(entry => ({entry: entry.entry, address: entry.caller, isReady: () => entry.isReady})),
 	});
 	try {
-		await publishFirst(world);
+		await publishServices(world);
 		await waitUntilReady(world);
 		options.report('All processes are up.');
 		const tasks = [
-			callers.run(options.ratePerSecond, aborter.signal), publishChangesOften(world), watchConfig(world), watchReadiness(world), submitJobs(world), makeFaults(world, callers),
+			callers.run(options.ratePerSecond, aborter.signal), publishChangesRepeatedly(world), watchConfig(world), watchReadiness(world), submitJobs(world), makeFaults(world, callers),
 		];
 		await clock.sleep(options.durationMs);
 		aborter.abort();
 		await Promise.all(tasks);
-		const use = getUse(world);
-		await heal(world);
-		const jobs = await awaitJobs(world);
+		const use = measureUsage(world);
+		await endFaults(world);
+		const jobs = await waitForJobs(world);
 		return {
 			promises: checker.getReport(),
 			isHeld: checker.isHeld && jobs.lost.length === 0,
@@ -75,7 +75,7 @@
 	}
 };
 
-const publishFirst = async ({log, clock, random}: World): Promise<void> => {
+const publishServices = async ({log, clock, random}: World): Promise<void> => {
 	const text = regions.map(({service, name}) => `[service ${service}]\nregion = ${name}\n`).join('\n');
 	const changes = getChanges(new ConfigFold(), parseConfigText(text).sections);
 	const result = await publishChanges(changes, {
@@ -115,8 +115,8 @@
 	throw new Error(`not all entries were ready within ${settleMs} ms; logs are in ${world.pool.directory}`);
 };
 
-/** Two operators race with conflicting changes; every other round only one of them publishes. */
-const publishChangesOften = async (world: World): Promise<void> => {
+/** Publishes changes until the signal aborts: two operators publish conflicting changes in every other round, one operator in the rounds between. */
+const publishChangesRepeatedly = async (world: World): Promise<void> => {
 	const {clock, log, random, signal, checker} = world;
 	for (let round = 0; !signal.aborted; round++) {
 		await clock.sleep(1500, signal);
@@ -131,25 +131,25 @@
 			})));
 			for (const {verdict, offset} of results) {
 				if (verdict === ConfigVerdict.Accepted) {
-					void checkDue(world, offset, checker);
+					void checkAppliedInTime(world, offset, checker);
 				}
 			}
 		} catch {
-			// The log is down; the operators try again.
+			// The log is unavailable; the next round publishes again.
 		}
 	}
 };
 
-const checkDue = async (world: World, offset: number, checker: PromiseChecker): Promise<void> => {
+const checkAppliedInTime = async (world: World, offset: number, checker: PromiseChecker): Promise<void> => {
 	const acceptedAtMs = world.clock.monotonicMs();
-	await world.clock.sleep(configDueMs, world.signal);
+	await world.clock.sleep(maxConfigDelayMs, world.signal);
 	if (world.signal.aborted) {
 		return;
 	}
 
 	for (const {entry} of world.entries) {
-		const excusedUntilMs = Math.max(world.configExcusedUntilMs.get(entry.name) ?? 0, world.logBackAtMs);
-		if (entry.child && !entry.isPaused && !world.isLogDown && excusedUntilMs <= acceptedAtMs) {
+		const graceUntilMs = Math.max(world.configExcusedUntilMs.get(entry.name) ?? 0, world.logBackAtMs);
+		if (entry.child && !entry.isPaused && !world.isLogDown && graceUntilMs <= acceptedAtMs) {
 			checker.noteConfigDue(`${entry.name}/${entry.life}`, offset);
 		}
 	}
@@ -167,27 +167,27 @@
 					checker.noteConfig(`${entry.name}/${life}`, offset);
 				}
 			} catch {
-				// Paused or down.
+				// The entry is paused or down.
 			}
 		}));
 		await clock.sleep(250, signal);
 	}
 };
 
-/** What the balancer before the entries does: it sends callers only to entries that say they are ready. */
+/** Acts as the load balancer in front of the entries, which routes callers only to entries that report that they are ready. */
 const watchReadiness = async ({entries, clock, signal}: World): Promise<void> => {
 	while (!signal.aborted) {
 		await Promise.all(entries.map(async target => {
 			try {
 				await callJson({
-					method: 'GET', url: `http://${target.control}/readyz`, timeoutMs: readyTimeoutMs, step: 'watch readiness',
+					method: 'GET', url: `http://${target.control}/readyz`, timeoutMs: readinessTimeoutMs, step: 'watch readiness',
 				});
 				target.isReady = true;
 			} catch {
 				target.isReady = false;
 			}
 		}));
-		await clock.sleep(readyEveryMs, signal);
+		await clock.sleep(readinessIntervalMs, signal);
 	}
 };
 
@@ -220,12 +220,12 @@
 			});
 			jobs.set(jobId, undefined);
 		} catch {
-			// Not acknowledged: nothing was promised.
+			// The job was not acknowledged, so it need not run.
 		}
 	}
 };
 
-const heal = async (world: World): Promise<void> => {
+const endFaults = async (world: World): Promise<void> => {
 	await setLogFaults(world, {
 		isDown: false, delayMs: 0, loseAnswerChance: 0, failChance: 0,
 	});
@@ -236,10 +236,10 @@
 	}
 };
 
-const awaitJobs = async ({jobs, entries, clock}: World): Promise<SoakReport['jobs']> => {
-	const endMs = clock.monotonicMs() + jobsDueMs;
+const waitForJobs = async ({jobs, entries, clock}: World): Promise<SoakReport['jobs']> => {
+	const endMs = clock.monotonicMs() + jobsTimeoutMs;
 	const open = new Set(jobs.keys());
-	const finals = new Set([JobState.Succeeded, JobState.Failed, JobState.Cancelled]);
+	const finalStates = new Set([JobState.Succeeded, JobState.Failed, JobState.Cancelled]);
 	while (open.size > 0 && clock.monotonicMs() < endMs) {
 		for (const jobId of open) {
 			try {
@@ -247,7 +247,7 @@
 					method: 'GET', url: `http://${entries[0]!.control}/v1/jobs/${jobId}`, timeoutMs: callTimeoutMs, step: 'get job',
 				});
 				jobs.set(jobId, status.state);
-				if (finals.has(status.state)) {
+				if (finalStates.has(status.state)) {
 					open.delete(jobId);
 				}
 			} catch (error) {
@@ -261,12 +261,12 @@
 	return {submitted: jobs.size, ended: jobs.size - open.size, lost: [...open].map(jobId => `${jobId}: ${jobs.get(jobId)}`)};
 };
 
-const getUse = ({pool}: World): SoakReport['use'] => {
+const measureUsage = ({pool}: World): SoakReport['use'] => {
 	const byRole: SoakReport['use'] = new Map();
 	for (const target of pool.processes) {
 		const use = pool.getUse(target);
-		// The start of a process takes a second of processor time; it says nothing of its work.
-		if (!use || Date.now() - target.startedAtMs < useAfterMs) {
+		// Starting a process takes about a second of processor time, which would distort the share of a young process.
+		if (!use || Date.now() - target.startedAtMs < minUptimeMs) {
 			continue;
 		}
 
--- a/test/day-story.test.ts
+++ b/test/day-story.test.ts
@@ -1,5 +1,5 @@
 /**
-What the logs of a day tell of where the time of its jobs went.
+Timelines of jobs, reconstructed from log lines.
 */
 import {describe, expect, it} from 'vitest';
 import {formatDay} from '../src/measure/day-report.ts';
@@ -42,10 +42,10 @@
 	'  12.3 entry-1 {"level":30,"time":4900,"msg":"cut off',
 ];
 
-describe('the story of a day', () => {
+describe('day timeline', () => {
 	const day = readDay(log.flatMap(text => parseLogLine(text) ?? []));
 
-	it('sums up the waits and the work of each job, and what was lost', () => {
+	it('sums the waiting time, the run time and the lost time of each job', () => {
 		const job = day.jobs.get('a')!;
 		expect(job).toMatchObject({
 			queue: 'build', acceptedAfterMs: 30, firstStartAtMs: 1500, waitedMs: 650, ranMs: 2000, starts: 3, tookMs: 3700,
@@ -53,7 +53,7 @@
 		expect([...job.wastedMs]).toEqual([['lost, worker-replaced', 1000]]);
 	});
 
-	it('prints queues, what kept tasks waiting, and the history of the latest jobs', () => {
+	it('prints queues, the reasons why tasks waited, and the events of the latest jobs', () => {
 		const text = formatDay(day).join('\n');
 		expect(text).toContain('build: runs that ended in no success: lost, worker-replaced 1 s');
 		expect(text).toContain('harm 7, room 1');
--- a/test/measure-jobs.test.ts
+++ b/test/measure-jobs.test.ts
@@ -21,7 +21,7 @@
 	}
 });
 
-test('urgent work of both users starts within 3.9 s and no job is told to be unplaceable', () => {
+test('urgent work of both users starts within 3.9 s and no job is reported as unplaceable', () => {
 	for (const user of createUsers()) {
 		const result = runJobs(user, measuredPolicies.at(-1)!, {seed: 11, countedMs});
 		expect(result.urgentStartP99Ms).toBeLessThanOrEqual(3900);
--- a/test/measure-requests.test.ts
+++ b/test/measure-requests.test.ts
@@ -28,7 +28,7 @@
 	await expect(measure(5, {policies: ['chervilwork']})).rejects.toThrow('did you mean chervilworks?');
 });
 
-test('an upstream that fails everything fast costs the chooser a few checks, and simple ways twenty times as many', async () => {
+test('an upstream that fails everything fast costs the chooser a few checks, and simple policies twenty times as many', async () => {
 	// One host of eleven refused each request within a millisecond, so that it always had the fewest in flight.
 	const {rows} = await measure(5, {conditions: ['fails-fast'], policies: ['chervilworks', 'least-in-flight']});
 	const [own, least] = rows.map(({figures}) => figures.checksFailed!);
@@ -36,7 +36,7 @@
 	expect(least).toBeGreaterThan(20 * own!);
 });
 
-test('a report says whether the aim was met, and what changed against an earlier one', async () => {
+test('a report says whether the target was met, and what changed since an earlier one', async () => {
 	const report = await measure(5, {policies: ['chervilworks', 'random']});
 	expect(report.notes[0]).toMatch(/p99 of checks [\d.]+ times the best \(\S+\): (?:met|missed)/);
 	const later = structuredClone(report);
--- a/test/promise-checker.test.ts
+++ b/test/promise-checker.test.ts
@@ -3,8 +3,8 @@
 
 const task = {processors: 10, memoryMb: 1, accelerators: 0};
 
-/** Each story breaks one promise; the checker must name that one and no other. */
-const stories: Array<[Promised, (checker: PromiseChecker) => void]> = [
+/** Each scenario violates one guarantee; the checker must report that one and no other. */
+const scenarios: Array<[Promised, (checker: PromiseChecker) => void]> = [
 	[Promised.NoOvercommit, checker => {
 		checker.setCapacity('w', {processors: 16, memoryMb: 10, accelerators: 0});
 		checker.noteTaskStarted('w', 'a', 0, task);
@@ -46,20 +46,20 @@
 	}],
 ];
 
-describe('promise checker', () => {
-	test.each(stories)('reports a broken promise: %s', (promised, tell) => {
+describe('guarantee checker', () => {
+	test.each(scenarios)('reports a violated guarantee: %s', (guarantee, play) => {
 		const checker = new PromiseChecker();
-		tell(checker);
-		const broken = Object.entries(checker.getReport()).filter(([, result]) => result.broken > 0).map(([name]) => name);
-		expect(broken).toEqual([promised]);
+		play(checker);
+		const violated = Object.entries(checker.getReport()).filter(([, result]) => result.broken > 0).map(([name]) => name);
+		expect(violated).toEqual([guarantee]);
 		expect(checker.isHeld).toBe(false);
 	});
 
-	test('has a story for every promise', () => {
-		expect(stories.map(([promised]) => promised)).toEqual(Object.values(Promised));
+	test('has a scenario for every guarantee', () => {
+		expect(scenarios.map(([guarantee]) => guarantee)).toEqual(Object.values(Promised));
 	});
 
-	test('finds nothing in a run that keeps all of them', () => {
+	test('reports no violation in a run that keeps all guarantees', () => {
 		const checker = new PromiseChecker();
 		checker.setCapacity('w1', {processors: 16, memoryMb: 10, accelerators: 0});
 		checker.noteTaskStarted('w1', 'a', 0, task);
