--- a/src/measure/deciding-load.ts
+++ b/src/measure/deciding-load.ts
@@ -40,7 +40,7 @@
 /** A period in which jobs of one kind arrive more often. */
 export type Burst = {kind: string; atS: number; forS: number; times: number};
 
-/** A load. */
+/** Workers, kinds of jobs and events of one simulation. */
 export type DecidingLoad = {
 	name: string;
 	workers: number[];
--- a/src/measure/jobs-scale.ts
+++ b/src/measure/jobs-scale.ts
@@ -1,5 +1,5 @@
 /**
-Rate of placement decisions on one core, and state held for each worker, task and job, at several fleet sizes.
+Measures the rate of placement decisions on one core, and the memory for each worker, task and job, at several fleet sizes.
 */
 import process from 'node:process';
 import {createSettings} from '../core/settings.ts';
@@ -227,7 +227,7 @@
 	return (user + system) / 1000;
 };
 
-/** Several collectionCount are needed to free what earlier runs left. */
+/** Several collections are needed to free what earlier runs left. */
 const getSettledHeapBytes = (): number => {
 	let bytes = 0;
 	for (let count = 0; count < collectionCount; count++) {
--- a/src/measure/jobs-world.ts
+++ b/src/measure/jobs-world.ts
@@ -1,5 +1,5 @@
 /**
-Simulated workers on manual time: tasks slow each other down by factors that placement does not know, and report usage late and with noise.
+Simulated workers on manual time: tasks slow each other down by factors that placement does not know, and report their usage with delay and noise.
 */
 import {TaskClass} from '../types/jobs.ts';
 import {type PlacementWorker} from '../types/placement.ts';
--- a/src/measure/measure-types.ts
+++ b/src/measure/measure-types.ts
@@ -1,5 +1,5 @@
 /**
-What every measurement reports: rows of named figures.
+Options and reports that all measurements share. A report consists of rows of named figures.
 */
 
 /** One row: what was measured, and the figures. Names of figures carry their unit. */
@@ -14,7 +14,7 @@
 	seed: number;
 	seconds: number;
 	rows: MeasureRow[];
-	/** Sentences that summarise the figures. */
+	/** Sentences about the figures. */
 	notes: string[];
 };
 
--- a/src/measure/requests-sites.ts
+++ b/src/measure/requests-sites.ts
@@ -64,7 +64,7 @@
 	const {check, long} = classLoads;
 	let longShare = 0.5;
 	let meanMs = 0;
-	// Iterates until the share of the slots that long requests hold converges; it depends on the slowdown, which long requests cause more than checks do.
+	// Iterates until the share of the slots that long requests hold converges: they slow down checks more than checks slow them down.
 	for (let round = 0; round < 20; round++) {
 		const checkMs = check.share * getFullHostMs(check, slots, longShare);
 		const longMs = long.share * getFullHostMs(long, slots, longShare);
--- a/src/measure/slots-measure.ts
+++ b/src/measure/slots-measure.ts
@@ -9,7 +9,7 @@
 import {ManualClock} from '../utils/manual-clock.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 
-/** Ways to divide slots. */
+/** Methods of dividing slots among entries. */
 export enum SlotDivision {
 	/** Equal shares for the configured entries; remaining slots are not used. */
 	Static = 'static',
