--- a/src/measure/deciding-load.ts
+++ b/src/measure/deciding-load.ts
@@ -14,6 +14,7 @@
 	perS: number;
 	/** Jobs submitted at the start of the load. */
 	early: number;
+	/** Credit for a job of mean size; for latency-critical jobs, for each window in which all tasks meet their target. */
 	worth: number;
 	priority: number;
 	stretch: number;
--- a/src/measure/deciding-run.ts
+++ b/src/measure/deciding-run.ts
@@ -21,7 +21,7 @@
 
 /** Result of one simulation. */
 export type DecidingResult = {
-	/** By kind of job: credit earned, and the credit that is possible. */
+	/** By kind of job: credit earned, and the most that could be earned. */
 	credit: Map<string, {earned: number; owed: number}>;
 	/** Core-seconds of work done and then lost. */
 	lostCoreS: number;
@@ -45,17 +45,17 @@
 const partition = 0;
 const ref = {topic: workflowsTopic, partition};
 const settleMs = 4000;
-const tailS = 14;
+const drainS = 14;
 const outageMs = 1000;
 const windowMs = 2000;
-const lateShare = 0.15;
+const lateCreditShare = 0.15;
 const maxLateFactor = 3;
 const interferencePenalty = 4;
 const checkpointEveryMs = 1000;
 const restoreMs = 100;
 const secondMs = 1000;
 /** Interference records hold the load added by a tenth of a worker. */
-const tenths = 10;
+const interferenceUnits = 10;
 const knownDeviation = 0.01;
 
 type Simulation = {
@@ -70,14 +70,14 @@
 	getEffect: (server: string, filler: string) => number;
 	/** By latency-critical job: time in the current window that its tasks met their target, and that they missed it because of interference. */
 	served: Map<string, {withinTargetMs: number; interferenceMs: number}>;
-	/** Completed jobs that are already credited. */
-	ended: Set<string>;
+	/** Ids of completed jobs that are already credited. */
+	creditedJobIds: Set<string>;
 };
 
 /** Simulates the load once. */
 export const playDeciding = async (load: DecidingLoad, seed: number, {policy, isHarmKnown = false, note = () => undefined}: DecidingOptions): Promise<DecidingResult> => {
 	const random = createRandom(seed);
-	const offered = offerJobs(load, random);
+	const generatedJobs = offerJobs(load, random);
 	const simulation = createSimulation(load, random, policy);
 	for (const host of simulation.workers.keys()) {
 		startAgent(simulation, host);
@@ -90,8 +90,8 @@
 	let entry = startEntry(simulation, 1, note);
 	await advance(simulation, settleMs);
 	const startMs = simulation.clock.monotonicMs();
-	const waitingJobs = offered.map(job => ({...job, atMs: job.atMs + startMs, cancelAtMs: job.cancelAtMs + startMs}));
-	const endMs = startMs + ((load.lengthS + tailS) * secondMs);
+	const waitingJobs = generatedJobs.map(job => ({...job, atMs: job.atMs + startMs, cancelAtMs: job.cancelAtMs + startMs}));
+	const endMs = startMs + ((load.lengthS + drainS) * secondMs);
 	const latencyCriticalJobs: OfferedJob[] = [];
 	let outageAtMs = load.darkAtS === undefined ? Number.POSITIVE_INFINITY : startMs + (load.darkAtS * secondMs);
 	let windowEndMs = startMs + windowMs;
@@ -127,7 +127,7 @@
 
 		if (simulation.clock.monotonicMs() >= windowEndMs) {
 			windowEndMs += windowMs;
-			creditWindow(simulation, latencyCriticalJobs, windowEndMs - (2 * windowMs), endMs - (tailS * secondMs));
+			creditWindow(simulation, latencyCriticalJobs, windowEndMs - (2 * windowMs), endMs - (drainS * secondMs));
 		}
 
 		creditCompletedJobs(simulation, entry.follower);
@@ -149,7 +149,7 @@
 	const getEffect = (server: string, filler: string) =>
 		load.effects[Math.floor(getChance(`${salt} ${server} ${filler}`) * load.effects.length)]!;
 	const simulation: Simulation = {
-		clock, store: new MemoryStore(clock, 1), jobs: new Map(), workers: new Map(), agents: new Map(), policy, getEffect, served: new Map(), ended: new Set(), result: {
+		clock, store: new MemoryStore(clock, 1), jobs: new Map(), workers: new Map(), agents: new Map(), policy, getEffect, served: new Map(), creditedJobIds: new Set(), result: {
 			credit: new Map(), lostCoreS: 0, harmS: 0, counts: new Map(), fillingCores: 0,
 		},
 	};
@@ -306,7 +306,7 @@
 	const bestEffortImages = getImages(({isFilling}) => isFilling);
 	await write(simulation, {
 		type: RecordType.Harm, pairs: latencyCriticalImages.flatMap(server => bestEffortImages.map(filler => ({
-			server, filler, mean: simulation.getEffect(server, filler) / tenths, deviation: knownDeviation,
+			server, filler, mean: simulation.getEffect(server, filler) / interferenceUnits, deviation: knownDeviation,
 		}))),
 	});
 };
@@ -328,7 +328,7 @@
 	return cores;
 };
 
-const credit = ({result}: Simulation, kind: string, earned: number, owed: number): void => {
+const addCredit = ({result}: Simulation, kind: string, earned: number, owed: number): void => {
 	const sum = result.credit.get(kind) ?? {earned: 0, owed: 0};
 	result.credit.set(kind, {earned: sum.earned + earned, owed: sum.owed + owed});
 };
@@ -340,7 +340,7 @@
 };
 
 /** Credit for a job: a fixed part, and a part in proportion to its work relative to the mean of its kind. */
-const getWorth = ({kind, coreMs}: OfferedJob): number => {
+const getCredit = ({kind, coreMs}: OfferedJob): number => {
 	const meanCoreMs = kind.steps.mean * kind.width.mean * kind.workMs.mean * kind.milliCpu.mean / 1000;
 	return kind.worth * Math.min(4, 0.3 + (0.7 * coreMs / meanCoreMs));
 };
@@ -348,19 +348,19 @@
 const creditCompletedJobs = (simulation: Simulation, follower: WorkflowFollower): void => {
 	const nowMs = simulation.clock.monotonicMs();
 	for (const job of simulation.jobs.values()) {
-		const isEnded = simulation.ended.has(job.id);
-		if (job.kind.serving !== undefined || isEnded || follower.fold.workflows.get(job.id)?.state !== WorkflowState.Completed) {
+		const isCredited = simulation.creditedJobIds.has(job.id);
+		if (job.kind.serving !== undefined || isCredited || follower.fold.workflows.get(job.id)?.state !== WorkflowState.Completed) {
 			continue;
 		}
 
 		const allowedMs = (job.kind.stretch * job.chainMs) + job.kind.targetLatencyMs;
 		const tookMs = nowMs - job.atMs;
-		const share = tookMs <= allowedMs ? 1 : (tookMs <= maxLateFactor * allowedMs ? lateShare : 0);
-		credit(simulation, job.kind.name, share * getWorth(job), getWorth(job));
+		const share = tookMs <= allowedMs ? 1 : (tookMs <= maxLateFactor * allowedMs ? lateCreditShare : 0);
+		addCredit(simulation, job.kind.name, share * getCredit(job), getCredit(job));
 		const count = getCount(simulation, job.kind.name);
 		count.inTime += share === 1 ? 1 : 0;
 		count.late += share === 1 ? 0 : 1;
-		simulation.ended.add(job.id);
+		simulation.creditedJobIds.add(job.id);
 	}
 };
 
@@ -370,7 +370,7 @@
 		const served = simulation.served.get(job.id) ?? {withinTargetMs: 0, interferenceMs: 0};
 		if (job.atMs <= fromMs && job.cancelAtMs >= fromMs + windowMs && fromMs < untilMs) {
 			const fullMs = job.spec.steps[0]!.count * windowMs;
-			credit(simulation, job.kind.name, job.kind.worth * Math.max(0, served.withinTargetMs - ((interferencePenalty - 1) * served.interferenceMs)) / fullMs, job.kind.worth);
+			addCredit(simulation, job.kind.name, job.kind.worth * Math.max(0, served.withinTargetMs - ((interferencePenalty - 1) * served.interferenceMs)) / fullMs, job.kind.worth);
 			simulation.result.harmS += served.interferenceMs / secondMs;
 		}
 	}
@@ -380,8 +380,8 @@
 
 const countUnfinishedJobs = (simulation: Simulation): void => {
 	for (const job of simulation.jobs.values()) {
-		if (!job.kind.serving && !simulation.ended.has(job.id)) {
-			credit(simulation, job.kind.name, 0, getWorth(job));
+		if (!job.kind.serving && !simulation.creditedJobIds.has(job.id)) {
+			addCredit(simulation, job.kind.name, 0, getCredit(job));
 			getCount(simulation, job.kind.name).open++;
 		}
 	}
--- a/src/measure/soak-faults.ts
+++ b/src/measure/soak-faults.ts
@@ -10,13 +10,13 @@
 const configGraceMs = 3000;
 
 /** Injects one fault after the other until the signal aborts. */
-export const makeFaults = async (world: World, callers: SoakCallers): Promise<void> => {
-	const {options, clock, random, signal} = world;
+export const makeFaults = async (context: World, callers: SoakCallers): Promise<void> => {
+	const {options, clock, random, signal} = context;
 	if (options.faultEveryMs === undefined) {
 		return;
 	}
 
-	const faults = createFaults(world, callers);
+	const faults = createFaults(context, callers);
 	while (!signal.aborted) {
 		await clock.sleep(options.faultEveryMs * (0.5 + random.next()), signal);
 		if (signal.aborted) {
@@ -24,21 +24,21 @@
 		}
 
 		const [name, inject] = faults[random.below(faults.length)]!;
-		world.faults.set(name, (world.faults.get(name) ?? 0) + 1);
+		context.faults.set(name, (context.faults.get(name) ?? 0) + 1);
 		options.report(`Fault: ${name}.`);
 		await inject();
 	}
 };
 
-const createFaults = (world: World, callers: SoakCallers): Array<[string, () => Promise<void>]> => {
-	const {pool, clock, random, checker} = world;
+const createFaults = (context: World, callers: SoakCallers): Array<[string, () => Promise<void>]> => {
+	const {pool, clock, random, checker} = context;
 	const pick = (role: Role): SoakProcess => {
 		const candidates = pool.processes.filter(target => target.role === role && target.child);
 		return candidates[random.below(candidates.length)]!;
 	};
 
 	const grantConfigGrace = ({name}: SoakProcess) => {
-		world.configExcusedUntilMs.set(name, clock.monotonicMs() + configGraceMs);
+		context.configExcusedUntilMs.set(name, clock.monotonicMs() + configGraceMs);
 	};
 
 	const restart = async (target: SoakProcess, stop: () => Promise<void>) => {
@@ -87,17 +87,17 @@
 			});
 		}],
 		['log down', async () => {
-			world.isLogDown = true;
-			await setLogFaults(world, {isDown: true});
+			context.isLogDown = true;
+			await setLogFaults(context, {isDown: true});
 			await clock.sleep(2000 + random.below(6000));
-			await setLogFaults(world, {isDown: false});
-			world.isLogDown = false;
-			world.logBackAtMs = clock.monotonicMs() + configGraceMs;
+			await setLogFaults(context, {isDown: false});
+			context.isLogDown = false;
+			context.logBackAtMs = clock.monotonicMs() + configGraceMs;
 		}],
 		['log slow, answers lost', async () => {
-			await setLogFaults(world, {delayMs: 100, loseAnswerChance: 0.2});
+			await setLogFaults(context, {delayMs: 100, loseAnswerChance: 0.2});
 			await clock.sleep(3000);
-			await setLogFaults(world, {delayMs: 0, loseAnswerChance: 0});
+			await setLogFaults(context, {delayMs: 0, loseAnswerChance: 0});
 		}],
 	];
 };
--- a/src/measure/soak.ts
+++ b/src/measure/soak.ts
@@ -40,29 +40,29 @@
 /** Runs a soak test. */
 export const runSoak = async (options: SoakOptions): Promise<SoakReport> => {
 	const aborter = new AbortController();
-	const world = await createWorld(options, aborter.signal);
-	const {clock, checker, pool, entries} = world;
+	const context = await createWorld(options, aborter.signal);
+	const {clock, checker, pool, entries} = context;
 	const callers = new SoakCallers({
 		clock, random: createRandom(options.seed + 1), checker, targets: entries.map(entry => ({entry: entry.entry, address: entry.caller, isReady: () => entry.isReady})),
 	});
 	try {
-		await publishServices(world);
-		await waitUntilReady(world);
+		await publishServices(context);
+		await waitUntilReady(context);
 		options.report('All processes are up.');
 		const tasks = [
-			callers.run(options.ratePerSecond, aborter.signal), publishChangesRepeatedly(world), watchConfig(world), watchReadiness(world), submitJobs(world), makeFaults(world, callers),
+			callers.run(options.ratePerSecond, aborter.signal), publishChangesRepeatedly(context), watchConfig(context), watchReadiness(context), submitJobs(context), makeFaults(context, callers),
 		];
 		await clock.sleep(options.durationMs);
 		aborter.abort();
 		await Promise.all(tasks);
-		const use = measureUsage(world);
-		await endFaults(world);
-		const jobs = await waitForJobs(world);
+		const use = measureUsage(context);
+		await endFaults(context);
+		const jobs = await waitForJobs(context);
 		return {
 			promises: checker.getReport(),
 			isHeld: checker.isHeld && jobs.lost.length === 0,
 			callers: callers.tally,
-			faults: world.faults,
+			faults: context.faults,
 			jobs,
 			use,
 			crashes: pool.processes.filter(({crashes}) => crashes > 0).map(({name, crashes}) => `${name} ${crashes}`),
@@ -70,7 +70,7 @@
 		};
 	} finally {
 		aborter.abort();
-		await world.log.stop();
+		await context.log.stop();
 		await pool.stopAll();
 	}
 };
@@ -86,8 +86,8 @@
 	}
 };
 
-const waitUntilReady = async (world: World): Promise<void> => {
-	const {clock, entries, options} = world;
+const waitUntilReady = async (context: World): Promise<void> => {
+	const {clock, entries, options} = context;
 	const endMs = clock.monotonicMs() + settleMs;
 	const isReady = async ({control}: EntryAddresses) => {
 		try {
@@ -112,12 +112,12 @@
 		await clock.sleep(100);
 	}
 
-	throw new Error(`not all entries were ready within ${settleMs} ms; logs are in ${world.pool.directory}`);
+	throw new Error(`not all entries were ready within ${settleMs} ms; logs are in ${context.pool.directory}`);
 };
 
 /** Publishes changes until the signal aborts: two operators publish conflicting changes in every other round, one operator in the rounds between. */
-const publishChangesRepeatedly = async (world: World): Promise<void> => {
-	const {clock, log, random, signal, checker} = world;
+const publishChangesRepeatedly = async (context: World): Promise<void> => {
+	const {clock, log, random, signal, checker} = context;
 	for (let round = 0; !signal.aborted; round++) {
 		await clock.sleep(1500, signal);
 		try {
@@ -131,7 +131,7 @@
 			})));
 			for (const {verdict, offset} of results) {
 				if (verdict === ConfigVerdict.Accepted) {
-					void checkAppliedInTime(world, offset, checker);
+					void checkAppliedInTime(context, offset, checker);
 				}
 			}
 		} catch {
@@ -140,16 +140,16 @@
 	}
 };
 
-const checkAppliedInTime = async (world: World, offset: number, checker: PromiseChecker): Promise<void> => {
-	const acceptedAtMs = world.clock.monotonicMs();
-	await world.clock.sleep(maxConfigDelayMs, world.signal);
-	if (world.signal.aborted) {
+const checkAppliedInTime = async (context: World, offset: number, checker: PromiseChecker): Promise<void> => {
+	const acceptedAtMs = context.clock.monotonicMs();
+	await context.clock.sleep(maxConfigDelayMs, context.signal);
+	if (context.signal.aborted) {
 		return;
 	}
 
-	for (const {entry} of world.entries) {
-		const graceUntilMs = Math.max(world.configExcusedUntilMs.get(entry.name) ?? 0, world.logBackAtMs);
-		if (entry.child && !entry.isPaused && !world.isLogDown && graceUntilMs <= acceptedAtMs) {
+	for (const {entry} of context.entries) {
+		const graceUntilMs = Math.max(context.configExcusedUntilMs.get(entry.name) ?? 0, context.logBackAtMs);
+		if (entry.child && !entry.isPaused && !context.isLogDown && graceUntilMs <= acceptedAtMs) {
 			checker.noteConfigDue(`${entry.name}/${entry.life}`, offset);
 		}
 	}
@@ -191,8 +191,8 @@
 	}
 };
 
-const submitJobs = async (world: World): Promise<void> => {
-	const {clock, random, entries, signal, jobs} = world;
+const submitJobs = async (context: World): Promise<void> => {
+	const {clock, random, entries, signal, jobs} = context;
 	for (let index = 0; !signal.aborted; index++) {
 		await clock.sleep(400, signal);
 		const jobId = `soak-${index}`;
@@ -225,13 +225,13 @@
 	}
 };
 
-const endFaults = async (world: World): Promise<void> => {
-	await setLogFaults(world, {
+const endFaults = async (context: World): Promise<void> => {
+	await setLogFaults(context, {
 		isDown: false, delayMs: 0, loseAnswerChance: 0, failChance: 0,
 	});
-	for (const target of world.pool.processes) {
+	for (const target of context.pool.processes) {
 		if (target.child === undefined) {
-			world.pool.start(target);
+			context.pool.start(target);
 		}
 	}
 };
