--- /dev/null
+++ b/scripts/measure-scheduling.ts
@@ -0,0 +1,33 @@
+/**
+Simulates the loads of `src/measure/scheduling-load.ts` with the real owner: `tsx scripts/measure-scheduling.ts --seeds 5 --load heavy
+--without value-order`. `--first` is the first seed, `--without` disables mechanisms of the policy, and `--known` gives the owner the
+true interference of all pairs of images at the start.
+*/
+import process from 'node:process';
+import {parseArgs} from 'node:util';
+import {schedulingLoads} from '../src/measure/scheduling-load.ts';
+import {simulateScheduling} from '../src/measure/scheduling-simulation.ts';
+import {createPolicy} from '../src/workflows/policy.ts';
+
+const {values} = parseArgs({
+	options: {
+		seeds: {type: 'string', default: '3'}, first: {type: 'string', default: '1'}, load: {type: 'string'}, without: {type: 'string', default: ''}, known: {type: 'boolean', default: false},
+	},
+});
+for (const load of schedulingLoads.filter(({name}) => values.load === undefined || values.load === name)) {
+	for (let seed = Number(values.first); seed < Number(values.first) + Number(values.seeds); seed++) {
+		const startMs = performance.now();
+		const {credit, counts, lostCoreS, interferenceS, bestEffortCores} = await simulateScheduling(load, seed, {policy: createPolicy(values.without), isInterferenceKnown: values.known});
+		let earned = 0;
+		let owed = 0;
+		for (const sum of credit.values()) {
+			earned += sum.earned;
+			owed += sum.possible;
+		}
+
+		const kinds = Object.fromEntries([...credit].map(([name, sum]) => [name, Number((sum.earned / sum.possible).toFixed(3))]));
+		process.stdout.write(`${JSON.stringify({
+			load: load.name, seed, without: values.without, known: values.known, worth: Number((earned / owed).toFixed(4)), kinds, counts: Object.fromEntries(counts), lostCoreS: Math.round(lostCoreS), harmS: Math.round(interferenceS), fillingCores: Math.round(bestEffortCores), tookMs: Math.round(performance.now() - startMs),
+		})}\n`);
+	}
+}
--- a/src/jobs/job-decisions.ts
+++ b/src/jobs/job-decisions.ts
@@ -1,18 +1,18 @@
 /**
-Carries out what the placement engine decides.
+Executes the decisions of the placement engine.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
 import {Metric, type Metrics} from '../types/metrics.ts';
 import {DecisionType, type Decision, type PlacementEngine} from '../types/placement.ts';
 import {createLogger, LogNamespace} from '../utils/logger.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
+import {type LeaseManager} from './lease-manager.ts';
 import {type ShardOwner} from './shard-owner.ts';
 import {type LiveTask} from './shard-task.ts';
 
 const log = createLogger(LogNamespace.Placement);
 
-/** What decisions need. */
+/** Options of `JobDecisions`. */
 export type JobDecisionsOptions = {
 	clock: Clock;
 	metrics: Metrics;
@@ -20,43 +20,43 @@
 	maxDecisions: number;
 	getTask(taskId: string): LiveTask | undefined;
 	getOwner(shard: number): ShardOwner | undefined;
-	/** Shard of a job that is known. */
+	/** Shard of a job; undefined for an unknown job. */
 	getShard(jobId: string): number | undefined;
-	getKeeper(workerId: string): LeaseKeeper | undefined;
+	getLeaseManager(workerId: string): LeaseManager | undefined;
 };
 
-/** Decisions of one entry. */
+/** Executes placement decisions for the shards owned by this entry. */
 export class JobDecisions {
 	readonly #options: JobDecisionsOptions;
-	/** Jobs that the engine gave up; it is asked again, since what others use of a worker comes and goes. */
+	/** Jobs that the engine found unplaceable. They are offered again, since the capacity that other entries use varies. */
 	readonly #unplaceable = new Set<string>();
 
 	constructor(options: JobDecisionsOptions) {
 		this.#options = options;
 	}
 
-	/** One round of decisions. */
+	/** Runs one scheduling cycle. */
 	decide(): void {
 		const {clock, engine, maxDecisions} = this.#options;
 		for (const decision of engine.decide(clock.monotonicMs(), maxDecisions)) {
-			this.#carryOut(decision);
+			this.#execute(decision);
 		}
 	}
 
-	/** Puts the jobs that were given up before the engine again. */
+	/** Offers unplaceable jobs to the engine again. */
 	reconsider(): void {
 		for (const jobId of this.#unplaceable) {
 			const shard = this.#options.getShard(jobId);
 			this.#unplaceable.delete(jobId);
 			if (shard !== undefined) {
-				this.#options.getOwner(shard)?.enqueueAgain(jobId);
+				this.#options.getOwner(shard)?.offerAgain(jobId);
 			}
 		}
 	}
 
-	#carryOut(decision: Decision): void {
+	#execute(decision: Decision): void {
 		if (decision.type === DecisionType.Unplaceable) {
-			this.#refuse(decision);
+			this.#handleUnplaceable(decision);
 			return;
 		}
 
@@ -80,16 +80,16 @@
 			}
 
 			case DecisionType.Throttle: {
-				void this.#options.getKeeper(decision.workerId)?.throttle(task, decision.share).catch((error: unknown) => {
-					log('Throttle of %s failed: %s', task.taskId, getMessage(error));
+				void this.#options.getLeaseManager(decision.workerId)?.throttle(task, decision.share).catch((error: unknown) => {
+					log('Cannot throttle task %s: %s', task.taskId, getMessage(error));
 				});
 			}
 		}
 	}
 
-	#refuse({jobId, missing, isFinal}: Decision & {type: DecisionType.Unplaceable}): void {
+	#handleUnplaceable({jobId, missing, isFinal}: Decision & {type: DecisionType.Unplaceable}): void {
 		this.#options.metrics.count(Metric.JobsRefused, isFinal ? 'fails-everywhere' : 'unplaceable');
-		log('Job %s can run nowhere now: %s', jobId, missing);
+		log('Job %s fits on no worker now: %s', jobId, missing);
 		const shard = this.#options.getShard(jobId);
 		if (isFinal && shard !== undefined) {
 			this.#options.getOwner(shard)?.fail(jobId, missing);
--- a/src/jobs/placement-context.ts
+++ b/src/jobs/placement-context.ts
@@ -1,38 +1,38 @@
 /**
-Puts the parts of the placement engine together.
+Creates the parts of the placement engine and connects them.
 */
 import {TaskClass} from '../types/jobs.ts';
-import {HarmCost} from './harm-cost.ts';
-import {HarmHistory} from './harm-history.ts';
-import {HarmModel} from './harm-model.ts';
+import {InterferenceCost} from './interference-cost.ts';
+import {ResidencyHistory} from './residency-history.ts';
+import {InterferenceModel} from './interference-model.ts';
 import {type PlacementOptions} from './placement-engine.ts';
 import {Fleet} from './placement-fleet.ts';
 import {WaitingQueue} from './placement-queue.ts';
 import {Reservations} from './placement-reservations.ts';
-import {type PlacementContext} from './placement-round.ts';
+import {type PlacementContext} from './placement-cycle.ts';
 import {createCheapestChoice, PlacementSearch, type ChooseWorker} from './placement-search.ts';
 import {QuotaLedger} from './quota-ledger.ts';
 import {SizeEstimates} from './size-estimates.ts';
-import {createEvictionCost, EvictionBudget, EvictionMemory} from './urgency-eviction.ts';
+import {createEvictionCost, EvictionBudget, EvictionHistory} from './eviction-planning.ts';
 import {UrgencyHeadroom} from './urgency-headroom.ts';
 import {type WorkerEntry} from './placement-state.ts';
 import {WorkerHealth} from './worker-health.ts';
 
-// Urgent work may evict this share of a fleet's workers a minute, or the budget of the settings when that is more.
-const urgentPerWorker = 4;
+// Limit of evictions for urgent work, per worker of the fleet and minute; `evictionsPerMinute` of the settings applies if higher.
+const urgentEvictionsPerWorker = 4;
 
-/** Creates what the engine decides from. */
+/** Creates the parts and the state that the engine decides with. */
 export const createContext = (options: PlacementOptions): PlacementContext => {
 	const {settings, random} = options;
 	const quotas = new QuotaLedger();
 	const fleet = new Fleet(quotas);
 	const queue = new WaitingQueue(settings.urgentPriority);
-	const model = new HarmModel(settings.harmHalfLifeMs);
-	const harmCost = new HarmCost(model, {weights: settings, getBusyness: () => fleet.busyness});
+	const interferenceModel = new InterferenceModel(settings.harmHalfLifeMs);
+	const interferenceCost = new InterferenceCost(interferenceModel, {weights: settings, getUtilization: () => fleet.utilization});
 	const sizes = new SizeEstimates(settings.isShrinkAllowed);
-	const evictions = new EvictionMemory();
+	const evictionHistory = new EvictionHistory();
 	const choose = options.choose ?? createChoice({
-		settings, queue, harmCost, sizes,
+		settings, queue, interferenceCost, sizes,
 	});
 	const search = new PlacementSearch({index: fleet.index, random, choose});
 	return {
@@ -41,26 +41,26 @@
 		fleet,
 		queue,
 		quotas,
-		model,
-		harmCost,
+		interferenceModel,
+		interferenceCost,
 		sizes,
-		evictions,
+		evictionHistory,
 		reservations: new Reservations({fleet, queue, quotas}),
 		search,
 		headroom: new UrgencyHeadroom({fleet, search, halfLifeMs: settings.headroomHalfLifeMs}),
 		health: new WorkerHealth<WorkerEntry>(settings),
-		history: new HarmHistory(),
-		urgentBudget: new EvictionBudget(() => Math.max(settings.evictionsPerMinute, urgentPerWorker * fleet.size)),
-		otherBudget: new EvictionBudget(() => settings.evictionsPerMinute),
-		getEvictionCost: createEvictionCost({...settings, getEvictions: taskId => evictions.getCount(taskId)}),
-		blocked: new Map(),
-		harmed: new Set(),
-		throttled: new Set(),
-		started: [],
+		residencyHistory: new ResidencyHistory(),
+		urgentEvictionBudget: new EvictionBudget(() => Math.max(settings.evictionsPerMinute, urgentEvictionsPerWorker * fleet.size)),
+		regularEvictionBudget: new EvictionBudget(() => settings.evictionsPerMinute),
+		getEvictionCost: createEvictionCost({...settings, getEvictions: taskId => evictionHistory.getCount(taskId)}),
+		failedSearches: new Map(),
+		slowedTasks: new Set(),
+		throttledTasks: new Set(),
+		startedBatchTasks: [],
 	};
 };
 
-const createChoice = ({settings, queue, harmCost, sizes}: Pick<PlacementContext, 'settings' | 'queue' | 'harmCost' | 'sizes'>): ChooseWorker => {
+const createChoice = ({settings, queue, interferenceCost, sizes}: Pick<PlacementContext, 'settings' | 'queue' | 'interferenceCost' | 'sizes'>): ChooseWorker => {
 	if (!settings.isHarmAware) {
 		return createCheapestChoice(() => 0, () => Number.POSITIVE_INFINITY);
 	}
@@ -68,16 +68,16 @@
 	return createCheapestChoice(
 		(worker, entry) => {
 			const {kindId, spec} = entry.job;
-			return harmCost.getAdded(worker, entry, sizes.getExpectedProcessors(kindId, entry.reserved, spec.resources));
+			return interferenceCost.getAddedCost(worker, entry, sizes.getExpectedProcessors(kindId, entry.reserved, spec.resources));
 		},
-		// A batch task that would do more harm than its own progress is worth is held back. The limit doubles with the
-		// time, so that the task runs in the end wherever it harms least.
+		// A batch task whose interference would cost more than its own progress is worth is deferred. The limit doubles
+		// every `deferMs`, so that in the end the task runs where it interferes least.
 		({job}, nowMs) => {
 			if (job.spec.taskClass !== TaskClass.Batch || queue.isUrgent(job) || settings.deferMs === 0) {
 				return Number.POSITIVE_INFINITY;
 			}
 
-			const deferredMs = Math.max(0, nowMs - job.deferredAtMs);
+			const deferredMs = Math.max(0, nowMs - job.firstDeferredAtMs);
 			return settings.throughputWeight * (2 ** (deferredMs / settings.deferMs));
 		},
 	);
--- a/src/jobs/placement-engine.ts
+++ b/src/jobs/placement-engine.ts
@@ -1,8 +1,8 @@
 /**
-The placement engine: takes note of all that happens to tasks and workers, and decides in rounds.
+The placement engine: tracks tasks and workers, and decides in scheduling cycles which tasks to start, evict or throttle.
 
-Room is taken when a start is decided and given back when an end is confirmed, so that decisions never give a worker
-more than it has, whatever becomes of the orders in between.
+Capacity is allocated when a start is decided and released when the end of the run is confirmed. So decisions never
+overcommit a worker, whether the orders in between succeed, fail or stay unanswered.
 */
 import {type Settings} from '../core/settings-schema.ts';
 import {
@@ -10,27 +10,27 @@
 } from '../types/placement.ts';
 import {type Resources, type TaskUsage} from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
-import {KindTable} from './harm-model.ts';
-import {runHarmPass} from './harm-response.ts';
+import {KindTable} from './interference-model.ts';
+import {runInterferencePass} from './interference-response.ts';
 import {createContext} from './placement-context.ts';
-import {createEntry, createJob, getShapeKey} from './placement-entries.ts';
-import {runReturnPass} from './placement-evictions.ts';
-import {runFairPass, runReservePass, runUrgentPass} from './placement-passes.ts';
-import {createNone} from './placement-resources.ts';
-import {getNeed, Round, type PlacementContext} from './placement-round.ts';
+import {createTaskEntry, createJobEntry, getShapeKey} from './placement-entries.ts';
+import {runQuotaReturnPass} from './placement-evictions.ts';
+import {runFairSharePass, runReservationPass, runUrgentPass} from './placement-passes.ts';
+import {createNoResources} from './placement-resources.ts';
+import {getNeed, PlacementCycle, type PlacementContext} from './placement-cycle.ts';
 import {type ChooseWorker} from './placement-search.ts';
 import {TaskPhase, type JobEntry, type TaskEntry} from './placement-state.ts';
-import {learnHarm, noteRunningUsage} from './placement-usage.ts';
+import {observeInterference, recordRunningUsage} from './placement-usage.ts';
 
-/** What the engine is made from. */
+/** Dependencies of the engine. */
 export type PlacementOptions = {
 	settings: Settings['placement'];
 	random: Random;
-	/** Replaces the choice among the workers with room: for comparison. */
+	/** Replaces the choice among the workers with enough free capacity; used to compare policies. */
 	choose?: ChooseWorker;
 };
 
-const avoidMs = 2000;
+const refusalAvoidMs = 2000;
 
 /** Creates a placement engine. */
 export const createPlacementEngine = (options: PlacementOptions): PlacementEngine => new Engine(options);
@@ -40,34 +40,34 @@
 	readonly #kinds: KindTable;
 	readonly #tasks = new Map<string, TaskEntry>();
 	readonly #jobs = new Map<string, JobEntry>();
-	/** Jobs of which something is to be told. */
-	readonly #toCheck = new Set<JobEntry>();
-	readonly #finals = new Map<string, string>();
-	#checkedFleet = -1;
+	/** Jobs that the next cycle checks for being unplaceable. */
+	readonly #jobsToCheck = new Set<JobEntry>();
+	readonly #failingEverywhere = new Map<string, string>();
+	#checkedFleetVersion = -1;
 	#nowMs = 0;
-	#order = 0;
+	#nextSequence = 0;
 
 	constructor(options: PlacementOptions) {
 		this.#context = createContext(options);
 		this.#kinds = new KindTable(kindId => {
-			this.#context.model.forget(kindId);
+			this.#context.interferenceModel.forget(kindId);
 			this.#context.sizes.forget(kindId);
 		});
 	}
 
 	setWorker(worker: PlacementWorker): void {
-		this.#context.fleet.set(worker);
+		this.#context.fleet.setWorker(worker);
 	}
 
 	removeWorker(workerId: string): void {
-		const worker = this.#context.fleet.remove(workerId);
+		const worker = this.#context.fleet.removeWorker(workerId);
 		if (!worker) {
 			return;
 		}
 
 		this.#context.health.forget(worker);
 		for (const entry of worker.tasks) {
-			entry.isBlameless = true;
+			entry.isExcludedFromHealth = true;
 		}
 	}
 
@@ -78,8 +78,8 @@
 	enqueue(task: PendingTask): void {
 		const known = this.#tasks.get(task.taskId);
 		if (known?.worker) {
-			// The former attempt still holds its room: this one waits for its confirmed end.
-			known.next = task;
+			// The previous attempt still holds its capacity: this one waits until the end of that attempt is confirmed.
+			known.nextAttempt = task;
 			return;
 		}
 
@@ -88,16 +88,16 @@
 			return;
 		}
 
-		const job = this.#openJob(task);
-		const entry = createEntry(task, job);
+		const job = this.#getOrCreateJob(task);
+		const entry = createTaskEntry(task, job);
 		this.#tasks.set(task.taskId, entry);
 		if (task.spec.isGang) {
-			// Room kept for a part of the gang would start that part alone.
+			// Capacity reserved for a part of the gang would start that part alone.
 			this.#context.reservations.cancelJob(job);
 		}
 
 		this.#context.queue.add(entry);
-		this.#toCheck.add(job);
+		this.#jobsToCheck.add(job);
 	}
 
 	cancel(taskId: string): void {
@@ -106,16 +106,16 @@
 			return;
 		}
 
-		entry.next = undefined;
-		entry.isBlameless = true;
+		entry.nextAttempt = undefined;
+		entry.isExcludedFromHealth = true;
 		if (!entry.worker) {
-			this.#leaveQueue(entry);
-			this.#drop(entry);
+			this.#removeFromQueue(entry);
+			this.#removeTask(entry);
 		}
 	}
 
 	recordRunning(task: PendingTask, workerId: string, startedAtMs: number): void {
-		const {fleet, history} = this.#context;
+		const {fleet, residencyHistory} = this.#context;
 		const known = this.#tasks.get(task.taskId);
 		if (known?.worker?.spec.workerId === workerId) {
 			known.task = task;
@@ -124,29 +124,29 @@
 		}
 
 		if (known?.phase === TaskPhase.Evicting) {
-			this.#context.quotas.changeLeaving(known.job.spec.team, known.reserved, -1);
+			this.#context.quotas.changeEvicting(known.job.spec.team, known.reserved, -1);
 		}
 
 		if (known) {
-			this.#leaveQueue(known);
+			this.#removeFromQueue(known);
 			fleet.release(known);
 		}
 
-		const entry = known ?? createEntry(task, this.#openJob(task));
+		const entry = known ?? createTaskEntry(task, this.#getOrCreateJob(task));
 		entry.task = task;
 		entry.reserved = task.reserved ?? entry.job.need;
 		entry.startedAtMs = startedAtMs;
 		this.#tasks.set(task.taskId, entry);
 		const worker = fleet.get(workerId) ?? this.#createUnknownWorker(workerId);
-		fleet.take(worker, entry);
-		history.begin(entry, startedAtMs);
+		fleet.allocate(worker, entry);
+		residencyHistory.recordStart(entry, startedAtMs);
 	}
 
 	recordStartRefused(taskId: string, workerId: string): void {
 		const entry = this.#tasks.get(taskId);
 		if (entry?.worker?.spec.workerId === workerId) {
-			entry.isBlameless = true;
-			entry.worker.avoidUntilMs = this.#nowMs + avoidMs;
+			entry.isExcludedFromHealth = true;
+			entry.worker.avoidUntilMs = this.#nowMs + refusalAvoidMs;
 		}
 	}
 
@@ -157,113 +157,113 @@
 			return;
 		}
 
-		const {next} = entry;
+		const {nextAttempt} = entry;
 		if (entry.worker) {
-			this.#leaveWorker(entry, isSuccess, nowMs);
+			this.#recordRunEnd(entry, isSuccess, nowMs);
 		} else {
-			this.#leaveQueue(entry);
+			this.#removeFromQueue(entry);
 		}
 
-		this.#drop(entry);
+		this.#removeTask(entry);
 		if (isSuccess) {
-			this.#context.evictions.forget(taskId);
-		} else if (next) {
-			this.enqueue(next);
+			this.#context.evictionHistory.forget(taskId);
+		} else if (nextAttempt) {
+			this.enqueue(nextAttempt);
 		}
 	}
 
 	recordUsage(taskId: string, usage: TaskUsage): void {
 		const entry = this.#tasks.get(taskId);
-		learnHarm(this.#context, {taskId, entry, usage});
+		observeInterference(this.#context, {taskId, entry, usage});
 		if (entry?.worker && usage.measuredAtMs >= entry.startedAtMs) {
-			noteRunningUsage(this.#context, entry, usage);
+			recordRunningUsage(this.#context, entry, usage);
 		}
 	}
 
 	decide(nowMs: number, maxDecisions: number): Decision[] {
 		this.#nowMs = nowMs;
 		const context = this.#context;
-		for (const worker of context.health.release(nowMs)) {
+		for (const worker of context.health.releaseHeld(nowMs)) {
 			context.fleet.freedVersion++;
 			context.fleet.refresh(worker);
 		}
 
-		context.model.fade(nowMs);
-		const round = new Round(context, nowMs, maxDecisions);
-		this.#tellUnplaceable(round);
-		context.reservations.giveUp(nowMs);
-		const noteStarted = round.noteStarted.bind(round);
-		context.reservations.startReady(false, noteStarted);
-		runUrgentPass(round);
-		context.reservations.startReady(true, noteStarted);
-		runFairPass(round);
-		runReturnPass(round);
-		runReservePass(round);
+		context.interferenceModel.decay(nowMs);
+		const cycle = new PlacementCycle(context, nowMs, maxDecisions);
+		this.#reportUnplaceable(cycle);
+		context.reservations.releaseExpired(nowMs);
+		const recordStart = cycle.recordStart.bind(cycle);
+		context.reservations.startReady(false, recordStart);
+		runUrgentPass(cycle);
+		context.reservations.startReady(true, recordStart);
+		runFairSharePass(cycle);
+		runQuotaReturnPass(cycle);
+		runReservationPass(cycle);
 		if (context.settings.isHarmAware) {
-			runHarmPass(round);
+			runInterferencePass(cycle);
 		}
 
-		return round.decisions;
+		return cycle.decisions;
 	}
 
-	#openJob(task: PendingTask): JobEntry {
+	#getOrCreateJob(task: PendingTask): JobEntry {
 		const {spec, queuedAtMs, region} = task;
 		let job = this.#jobs.get(spec.jobId);
 		if (!job) {
-			job = createJob(task, this.#kinds.get(spec.kind), this.#order++);
+			job = createJobEntry(task, this.#kinds.getId(spec.kind), this.#nextSequence++);
 			job.need = getNeed(this.#context, job);
-			job.needAtMs = queuedAtMs;
-			job.isFinal = this.#noteIfFinal(spec.jobId);
+			job.needComputedAtMs = queuedAtMs;
+			job.isFailingEverywhere = this.#recordIfFailingEverywhere(spec.jobId);
 			this.#jobs.set(spec.jobId, job);
 		}
 
 		if (job.region !== region) {
 			job.region = region;
 			job.shapeKey = getShapeKey(job);
-			job.checkedAtFleet = -1;
+			job.checkedFleetVersion = -1;
 		}
 
 		return job;
 	}
 
 	#createUnknownWorker(workerId: string) {
-		this.#context.fleet.set({
-			workerId, region: '', failureDomain: '', rack: '', capacity: createNone(), isSchedulable: false,
+		this.#context.fleet.setWorker({
+			workerId, region: '', failureDomain: '', rack: '', capacity: createNoResources(), isSchedulable: false,
 		});
 		return this.#context.fleet.get(workerId)!;
 	}
 
-	#leaveQueue(entry: TaskEntry): void {
-		if (entry.phase === TaskPhase.Claiming) {
-			this.#context.reservations.cancel(entry);
+	#removeFromQueue(entry: TaskEntry): void {
+		if (entry.phase === TaskPhase.Reserved) {
+			this.#context.reservations.cancelTask(entry);
 		}
 
 		if (entry.phase === TaskPhase.Waiting) {
-			entry.phase = TaskPhase.Gone;
+			entry.phase = TaskPhase.Inactive;
 			this.#context.queue.remove(entry);
 		}
 	}
 
-	#leaveWorker(entry: TaskEntry, isSuccess: boolean, nowMs: number): void {
-		const {fleet, history, health, sizes, quotas} = this.#context;
-		const {job: {spec, kindId}, phase, isBlameless} = entry;
+	#recordRunEnd(entry: TaskEntry, isSuccess: boolean, nowMs: number): void {
+		const {fleet, residencyHistory, health, sizes, quotas} = this.#context;
+		const {job: {spec, kindId}, phase, isExcludedFromHealth} = entry;
 		const worker = entry.worker!;
-		history.end(entry, nowMs);
+		residencyHistory.recordEnd(entry, nowMs);
 		fleet.release(entry);
 		if (phase === TaskPhase.Evicting) {
-			quotas.changeLeaving(spec.team, entry.reserved, -1);
+			quotas.changeEvicting(spec.team, entry.reserved, -1);
 			return;
 		}
 
-		if (isBlameless) {
+		if (isExcludedFromHealth) {
 			return;
 		}
 
 		if (isSuccess) {
-			sizes.noteRunTime(kindId, spec.declaredRunTimeMs, nowMs - entry.startedAtMs);
+			sizes.observeRunTime(kindId, spec.declaredRunTimeMs, nowMs - entry.startedAtMs);
 		}
 
-		const hasChanged = health.note({
+		const hasChanged = health.recordEnd({
 			jobId: spec.jobId, worker, isSuccess, nowMs, fleetSize: fleet.size,
 		});
 		if (hasChanged) {
@@ -271,72 +271,72 @@
 			fleet.refresh(worker);
 		}
 
-		if (!isSuccess && !entry.job.isFinal) {
-			entry.job.isFinal = this.#noteIfFinal(spec.jobId);
+		if (!isSuccess && !entry.job.isFailingEverywhere) {
+			entry.job.isFailingEverywhere = this.#recordIfFailingEverywhere(spec.jobId);
 		}
 	}
 
-	#noteIfFinal(jobId: string): boolean {
+	#recordIfFailingEverywhere(jobId: string): boolean {
 		const reason = this.#context.health.describeFailure(jobId, this.#context.fleet.size);
 		if (reason !== undefined) {
-			this.#finals.set(jobId, reason);
+			this.#failingEverywhere.set(jobId, reason);
 		}
 
 		return reason !== undefined;
 	}
 
-	#drop(entry: TaskEntry): void {
+	#removeTask(entry: TaskEntry): void {
 		const {job} = entry;
-		entry.phase = TaskPhase.Gone;
+		entry.phase = TaskPhase.Inactive;
 		this.#tasks.delete(entry.task.taskId);
-		this.#context.harmed.delete(entry);
-		this.#context.throttled.delete(entry);
+		this.#context.slowedTasks.delete(entry);
+		this.#context.throttledTasks.delete(entry);
 		if (job.waitingCount === 0 && job.placedCount === 0 && !this.#context.reservations.has(job)) {
 			this.#jobs.delete(job.spec.jobId);
-			this.#toCheck.delete(job);
+			this.#jobsToCheck.delete(job);
 		} else if (job.missing !== undefined) {
-			// What is left of a gang may fit.
-			job.checkedAtFleet = -1;
-			this.#toCheck.add(job);
+			// The remaining tasks of a gang may fit.
+			job.checkedFleetVersion = -1;
+			this.#jobsToCheck.add(job);
 		}
 	}
 
-	#tellUnplaceable(round: Round): void {
+	#reportUnplaceable(cycle: PlacementCycle): void {
 		const {fleet, queue} = this.#context;
-		for (const [jobId, reason] of this.#finals) {
-			round.decisions.push({
+		for (const [jobId, reason] of this.#failingEverywhere) {
+			cycle.decisions.push({
 				type: DecisionType.Unplaceable, jobId, missing: reason, isFinal: true,
 			});
 		}
 
-		this.#finals.clear();
-		if (this.#checkedFleet !== fleet.version) {
-			this.#checkedFleet = fleet.version;
+		this.#failingEverywhere.clear();
+		if (this.#checkedFleetVersion !== fleet.version) {
+			this.#checkedFleetVersion = fleet.version;
 			for (const jobs of [queue.urgent, ...queue.teams.values()]) {
 				for (const job of jobs) {
-					this.#toCheck.add(job);
+					this.#jobsToCheck.add(job);
 				}
 			}
 		}
 
-		for (const job of this.#toCheck) {
-			this.#check(job, round);
+		for (const job of this.#jobsToCheck) {
+			this.#checkPlaceable(job, cycle);
 		}
 
-		this.#toCheck.clear();
+		this.#jobsToCheck.clear();
 	}
 
-	#check(job: JobEntry, round: Round): void {
+	#checkPlaceable(job: JobEntry, cycle: PlacementCycle): void {
 		const {fleet} = this.#context;
-		if (job.checkedAtFleet === fleet.version || job.waitingCount === 0) {
+		if (job.checkedFleetVersion === fleet.version || job.waitingCount === 0) {
 			return;
 		}
 
-		job.checkedAtFleet = fleet.version;
+		job.checkedFleetVersion = fleet.version;
 		const taskCount = job.spec.isGang ? job.waitingCount + job.placedCount : 1;
 		const missing = fleet.describeMissing(job.spec.resources, taskCount, job.region);
 		if (missing !== undefined && missing !== job.missing) {
-			round.decisions.push({
+			cycle.decisions.push({
 				type: DecisionType.Unplaceable, jobId: job.spec.jobId, missing, isFinal: false,
 			});
 		}
--- a/src/jobs/placement-entries.ts
+++ b/src/jobs/placement-entries.ts
@@ -1,11 +1,11 @@
 /**
-Creates what the engine keeps for jobs and tasks.
+Creates the engine's state of jobs and tasks.
 */
 import {type PendingTask} from '../types/placement.ts';
 import {TaskPhase, type JobEntry, type TaskEntry} from './placement-state.ts';
 
-/** Creates a job of which nothing waits yet. */
-export const createJob = ({spec, region, queuedAtMs}: PendingTask, kindId: number, order: number): JobEntry => {
+/** Creates a job without waiting tasks. */
+export const createJobEntry = ({spec, region, queuedAtMs}: PendingTask, kindId: number, order: number): JobEntry => {
 	const job: JobEntry = {
 		spec,
 		kindId,
@@ -16,37 +16,37 @@
 		waitingCount: 0,
 		placedCount: 0,
 		queuedAtMs,
-		order,
+		sequence: order,
 		need: spec.resources,
-		needAtMs: queuedAtMs,
-		deferredAtMs: Number.POSITIVE_INFINITY,
+		needComputedAtMs: queuedAtMs,
+		firstDeferredAtMs: Number.POSITIVE_INFINITY,
 		retryAtMs: 0,
-		reserveAtMs: 0,
+		nextReservationAtMs: 0,
 		spread: undefined,
-		checkedAtFleet: -1,
+		checkedFleetVersion: -1,
 		missing: undefined,
-		isFinal: false,
+		isFailingEverywhere: false,
 	};
 	job.shapeKey = getShapeKey(job);
 	return job;
 };
 
-/** Key that is equal for jobs which the same search answers alike. */
+/** Key that is equal for jobs whose search for a worker has the same result. */
 export const getShapeKey = ({spec: {resources, taskClass, kind}, region = ''}: JobEntry): string =>
 	`${resources.processors}/${resources.memoryMb}/${resources.accelerators}/${taskClass}/${region}/${kind}`;
 
-/** Creates a task that neither waits nor holds room yet. */
-export const createEntry = (task: PendingTask, job: JobEntry): TaskEntry => ({
+/** Creates a task that neither waits nor holds capacity. */
+export const createTaskEntry = (task: PendingTask, job: JobEntry): TaskEntry => ({
 	task,
 	job,
-	phase: TaskPhase.Gone,
+	phase: TaskPhase.Inactive,
 	worker: undefined,
 	reserved: job.need,
 	startedAtMs: 0,
-	isBlameless: false,
-	next: undefined,
+	isExcludedFromHealth: false,
+	nextAttempt: undefined,
 	slowdown: 1,
-	usedProcessors: -1,
+	measuredProcessors: -1,
 	throttleShare: 1,
 	throttledAtMs: 0,
 	residency: undefined,
--- a/src/jobs/recovery.ts
+++ b/src/jobs/recovery.ts
@@ -1,5 +1,6 @@
 /**
-What a new owner does before it starts anything: seals the workers, learns what runs, waits out what it cannot reach.
+Recovery by a new owner before it starts tasks: it seals the workers, reads what they run, and waits until leases on unreachable
+workers have expired.
 */
 import {getMessage} from '../core/errors.ts';
 import {type Clock} from '../types/clock.ts';
@@ -7,32 +8,32 @@
 import {type Random} from '../types/random.ts';
 import {createLogger, LogNamespace} from '../utils/logger.ts';
 import {type JobFold} from './job-fold.ts';
-import {type JobLimiter} from './job-limiter.ts';
+import {type CallLimiter} from './call-limiter.ts';
 import {JobEntryType} from './job-records.ts';
 import {type JobWriter} from './job-writer.ts';
-import {type LeaseKeeper} from './lease-keeper.ts';
+import {type LeaseManager} from './lease-manager.ts';
 import {isMajority} from './lease-proof.ts';
 import {type ShardOwner} from './shard-owner.ts';
 import {TaskPhase} from './shard-task.ts';
 
 const log = createLogger(LogNamespace.Ownership);
 
-/** What a recovery needs. */
+/** Options of `recoverShard`. */
 export type RecoveryOptions = {
 	clock: Clock;
 	random: Random;
 	metrics: Metrics;
-	limiter: JobLimiter;
-	/** Longest time for which an earlier owner may keep tasks running at workers that this owner has not reached. */
+	limiter: CallLimiter;
+	/** Longest time for which an earlier owner may keep tasks running on workers that this owner has not reached. */
 	waitMs: number;
 	retryMs: number;
-	/** Workers of the fleet as known now. */
-	getKeepers(): LeaseKeeper[];
-	/** Tells whether this process has known the fleet for so long that no worker with a running lease can be unknown to it. */
+	/** Lease managers of the workers known now. */
+	getLeaseManagers(): LeaseManager[];
+	/** Tells whether this process has run long enough that every worker with an unexpired lease is known to it. */
 	isFleetKnown(): boolean;
 };
 
-/** What sealing the stream needs. */
+/** Options of `sealStream`. */
 export type StreamSealOptions = {
 	clock: Clock;
 	fold: JobFold;
@@ -40,7 +41,7 @@
 	pollMs: number;
 };
 
-/** Has the jobs stream refuse earlier owners, and reads up to that place; false when a newer owner came first. */
+/** Fences earlier owners in the jobs stream and reads up to the seal; false if a newer owner came first or this one was closed. */
 export const sealStream = async (owner: ShardOwner, {clock, fold, writer, pollMs}: StreamSealOptions): Promise<boolean> => {
 	const {shard, fencingToken} = owner;
 	await writer.write({type: JobEntryType.Seal, shard, fencingToken}, () => !owner.isClosed);
@@ -51,29 +52,29 @@
 	return !owner.isClosed && fold.getToken(shard) === fencingToken;
 };
 
-/** Recovers a shard; resolves once every worker of the fleet has been sealed, or the owner is closed. */
+/** Recovers a shard; resolves once held tasks are released and every known worker has been sealed, or the owner is closed. */
 export const recoverShard = async (owner: ShardOwner, options: RecoveryOptions): Promise<void> => {
 	const {clock, random, metrics, retryMs, waitMs} = options;
 	const startedAtMs = clock.monotonicMs();
-	const sealed = new Set<LeaseKeeper>();
+	const sealed = new Set<LeaseManager>();
 	let quorumAtMs: number | undefined;
 	let isReleased = false;
 	while (!owner.isClosed) {
-		const keepers = options.getKeepers();
-		await sealAll(owner, keepers.filter(keeper => !sealed.has(keeper)), sealed, options);
-		const reached = keepers.filter(keeper => sealed.has(keeper)).length;
-		if (isMajority(reached, keepers.length)) {
+		const leaseManagers = options.getLeaseManagers();
+		await sealAll(owner, leaseManagers.filter(leaseManager => !sealed.has(leaseManager)), sealed, options);
+		const reached = leaseManagers.filter(leaseManager => sealed.has(leaseManager)).length;
+		if (isMajority(reached, leaseManagers.length)) {
 			quorumAtMs ??= clock.monotonicMs();
 		}
 
-		const isAllReached = reached === keepers.length;
-		// Counted from the majority: from then on an owner without the log can prove itself to no majority and renews nothing.
+		const isAllReached = reached === leaseManagers.length;
+		// Counted from the majority: from then on an earlier owner without the log can obtain no proof from a majority, and renews no leases.
 		const isWaitedOut = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;
 		if (!isReleased && ((isAllReached && options.isFleetKnown()) || isWaitedOut)) {
 			isReleased = true;
 			releaseHeld(owner);
 			metrics.timing(Metric.RecoveryMs, clock.monotonicMs() - startedAtMs);
-			log('Shard %d recovered from %d of %d workers.', owner.shard, reached, keepers.length);
+			log('Shard %d recovered with %d of %d workers sealed.', owner.shard, reached, leaseManagers.length);
 		}
 
 		if (isReleased && isAllReached) {
@@ -84,17 +85,17 @@
 	}
 };
 
-const sealAll = async (owner: ShardOwner, keepers: LeaseKeeper[], sealed: Set<LeaseKeeper>, options: RecoveryOptions): Promise<void> => {
-	await Promise.all(keepers.map(async keeper => {
+const sealAll = async (owner: ShardOwner, leaseManagers: LeaseManager[], sealed: Set<LeaseManager>, options: RecoveryOptions): Promise<void> => {
+	await Promise.all(leaseManagers.map(async leaseManager => {
 		try {
-			// Limited: a fleet is not sealed in one instant, and several shards taken over at once share the limit.
-			await options.limiter.run(async () => owner.isClosed ? undefined : keeper.seal(owner.shard, owner.fencingToken));
+			// The limiter keeps the fleet from being sealed all at once; shards acquired at the same time share its limit.
+			await options.limiter.run(async () => owner.isClosed ? undefined : leaseManager.seal(owner.shard, owner.fencingToken));
 			if (!owner.isClosed) {
-				owner.onSealed(keeper.workerId, keeper.incarnation!);
-				sealed.add(keeper);
+				owner.onSealed(leaseManager.workerId, leaseManager.incarnation!);
+				sealed.add(leaseManager);
 			}
 		} catch (error) {
-			log('Worker %s not sealed for shard %d: %s', keeper.workerId, owner.shard, getMessage(error));
+			log('Cannot seal worker %s for shard %d: %s', leaseManager.workerId, owner.shard, getMessage(error));
 		}
 	}));
 };
--- a/src/measure/day-report.ts
+++ b/src/measure/day-report.ts
@@ -1,7 +1,7 @@
 /**
-Prints the story of a day.
+Formats the job timelines of a day as text.
 */
-import {type DayStory, type JobStory} from './day-story.ts';
+import {type DayTimeline, type JobTimeline} from './day-timeline.ts';
 import {type MeasureRow} from './measure-types.ts';
 import {formatTable} from './table.ts';
 
@@ -18,9 +18,9 @@
 	return values.length === 0 ? 0 : sum / values.length;
 };
 
-const isInTime = ({tookMs, allowedMs}: JobStory): boolean => tookMs !== undefined && tookMs <= allowedMs!;
+const isInTime = ({tookMs, allowedMs}: JobTimeline): boolean => tookMs !== undefined && tookMs <= allowedMs!;
 
-const getWasted = (jobs: JobStory[]): string => {
+const formatWasted = (jobs: JobTimeline[]): string => {
 	const sums = new Map<string, number>();
 	for (const {wastedMs} of jobs) {
 		for (const [end, ms] of wastedMs) {
@@ -31,7 +31,7 @@
 	return [...sums].toSorted((a, b) => b[1] - a[1]).map(([end, ms]) => `${end} ${Math.round(ms / secondMs)} s`).join(', ') || 'none';
 };
 
-const createQueueRow = (queue: string, jobs: JobStory[]): MeasureRow => {
+const createQueueRow = (queue: string, jobs: JobTimeline[]): MeasureRow => {
 	const ended = jobs.filter(({end}) => end === 'completed');
 	return {
 		labels: {queue},
@@ -41,14 +41,14 @@
 			late: ended.filter(job => !isInTime(job)).length,
 			open: jobs.filter(({end}) => end === undefined).length,
 			acceptMs: mean(jobs.map(({acceptedAfterMs}) => acceptedAfterMs)),
-			firstStartMs: mean(jobs.flatMap(({firstStartAtMs, takenAtMs}) => firstStartAtMs === undefined ? [] : [firstStartAtMs - takenAtMs])),
+			firstStartMs: mean(jobs.flatMap(({firstStartAtMs, acceptedAtMs}) => firstStartAtMs === undefined ? [] : [firstStartAtMs - acceptedAtMs])),
 			taskWaitMs: mean(jobs.map(({waitedMs, starts}) => waitedMs / Math.max(1, starts))),
 			taskRunMs: mean(ended.map(({ranMs, starts}) => ranMs / Math.max(1, starts))),
 		},
 	};
 };
 
-const createWaitRows = ({waits}: DayStory): MeasureRow[] => {
+const createWaitRows = ({waits}: DayTimeline): MeasureRow[] => {
 	const startMs = waits[0]?.atMs ?? 0;
 	const buckets = groupBy(waits, ({atMs}) => Math.floor((atMs - startMs) / bucketMs));
 	return [...buckets].map(([index, rows]) => {
@@ -72,8 +72,8 @@
 	return groups;
 };
 
-/** Formats a day: by queue, by time, and the jobs that were latest, in full. */
-export const formatDay = (day: DayStory): string[] => {
+/** Formats a day: tables by queue and by time, then all events of the jobs that were latest in relation to the time allowed. */
+export const formatDayTimeline = (day: DayTimeline): string[] => {
 	const queues = groupBy([...day.jobs.values()], ({queue}) => queue);
 	const rows = [...queues].map(([queue, jobs]) => createQueueRow(queue, jobs));
 	const worst = [...day.jobs.values()]
@@ -83,7 +83,7 @@
 	return [
 		...formatTable(rows),
 		'',
-		...[...queues].map(([queue, jobs]) => `${queue}: runs that ended in no success: ${getWasted(jobs)}`),
+		...[...queues].map(([queue, jobs]) => `${queue}: runs that ended in no success: ${formatWasted(jobs)}`),
 		`answers: ${[...day.answers].map(([key, count]) => `${key}: ${count}`).join('; ')}`,
 		'',
 		...formatTable(createWaitRows(day)),
--- a/src/measure/jobs-measurement.ts
+++ b/src/measure/jobs-measurement.ts
@@ -1,17 +1,17 @@
 /**
-Measures placement policies for both users, then the rate and the state of ours at several fleet sizes.
+Measures placement policies for both users, then the decision rate and the memory of the product's placement at several fleet sizes.
 */
-import {awareName, blindName, measuredPolicies} from './jobs-policies.ts';
+import {interferenceAwareName, interferenceBlindName, measuredPolicies} from './jobs-policies.ts';
 import {runJobs, type JobsResult} from './jobs-run.ts';
 import {measureScale, type ScaleResult} from './jobs-scale.ts';
 import {createUsers, type MeasuredUser} from './jobs-users.ts';
 import {type MeasureOptions, type MeasureReport, type MeasureRow} from './measure-types.ts';
 
-/** What to measure besides the usual options. */
+/** Options of the measurement. */
 export type JobsMeasureOptions = MeasureOptions & {
-	/** Runs with seeds of their own that make up one row. */
+	/** Runs for one row, each with its own seed. */
 	repeats: number;
-	/** Numbers of workers at which rate and state are measured. */
+	/** Numbers of workers at which decision rate and memory are measured. */
 	fleetSizes: number[];
 };
 
@@ -73,9 +73,9 @@
 
 const describeWins = ({name, weights}: MeasuredUser, runs: JobsResult[]): string => {
 	const getCosts = (policy: string) => runs.filter(run => run.policy === policy).map(({cost}) => cost);
-	const blind = getCosts(blindName);
-	const wins = getCosts(awareName).filter((cost, index) => cost < blind[index]!).length;
-	const slowest = Math.max(...runs.filter(({policy}) => policy === awareName).map(({urgentStartP99Ms}) => urgentStartP99Ms));
-	return `${name} (weights: tail ${weights.tail}, batch ${weights.batch}, evictions ${weights.evictions}): ${awareName} costs less than ${blindName} on `
+	const blind = getCosts(interferenceBlindName);
+	const wins = getCosts(interferenceAwareName).filter((cost, index) => cost < blind[index]!).length;
+	const slowest = Math.max(...runs.filter(({policy}) => policy === interferenceAwareName).map(({urgentStartP99Ms}) => urgentStartP99Ms));
+	return `${name} (weights: tail ${weights.tail}, batch ${weights.batch}, evictions ${weights.evictions}): ${interferenceAwareName} costs less than ${interferenceBlindName} on `
 		+ `${wins} of ${blind.length} seeds; urgent work starts within ${slowest} ms at the 99th percentile of the worst seed.`;
 };
--- a/src/measure/jobs-users.ts
+++ b/src/measure/jobs-users.ts
@@ -6,15 +6,15 @@
 import {TaskClass} from '../types/jobs.ts';
 import {type PlacementWorker} from '../types/placement.ts';
 
-/** How the results of a run are weighed into one figure. */
+/** Weights of the results in the cost of a run. */
 export type ResultWeights = {
 	tail: number;
 	batch: number;
 	evictions: number;
 };
 
-/** A kind of task as it really is. */
-export type TrueKind = {
+/** A kind of task with its true properties. */
+export type SimulatedTaskKind = {
 	name: string;
 	taskClass: TaskClass;
 	processors: number;
@@ -23,18 +23,18 @@
 	/** Declared size over true size, and declared run time over true run time. */
 	declaredRatio: number;
 	declaredTimeRatio: number;
-	/** Mean harm to a neighbour on a full host. */
-	noise: number;
+	/** Mean slowdown that a task of this kind causes to another task on a full host. */
+	interference: number;
 	replicas: number;
 	isCheckpointable: boolean;
 };
 
-/** One user as measured. */
+/** One user in the measurement. */
 export type MeasuredUser = {
 	name: string;
 	weights: ResultWeights;
 	placement: Settings['placement'];
-	kinds: TrueKind[];
+	kinds: SimulatedTaskKind[];
 	workers: PlacementWorker[];
 };
 
@@ -64,7 +64,7 @@
 	};
 });
 
-const createService = (name: string, processors: number, replicas: number): TrueKind => ({
+const createService = (name: string, processors: number, replicas: number): SimulatedTaskKind => ({
 	name,
 	taskClass: TaskClass.LatencyCritical,
 	processors,
@@ -72,12 +72,12 @@
 	runTimeMs: Number.POSITIVE_INFINITY,
 	declaredRatio: 1.2,
 	declaredTimeRatio: 1,
-	noise: 0.02,
+	interference: 0.02,
 	replicas,
 	isCheckpointable: false,
 });
 
-const createBatch = (name: string, changes: Partial<TrueKind>): TrueKind => ({
+const createBatch = (name: string, changes: Partial<SimulatedTaskKind>): SimulatedTaskKind => ({
 	name,
 	taskClass: TaskClass.Batch,
 	processors: 2,
@@ -85,29 +85,29 @@
 	runTimeMs: 60_000,
 	declaredRatio: 1,
 	declaredTimeRatio: 1,
-	noise: 0.02,
+	interference: 0.02,
 	replicas: 0,
 	isCheckpointable: true,
 	...changes,
 });
 
-// Quiet and noisy kinds, small and large, declared too large, too small and too long.
-const batchKinds = (names: [string, string, string, string, string, string]): TrueKind[] => [
+// Kinds with little and with much interference, small and large, some with sizes declared too large or too small, or run times declared too short or too long.
+const batchKinds = (names: [string, string, string, string, string, string]): SimulatedTaskKind[] => [
 	createBatch(names[0], {declaredRatio: 1.5}),
 	createBatch(names[1], {processors: 3, runTimeMs: 90_000, declaredTimeRatio: 0.4}),
 	createBatch(names[2], {
 		processors: 1, memoryMb: 6144, runTimeMs: 40_000, declaredRatio: 0.8, isCheckpointable: false,
 	}),
-	createBatch(names[3], {processors: 2, runTimeMs: 50_000, noise: 0.12}),
+	createBatch(names[3], {processors: 2, runTimeMs: 50_000, interference: 0.12}),
 	createBatch(names[4], {
-		processors: 4, memoryMb: 8192, runTimeMs: 120_000, noise: 0.2, declaredTimeRatio: 3,
+		processors: 4, memoryMb: 8192, runTimeMs: 120_000, interference: 0.2, declaredTimeRatio: 3,
 	}),
 	createBatch(names[5], {
-		processors: 2, runTimeMs: 70_000, noise: 0.3, isCheckpointable: false,
+		processors: 2, runTimeMs: 70_000, interference: 0.3, isCheckpointable: false,
 	}),
 ];
 
-/** Both users of today. */
+/** Both current users. */
 export const createUsers = (): MeasuredUser[] => [
 	{
 		name: 'clydeside',
--- a/src/measure/requests-policies.ts
+++ b/src/measure/requests-policies.ts
@@ -1,8 +1,8 @@
 /**
-Ways of serving requests that are measured against each other.
+Policies for serving requests that are compared with each other.
 */
 import {
-	createLeastInFlightChooser, createPreviousChooser, createRandomChooser, createRoundRobinChooser,
+	createLeastInFlightChooser, createFirstLeastInFlightChooser, createRandomChooser, createRoundRobinChooser,
 } from '../requests/choice-baselines.ts';
 import {createChooser, type ChooserOptions} from '../requests/choice.ts';
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
@@ -11,27 +11,27 @@
 import {type Site} from './requests-sites.ts';
 import {solveSplit} from './requests-split.ts';
 
-/** What a way may know of the run beside what an entry learns. */
-export type Surroundings = {
+/** What a policy may know about the run besides what an entry learns. */
+export type PolicyContext = {
 	site: Site;
 	condition: Condition;
 	getRoutable: () => readonly UpstreamAnnouncement[];
 };
 
-/** One way. */
+/** One policy. */
 export type Policy = {
 	name: string;
 	isHedging?: boolean;
 	isLimiting?: boolean;
-	/** A try of a check is given up after so long; without, at its deadline. */
-	tryTimeoutMs?: number;
-	/** Only measured when it is asked for. */
+	/** An attempt of a check times out after this long; undefined: at its deadline. */
+	attemptTimeoutMs?: number;
+	/** Measured only if it is selected by name. */
 	isVariant?: boolean;
-	createChooser(options: ChooserOptions, surroundings: Surroundings): Chooser;
+	createChooser(options: ChooserOptions, policyContext: PolicyContext): Chooser;
 };
 
-/** The product's chooser with weights solved anew whenever the upstreams change. */
-const createSplitChooser = (options: ChooserOptions, {site, condition, getRoutable}: Surroundings): Chooser => {
+/** The product's chooser with failure domain weights that are solved again whenever the upstreams change. */
+const createSplitChooser = (options: ChooserOptions, {site, condition, getRoutable}: PolicyContext): Chooser => {
 	const {failureDomain} = options;
 	let solvedFor: readonly UpstreamAnnouncement[] | undefined;
 	let split: ReturnType<typeof solveSplit> | undefined;
@@ -51,22 +51,22 @@
 	});
 };
 
-/** Name of the product's own way. */
+/** Name of the product's own policy. */
 export const ownPolicy = 'chervilworks';
 
-/** All ways. */
+/** All policies. */
 export const policies: Policy[] = [
 	{name: ownPolicy, createChooser},
 	{name: 'round-robin', createChooser: () => createRoundRobinChooser()},
 	{name: 'random', createChooser: ({random}) => createRandomChooser(random)},
 	{name: 'least-in-flight', createChooser: ({random}) => createLeastInFlightChooser(random)},
-	{name: 'previous-version', createChooser: () => createPreviousChooser()},
+	{name: 'previous-version', createChooser: () => createFirstLeastInFlightChooser()},
 	{
 		name: 'with-hedging', createChooser, isHedging: true, isVariant: true,
 	},
-	{name: 'with-optimal-split', createChooser: (options, surroundings) => createSplitChooser(options, surroundings), isVariant: true},
+	{name: 'with-optimal-split', createChooser: (options, policyContext) => createSplitChooser(options, policyContext), isVariant: true},
 	{
-		name: 'with-try-timeout', createChooser, tryTimeoutMs: 400, isVariant: true,
+		name: 'with-try-timeout', createChooser, attemptTimeoutMs: 400, isVariant: true,
 	},
 	{
 		name: 'with-limits', createChooser, isLimiting: true, isVariant: true,
--- a/src/measure/requests-run.ts
+++ b/src/measure/requests-run.ts
@@ -4,32 +4,32 @@
 import {settingsSchema} from '../core/settings-schema.ts';
 import {Admission, type AdmissionLimits} from '../requests/admission.ts';
 import {HedgePolicy} from '../requests/hedge.ts';
-import {LimitBook} from '../requests/limit.ts';
+import {ConcurrencyLimitRegistry} from '../requests/limit.ts';
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 import {RequestClass} from '../types/requests.ts';
 import {ManualClock} from '../utils/manual-clock.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 import {type Condition} from './requests-conditions.ts';
 import {MeasuredEntry} from './requests-entry.ts';
-import {HostFakes} from './requests-hosts.ts';
+import {SimulatedHosts} from './requests-hosts.ts';
 import {type Policy} from './requests-policies.ts';
 import {type Recorder} from './requests-recorder.ts';
 import {
 	classLoads, createUpstreams, drawRunMs, getCapacityPerS, getSlotShare, type Site,
 } from './requests-sites.ts';
 
-/** What is run. */
+/** Options of one run. */
 export type RunOptions = {
 	site: Site;
 	condition: Condition;
 	policy: Policy;
 	seed: number;
 	seconds: number;
-	/** Takes the ends of requests; several runs may share one. */
+	/** Records how requests end; several runs may share one. */
 	recorder: Recorder;
 };
 
-/** What a run gave. */
+/** Result of one run. */
 export type RunResult = {
 	/** Digest of every choice in order. */
 	choiceDigest: number;
@@ -38,9 +38,9 @@
 };
 
 const warmUpMs = 2000;
-/** Lost upstreams leave the membership after so long. */
+/** Lost upstreams leave the membership after this time. */
 const leaseMs = 3000;
-/** Time for what was accepted to end. */
+/** Time for accepted requests to end. */
 const drainMs = 90_000;
 /** Streams of random numbers of one seed. */
 const streams = {
@@ -51,13 +51,13 @@
 const admissionLimits: AdmissionLimits = {queueLimit: queueLimit.defaultValue, longShare: longShare.defaultValue, waitShare: waitShare.defaultValue};
 const callerCount = 20;
 
-/** Runs once. */
+/** Simulates one run. */
 export const runRequests = (options: RunOptions): RunResult => {
 	const {site, condition, seed, seconds} = options;
-	// From 0 on, so that fractions of a millisecond keep their precision.
+	// The time starts at 0, so that fractions of a millisecond keep their precision.
 	const clock = new ManualClock(0);
 	const endMs = warmUpMs + (seconds * 1000);
-	const hosts = new HostFakes(site, condition, createStream(seed, streams.hosts), endMs);
+	const hosts = new SimulatedHosts(site, condition, createStream(seed, streams.hosts), endMs);
 	const upstreams = createUpstreams(site);
 	let routable: readonly UpstreamAnnouncement[] = upstreams;
 	const run: RunState = {
@@ -81,7 +81,7 @@
 
 type RunState = RunOptions & RunResult & {
 	clock: ManualClock;
-	hosts: HostFakes;
+	hosts: SimulatedHosts;
 	endMs: number;
 	getRoutable: () => readonly UpstreamAnnouncement[];
 	indexes: ReadonlyMap<string, number>;
@@ -96,7 +96,7 @@
 		clock,
 		random: createStream(seed, streams.choice + index),
 		failureDomain: site.failureDomains[index % site.failureDomains.length]!,
-		deliver: measurementDelayMs === undefined
+		deliverResult: measurementDelayMs === undefined
 			? undefined
 			: record => {
 				clock.setTimer(record, measurementDelayMs);
@@ -123,8 +123,8 @@
 		}),
 		getRoutable,
 		getSlotShare: upstreamIndex => getSlotShare(site, upstreamIndex, index),
-		tryTimeoutMs: policy.tryTimeoutMs,
-		limits: policy.isLimiting ? new LimitBook() : undefined,
+		attemptTimeoutMs: policy.attemptTimeoutMs,
+		limits: policy.isLimiting ? new ConcurrencyLimitRegistry() : undefined,
 		hedges: policy.isHedging ? new HedgePolicy() : undefined,
 	});
 };
@@ -133,7 +133,7 @@
 	choose: chooser.choose.bind(chooser), recordStart: chooser.recordStart.bind(chooser), recordEnd: chooser.recordEnd.bind(chooser),
 });
 
-/** Offers requests until the end, as a Poisson process that no policy influences. */
+/** Offers requests until the end, as a Poisson process that does not depend on the policy. */
 const offer = (run: RunState, entries: MeasuredEntry[]): void => {
 	const {site, condition, seed, clock, recorder, endMs} = run;
 	const random = createStream(seed, streams.offer);
@@ -144,7 +144,7 @@
 		const isCounted = nowMs >= warmUpMs;
 		recorder.arrived[requestClass] += isCounted ? 1 : 0;
 		const sentAtMs = nowMs - site.clientMs;
-		entries[random.below(entries.length)]!.take({
+		entries[random.below(entries.length)]!.submit({
 			requestClass,
 			callerId: `caller-${random.below(callerCount)}`,
 			idleMs: drawRunMs(classLoads[requestClass], random),
--- a/src/measure/requests-sites.ts
+++ b/src/measure/requests-sites.ts
@@ -1,5 +1,5 @@
 /**
-Sizes of today's installations, and the work that is offered to them.
+Sizes of the current installations, and the work that is offered to them.
 */
 import {HostState, type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type Random} from '../types/random.ts';
@@ -43,28 +43,28 @@
 	sigma: number;
 	deadlineMs: number;
 	/** Slowdown by each request of a class that runs on the same host. */
-	harmBy: Record<RequestClass, number>;
+	slowdownBy: Record<RequestClass, number>;
 };
 
-/** Work of both classes. Checks may be tried again; long requests may not. */
+/** Work of both classes. Checks may be retried; long requests may not. */
 export const classLoads: Record<RequestClass, ClassLoad> = {
 	[RequestClass.Check]: {
-		share: 0.9, meanMs: 20, sigma: 0.6, deadlineMs: 1000, harmBy: {[RequestClass.Check]: 0.01, [RequestClass.Long]: 0.05},
+		share: 0.9, meanMs: 20, sigma: 0.6, deadlineMs: 1000, slowdownBy: {[RequestClass.Check]: 0.01, [RequestClass.Long]: 0.05},
 	},
 	[RequestClass.Long]: {
-		share: 0.1, meanMs: 400, sigma: 0.8, deadlineMs: 10_000, harmBy: {[RequestClass.Check]: 0.005, [RequestClass.Long]: 0.03},
+		share: 0.1, meanMs: 400, sigma: 0.8, deadlineMs: 10_000, slowdownBy: {[RequestClass.Check]: 0.005, [RequestClass.Long]: 0.03},
 	},
 };
 
-const getFullHostMs = ({meanMs, harmBy}: ClassLoad, slots: number, longShare: number): number =>
-	meanMs * (1 + ((slots - 1) * ((longShare * harmBy.long) + ((1 - longShare) * harmBy.check))));
+const getFullHostMs = ({meanMs, slowdownBy}: ClassLoad, slots: number, longShare: number): number =>
+	meanMs * (1 + ((slots - 1) * ((longShare * slowdownBy.long) + ((1 - longShare) * slowdownBy.check))));
 
-/** Requests a second that all slots together carry, with the harm that full hosts do to themselves. */
+/** Requests a second that all slots together carry, with the interference between requests on full hosts. */
 export const getCapacityPerS = ({upstreamCount, slots}: Site): number => {
 	const {check, long} = classLoads;
 	let longShare = 0.5;
 	let meanMs = 0;
-	// A few rounds settle which share of the slots long requests hold, as they harm checks more than checks harm them.
+	// Iterates until the share of the slots that long requests hold converges: they slow down checks more than checks slow them down.
 	for (let round = 0; round < 20; round++) {
 		const checkMs = check.share * getFullHostMs(check, slots, longShare);
 		const longMs = long.share * getFullHostMs(long, slots, longShare);
@@ -96,7 +96,7 @@
 	isGuarded: false,
 }));
 
-/** Slots of the upstream that the entry may use: divided evenly, the rest dealt out in turn. */
+/** Slots of the upstream that the entry may use: divided evenly, with the remainder assigned in turn. */
 export const getSlotShare = ({slots, entryCount}: Site, upstreamIndex: number, entryIndex: number): number => {
 	const isExtra = (entryIndex + upstreamIndex) % entryCount < slots % entryCount;
 	return Math.floor(slots / entryCount) + (isExtra ? 1 : 0);
--- a/src/measure/soak-world.ts
+++ b/src/measure/soak-context.ts
@@ -1,20 +1,20 @@
 /**
-The processes of a soak run, and what its tasks share.
+Starts the processes of a soak run and holds the state that its concurrent tasks share.
 */
 import {createLogClient, type LogClient} from '../plugins/log-client.ts';
-import {workerShape} from '../standin/hosts.ts';
+import {workerCapacity} from '../standin/hosts.ts';
 import {type Clock} from '../types/clock.ts';
 import {type Resources} from '../types/platform.ts';
 import {type Random} from '../types/random.ts';
 import {createRandom} from '../utils/seeded-random.ts';
 import {createSystemClock} from '../utils/system-clock.ts';
-import {noteHostEvent} from './host-watch.ts';
-import {PromiseChecker} from './promise-checker.ts';
+import {recordHostEvent} from './host-event-recorder.ts';
+import {GuaranteeChecker} from './guarantee-checker.ts';
 import {
 	findFreePorts, ProcessPool, Role, type SoakProcess,
 } from './soak-processes.ts';
 
-/** What a soak run does. */
+/** Options of a soak run. */
 export type SoakOptions = {
 	binary: string;
 	seed: number;
@@ -22,40 +22,40 @@
 	entryCount: number;
 	hostsPerUser: number;
 	ratePerSecond: number;
-	/** Pause between two faults; none without. */
+	/** Mean interval between two faults; no faults if undefined. */
 	faultEveryMs?: number;
 	report(line: string): void;
 };
 
-/** An entry and where it listens. */
+/** An entry and the addresses where it listens. */
 export type EntryAddresses = {
 	entry: SoakProcess;
 	caller: string;
 	control: string;
-	/** As the balancer sees it. */
+	/** Result of the latest readiness check; true before the first one. */
 	isReady: boolean;
 };
 
-/** What the tasks of a run share. */
-export type World = {
+/** State shared by the concurrent tasks of a run. */
+export type SoakContext = {
 	options: SoakOptions;
 	clock: Clock;
 	random: Random;
-	checker: PromiseChecker;
+	checker: GuaranteeChecker;
 	pool: ProcessPool;
 	log: LogClient;
 	logUrl: string;
 	entries: EntryAddresses[];
 	faults: Map<string, number>;
-	/** Until then nobody can be held to a configuration that was accepted just before. */
-	configExcusedUntilMs: Map<string, number>;
-	logBackAtMs: number;
+	/** By process name: the process need not have applied changes that were accepted before this time. */
+	configGraceUntilMs: Map<string, number>;
+	logGraceUntilMs: number;
 	isLogDown: boolean;
 	signal: AbortSignal;
 	jobs: Map<string, string | undefined>;
 };
 
-/** Both users: their regions, services, teams and failure domains. */
+/** Regions, services, teams and failure domains of both users. */
 export const regions = [
 	{
 		name: 'scot-central', service: 'lading-desk', team: 'clydeside', failureDomains: ['leith-hall', 'govan-hall', 'grange-hall'],
@@ -66,15 +66,15 @@
 ];
 /** Resources of every task of a run. */
 export const taskResources: Resources = {processors: 4, memoryMb: 8192, accelerators: 0};
-/** Longest wait for an answer to the run itself. */
+/** Time-out of calls that the run itself makes. */
 export const callTimeoutMs = 2000;
 const lingerMs = 3500;
 
 /** Starts all processes of a run. */
-export const createWorld = async (options: SoakOptions, signal: AbortSignal): Promise<World> => {
-	const checker = new PromiseChecker();
+export const createSoakContext = async (options: SoakOptions, signal: AbortSignal): Promise<SoakContext> => {
+	const checker = new GuaranteeChecker();
 	const pool = new ProcessPool(options.binary, event => {
-		noteHostEvent(checker, event, taskResources);
+		recordHostEvent(checker, event, taskResources);
 	});
 	const ports = await findFreePorts(1 + (3 * options.entryCount));
 	const logAddress = `127.0.0.1:${ports[0]}`;
@@ -106,11 +106,11 @@
 	const controls = entries.map(({control}) => control).join(',');
 	for (const {name, service, team, failureDomains} of regions) {
 		for (let index = 0; index < options.hostsPerUser; index++) {
-			const place = ['--entries', controls, '--region', name, '--failure-domain', failureDomains[index % failureDomains.length]!, '--events'];
-			pool.add(`${service}-${index + 1}`, Role.Upstream, ['standin', 'upstream', '--id', `${service}-${index + 1}`, '--service', service, '--linger-ms', String(lingerMs), ...place]);
+			const location = ['--entries', controls, '--region', name, '--failure-domain', failureDomains[index % failureDomains.length]!, '--events'];
+			pool.add(`${service}-${index + 1}`, Role.Upstream, ['standin', 'upstream', '--id', `${service}-${index + 1}`, '--service', service, '--linger-ms', String(lingerMs), ...location]);
 			const workerId = `${team}-worker-${index + 1}`;
-			checker.setCapacity(workerId, workerShape);
-			pool.add(workerId, Role.Worker, ['standin', 'worker', '--id', workerId, '--rack', `${team}-rack-${Math.floor(index / 3) + 1}`, ...place]);
+			checker.setCapacity(workerId, workerCapacity);
+			pool.add(workerId, Role.Worker, ['standin', 'worker', '--id', workerId, '--rack', `${team}-rack-${Math.floor(index / 3) + 1}`, ...location]);
 		}
 	}
 
@@ -124,8 +124,8 @@
 		logUrl,
 		entries,
 		faults: new Map(),
-		configExcusedUntilMs: new Map(),
-		logBackAtMs: 0,
+		configGraceUntilMs: new Map(),
+		logGraceUntilMs: 0,
 		isLogDown: false,
 		signal,
 		jobs: new Map(),
--- a/src/measure/soak-faults.ts
+++ b/src/measure/soak-faults.ts
@@ -1,51 +1,51 @@
 /**
-Faults of a soak run, chosen by its seed.
+Faults of a soak run, drawn from its seed.
 */
 import {callJson} from '../utils/json-client.ts';
 import {type SoakCallers} from './soak-callers.ts';
 import {Role, type SoakProcess} from './soak-processes.ts';
-import {callTimeoutMs, type World} from './soak-world.ts';
+import {callTimeoutMs, type SoakContext} from './soak-context.ts';
 
-/** Time in which a process that is back is not yet held to the latest configuration. */
-const startMs = 3000;
+/** A process that was restarted or resumed need not have the latest configuration for this long. */
+const configGraceMs = 3000;
 
-/** Makes one fault after the other until the signal aborts. */
-export const makeFaults = async (world: World, callers: SoakCallers): Promise<void> => {
-	const {options, clock, random, signal} = world;
+/** Injects one fault after the other until the signal aborts. */
+export const injectFaults = async (context: SoakContext, callers: SoakCallers): Promise<void> => {
+	const {options, clock, random, signal} = context;
 	if (options.faultEveryMs === undefined) {
 		return;
 	}
 
-	const faults = createFaults(world, callers);
+	const faults = createFaults(context, callers);
 	while (!signal.aborted) {
 		await clock.sleep(options.faultEveryMs * (0.5 + random.next()), signal);
 		if (signal.aborted) {
 			return;
 		}
 
-		const [name, act] = faults[random.below(faults.length)]!;
-		world.faults.set(name, (world.faults.get(name) ?? 0) + 1);
+		const [name, inject] = faults[random.below(faults.length)]!;
+		context.faults.set(name, (context.faults.get(name) ?? 0) + 1);
 		options.report(`Fault: ${name}.`);
-		await act();
+		await inject();
 	}
 };
 
-const createFaults = (world: World, callers: SoakCallers): Array<[string, () => Promise<void>]> => {
-	const {pool, clock, random, checker} = world;
+const createFaults = (context: SoakContext, callers: SoakCallers): Array<[string, () => Promise<void>]> => {
+	const {pool, clock, random, checker} = context;
 	const pick = (role: Role): SoakProcess => {
 		const candidates = pool.processes.filter(target => target.role === role && target.child);
 		return candidates[random.below(candidates.length)]!;
 	};
 
-	const excuse = ({name}: SoakProcess) => {
-		world.configExcusedUntilMs.set(name, clock.monotonicMs() + startMs);
+	const grantConfigGrace = ({name}: SoakProcess) => {
+		context.configGraceUntilMs.set(name, clock.monotonicMs() + configGraceMs);
 	};
 
-	const restart = async (target: SoakProcess, end: () => Promise<void>) => {
-		await end();
+	const restart = async (target: SoakProcess, stop: () => Promise<void>) => {
+		await stop();
 		await clock.sleep(200 + random.below(2000));
 		pool.start(target);
-		excuse(target);
+		grantConfigGrace(target);
 	};
 
 	return [
@@ -55,7 +55,7 @@
 		}],
 		['entry told to stop', async () => {
 			const target = pick(Role.Entry);
-			callers.noteShutdown(target);
+			callers.markShutdown(target);
 			await restart(target, async () => pool.terminate(target));
 		}],
 		['entry paused', async () => {
@@ -63,7 +63,7 @@
 			pool.pause(target);
 			await clock.sleep(1000 + random.below(6000));
 			pool.resume(target);
-			excuse(target);
+			grantConfigGrace(target);
 		}],
 		['upstream killed', async () => {
 			const target = pick(Role.Upstream);
@@ -83,27 +83,27 @@
 			const target = pick(Role.Worker);
 			await restart(target, async () => {
 				await pool.kill(target);
-				checker.noteWorkerGone(target.name);
+				checker.recordWorkerLost(target.name);
 			});
 		}],
 		['log down', async () => {
-			world.isLogDown = true;
-			await setLogFaults(world, {isDown: true});
+			context.isLogDown = true;
+			await setLogFaults(context, {isDown: true});
 			await clock.sleep(2000 + random.below(6000));
-			await setLogFaults(world, {isDown: false});
-			world.isLogDown = false;
-			world.logBackAtMs = clock.monotonicMs() + startMs;
+			await setLogFaults(context, {isDown: false});
+			context.isLogDown = false;
+			context.logGraceUntilMs = clock.monotonicMs() + configGraceMs;
 		}],
 		['log slow, answers lost', async () => {
-			await setLogFaults(world, {delayMs: 100, loseAnswerChance: 0.2});
+			await setLogFaults(context, {delayMs: 100, loseAnswerChance: 0.2});
 			await clock.sleep(3000);
-			await setLogFaults(world, {delayMs: 0, loseAnswerChance: 0});
+			await setLogFaults(context, {delayMs: 0, loseAnswerChance: 0});
 		}],
 	];
 };
 
-/** Sets what the stand-in log does wrong. */
-export const setLogFaults = async ({logUrl}: World, faults: Record<string, unknown>): Promise<void> => {
+/** Sets the faults of the stand-in log. */
+export const setLogFaults = async ({logUrl}: SoakContext, faults: Record<string, unknown>): Promise<void> => {
 	await callJson({
 		method: 'POST', url: `${logUrl}/faults`, body: faults, timeoutMs: callTimeoutMs, step: 'set log faults',
 	});
--- a/src/measure/soak-processes.ts
+++ b/src/measure/soak-processes.ts
@@ -1,5 +1,5 @@
 /**
-Processes of a soak run: started, paused, killed and restarted by the script that owns them, by id.
+Processes of a soak run: starts, pauses, kills and restarts them, each by its process id.
 */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {randomInt} from 'node:crypto';
@@ -26,17 +26,17 @@
 	name: string;
 	role: Role;
 	args: string[];
-	/** Grows with each start. */
-	life: number;
+	/** Number of starts so far. */
+	incarnation: number;
 	child?: ChildProcess;
 	isPaused: boolean;
-	/** Exits that nobody asked for. */
+	/** Exits that the run did not cause. */
 	crashes: number;
 	startedAtMs: number;
 };
 
-/** Use of one process, read while it runs. */
-export type ProcessUse = {
+/** Resident memory and processor time of a running process. */
+export type ProcessUsage = {
 	residentMb: number;
 	cpuMs: number;
 };
@@ -45,7 +45,7 @@
 const pageKilobytes = 4;
 const msPerTick = 10;
 
-/** Starts and stops processes of one run. */
+/** Starts and stops the processes of one run. */
 export class ProcessPool {
 	readonly directory = mkdtempSync(path.join(tmpdir(), 'chervilworks-soak-'));
 	readonly processes: SoakProcess[] = [];
@@ -60,7 +60,7 @@
 
 	add(name: string, role: Role, args: string[]): SoakProcess {
 		const added: SoakProcess = {
-			name, role, args, life: 0, isPaused: false, crashes: 0, startedAtMs: 0,
+			name, role, args, incarnation: 0, isPaused: false, crashes: 0, startedAtMs: 0,
 		};
 		this.processes.push(added);
 		this.start(added);
@@ -70,7 +70,7 @@
 	start(target: SoakProcess): void {
 		const child = spawn(process.execPath, [this.#binary, ...target.args], {stdio: ['ignore', 'pipe', 'pipe']});
 		target.child = child;
-		target.life++;
+		target.incarnation++;
 		target.isPaused = false;
 		target.startedAtMs = Date.now();
 		child.stderr.pipe(this.#getLog(target.name), {end: false});
@@ -87,12 +87,12 @@
 		});
 	}
 
-	/** Kills at once; resolves when the process is gone. */
+	/** Kills the process; resolves when it has exited. */
 	async kill(target: SoakProcess): Promise<void> {
 		await this.#end(target, 'SIGKILL');
 	}
 
-	/** Asks for a graceful shutdown; resolves when the process is gone. */
+	/** Requests a graceful shutdown; resolves when the process has exited. */
 	async terminate(target: SoakProcess): Promise<void> {
 		await this.#end(target, 'SIGTERM');
 	}
@@ -118,7 +118,7 @@
 	}
 
 	/** Reads resident memory and processor time of a running process. */
-	getUse(target: SoakProcess): ProcessUse | undefined {
+	getUsage(target: SoakProcess): ProcessUsage | undefined {
 		try {
 			const pid = target.child!.pid!;
 			const resident = Number(readFileSync(`/proc/${pid}/statm`, 'utf8').split(' ')[1]) * pageKilobytes;
@@ -163,7 +163,7 @@
 	}
 }
 
-/** Systems take ports for outgoing connections from above this: such a one may be taken between the choice and the bind. */
+/** Operating systems assign ports from here on to outgoing connections, which could take such a port after it was chosen and before it is bound. */
 const portsEnd = 32_768;
 const portsStart = 10_000;
 
@@ -178,7 +178,7 @@
 	});
 });
 
-/** Finds ports that are free on loopback, and that no outgoing connection takes before they are bound. */
+/** Finds ports that are free on loopback and outside the range for outgoing connections. */
 export const findFreePorts = async (count: number): Promise<number[]> => {
 	const servers = new Map<number, Server>();
 	while (servers.size < count) {
--- a/src/plugins/callers-claimed.ts
+++ b/src/plugins/callers-claimed.ts
@@ -2,7 +2,7 @@
 Serves non-idempotent requests: claims the request id, dispatches the request at most once, and records how it ended.
 */
 import {type IncomingHttpHeaders} from 'node:http';
-import {type WholeAnswer} from '../requests/answer.ts';
+import {type CompleteAnswer} from '../requests/answer.ts';
 import {type Call} from '../requests/dispatch-call.ts';
 import {type CallEnd, type Lane} from '../requests/dispatch-lane.ts';
 import {type Clock} from '../types/clock.ts';
@@ -23,7 +23,7 @@
 
 /** How a claimed request ended: with an answer or a refusal. */
 export type ClaimedResult = {
-	answer?: WholeAnswer & {isReplayed?: boolean};
+	answer?: CompleteAnswer & {isReplayed?: boolean};
 	refusal?: CallerRefusal;
 };
 
--- a/src/plugins/callers-lanes.ts
+++ b/src/plugins/callers-lanes.ts
@@ -3,8 +3,8 @@
 of an upstream, and deadline timers.
 */
 import {type Kernel} from '../core/kernel.ts';
-import {breakResponse, type StallWatch} from '../requests/answer.ts';
-import {StallBook} from '../requests/answer-stalls.ts';
+import {resetResponse, type StallWatch} from '../requests/answer.ts';
+import {StallDetector} from '../requests/answer-stall-detector.ts';
 import {createWeightsLookup} from '../requests/choice-weights.ts';
 import {createChooser} from '../requests/choice.ts';
 import {getServiceSection} from '../core/config-text.ts';
@@ -68,9 +68,9 @@
 			attempt.abort(AttemptFailure.TimedOut);
 		},
 	});
-	const stalls = new StallBook(clock, answers.stalledCallerMs, response => {
+	const stalls = new StallDetector(clock, answers.stalledCallerMs, response => {
 		metrics.count(Metric.Refusals, RefusalReason.SlowCaller);
-		breakResponse(response);
+		resetResponse(response);
 	});
 	const dueRuns = new DeadlineHeap<ClaimedRun>({
 		clock,
@@ -113,8 +113,8 @@
 			chooser,
 			slots,
 			pools,
-			dueAttempts,
-			dueRuns,
+			attemptDeadlines: dueAttempts,
+			claimedRunDeadlines: dueRuns,
 			getCandidates: () => getCandidates(serviceName),
 		});
 		laneEntries.set(serviceName, {lane, candidates: [], candidatesAtMs: Number.NEGATIVE_INFINITY});
@@ -123,7 +123,7 @@
 
 	slots.onFree(() => {
 		for (const {lane} of laneEntries.values()) {
-			lane.admission.wake();
+			lane.admission.startWaiting();
 		}
 	});
 
--- a/src/plugins/callers-refusals.ts
+++ b/src/plugins/callers-refusals.ts
@@ -2,7 +2,7 @@
 Refusals that the entry itself sends to callers.
 */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
-import {breakResponse} from '../requests/answer.ts';
+import {resetResponse} from '../requests/answer.ts';
 import {type Clock} from '../types/clock.ts';
 import {Header, type Outcome, RefusalReason} from '../types/requests.ts';
 
@@ -59,7 +59,7 @@
 	}
 
 	if (response.headersSent) {
-		breakResponse(response);
+		resetResponse(response);
 		return;
 	}
 
--- a/src/plugins/callers-service.ts
+++ b/src/plugins/callers-service.ts
@@ -4,7 +4,7 @@
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {ErrorCode, getErrorCode, getMessage} from '../core/errors.ts';
 import {type Kernel} from '../core/kernel.ts';
-import {type WholeAnswer} from '../requests/answer.ts';
+import {type CompleteAnswer} from '../requests/answer.ts';
 import {Call} from '../requests/dispatch-call.ts';
 import {getForwardedResponseHeaders, getForwardedRequestHeaders} from '../requests/headers.ts';
 import {readRequestFacts, type RequestFacts} from '../requests/request-facts.ts';
@@ -184,7 +184,7 @@
 		}
 	};
 
-	const sendAnswer = (call: Call, {status, headers, body, isReplayed}: WholeAnswer & {isReplayed?: boolean}) => {
+	const sendAnswer = (call: Call, {status, headers, body, isReplayed}: CompleteAnswer & {isReplayed?: boolean}) => {
 		const {response} = call.target;
 		if (call.isClosed || (body && response.headersSent)) {
 			metrics.count(Metric.LateAnswers);
--- a/src/plugins/jobs-service.ts
+++ b/src/plugins/jobs-service.ts
@@ -33,7 +33,7 @@
 		settings,
 		workers: kernel.get(ServiceName.Workers),
 		engine,
-		getGatherMs: createAppendInterval(kernel, kernel.get(ServiceName.Settings).jobs.gatherMs),
+		getLingerMs: createAppendInterval(kernel, kernel.get(ServiceName.Settings).jobs.gatherMs),
 		getRegion: service => kernel.has(ServiceName.Moves) ? kernel.get(ServiceName.Moves).getRegion(service) : undefined,
 	});
 	const aborter = new AbortController();
--- a/src/requests/choice.ts
+++ b/src/requests/choice.ts
@@ -1,6 +1,6 @@
 /**
-Chooses an upstream: two random choices on own requests in flight and a decaying latency estimate, the own failure
-domain first, without outliers, and with slow start.
+Chooses an upstream: the cheaper of two drawn at random, by this process's requests in flight and a decaying latency
+estimate. Prefers the own failure domain, excludes outliers, and applies slow start.
 */
 import {type UpstreamAnnouncement} from '../types/announcements.ts';
 import {type ChoiceContext, type Chooser, type RequestEnd} from '../types/choice.ts';
@@ -9,42 +9,42 @@
 import {RequestClass} from '../types/requests.ts';
 import {getTotalInFlight, UpstreamStates, type UpstreamState} from './choice-states.ts';
 import {drawFailureDomain, type FailureDomainWeights} from './choice-weights.ts';
-import {defaultLatencyTuning, LatencyBook, type LatencyTuning} from './latency.ts';
+import {defaultLatencyTuning, LatencyEstimator, type LatencyTuning} from './latency.ts';
 import {
-	defaultOutlierTuning, OutlierBook, Standing, type OutlierTuning,
+	defaultOutlierTuning, OutlierDetector, EjectionState, type OutlierTuning,
 } from './outlier.ts';
 import {defaultSlowStartTuning, getSlowStartFactor, type SlowStartTuning} from './slow-start.ts';
 
-/** Numbers of the choice. */
+/** Parameters of the choice. */
 export type ChoiceTuning = {
 	/** How many upstreams are compared in each group. */
 	choices: number;
-	/** Another failure domain is used when the own one's best costs more than this many times as much. */
+	/** Another failure domain is used when the best upstream of the own one costs more than this many times as much. */
 	spillRatio: number;
-	/** A request rather waits than goes to an upstream this many times slower than the mean. */
+	/** A check avoids an upstream that is at least this many times slower than the mean. */
 	slowRatio: number;
-	/** The same for a long request, which has time: on a host that is merely slow it leaves faster slots to checks. */
+	/** The same for a long request. Higher, because its deadline is later, and on a moderately slow host it leaves faster slots to checks. */
 	longSlowRatio: number;
-	/** An upstream that ends no check for so many times their mean counts as silent. */
-	silentRatio: number;
-	/** Requests wait for a sound upstream only while at most this share of a service's upstreams is slow or silent. */
+	/** An upstream with checks in flight that has ended none for this many times their mean latency counts as unresponsive. */
+	unresponsiveRatio: number;
+	/** Requests wait for a healthy upstream only while at most this share of a service's upstreams is avoided. */
 	maxAvoidedShare: number;
-	/** How much more a long request in flight weighs than a check. */
+	/** Weight of a long request in flight, relative to a check. */
 	longWeight: number;
-	/** State of an upstream not offered for so long is forgotten. */
+	/** State of an upstream that has not been a candidate for this long is deleted. */
 	forgetAfterMs: number;
 	latency: LatencyTuning;
 	outlier: OutlierTuning;
 	slowStart: SlowStartTuning;
 };
 
-/** Tuning that the measurements chose. */
+/** Tuning used unless another is passed. */
 export const defaultChoiceTuning: ChoiceTuning = {
 	choices: 2,
 	spillRatio: 1.3,
 	slowRatio: 3,
 	longSlowRatio: 6,
-	silentRatio: 5,
+	unresponsiveRatio: 5,
 	maxAvoidedShare: 0.5,
 	longWeight: 1,
 	forgetAfterMs: 60_000,
@@ -53,32 +53,32 @@
 	slowStart: defaultSlowStartTuning,
 };
 
-/** What a chooser works with. */
+/** Dependencies and settings of a chooser. */
 export type ChooserOptions = {
 	clock: Clock;
 	random: Random;
 	/** Failure domain of this process. */
 	failureDomain: string;
-	/** Weights in force for the service, if its section has any. */
+	/** Current weights of the service, if its configuration section has any. */
 	getFailureDomainWeights?: (serviceName: string, requestClass: RequestClass) => FailureDomainWeights | undefined;
 	tuning?: Partial<ChoiceTuning>;
-	/** Takes a measurement to the estimates; for measurements that arrive late. */
-	deliver?: (record: () => void) => void;
+	/** Runs the callback that records a result; lets simulations delay results. */
+	deliverResult?: (record: () => void) => void;
 };
 
-/** Creates the product's chooser. */
+/** Creates the chooser that production uses. */
 export const createChooser = (options: ChooserOptions): Chooser => new LoadChooser(options);
 
-/** Upstreams that could take the request now, by standing. */
-type Groups = Record<Standing, UpstreamAnnouncement[]>;
+/** Upstreams with a free slot that are not excluded, by ejection state. */
+type Groups = Record<EjectionState, UpstreamAnnouncement[]>;
 
 class LoadChooser implements Chooser {
 	readonly #clock: Clock;
 	readonly #random: Random;
 	readonly #options: ChooserOptions;
 	readonly #tuning: ChoiceTuning;
-	readonly #latencies: LatencyBook;
-	readonly #outliers: OutlierBook;
+	readonly #latencies: LatencyEstimator;
+	readonly #outliers: OutlierDetector;
 	readonly #states: UpstreamStates;
 	readonly #upstreamCounts = new Map<string, number>();
 
@@ -87,8 +87,8 @@
 		this.#random = options.random;
 		this.#options = options;
 		this.#tuning = {...defaultChoiceTuning, ...options.tuning};
-		this.#latencies = new LatencyBook(options.clock, this.#tuning.latency);
-		this.#outliers = new OutlierBook(options.clock, options.random, this.#tuning.outlier);
+		this.#latencies = new LatencyEstimator(options.clock, this.#tuning.latency);
+		this.#outliers = new OutlierDetector(options.clock, options.random, this.#tuning.outlier);
 		this.#states = new UpstreamStates(options.clock, this.#tuning.forgetAfterMs, upstreamId => {
 			this.#latencies.forget(upstreamId);
 			this.#outliers.forget(upstreamId);
@@ -99,7 +99,7 @@
 		this.#upstreamCounts.set(serviceName, candidates.length);
 		this.#states.sweep();
 		const {admitted, probing, ejected} = this.#group(candidates, context);
-		// A probe is a check: it ends soon and may be tried again elsewhere.
+		// Checks are preferred as probes: they end soon and can be retried elsewhere.
 		if (probing.length > 0 && (context.requestClass === RequestClass.Check || admitted.length === 0)) {
 			return probing[this.#random.below(probing.length)];
 		}
@@ -108,18 +108,18 @@
 			return this.#chooseAdmitted(serviceName, admitted, context);
 		}
 
-		// With every admitted upstream merely busy, waiting is better than an upstream known to fail.
+		// While admitted upstreams are only busy, waiting is better than an upstream that is known to fail.
 		const isAnyAdmitted = candidates.some(({upstreamId}) =>
-			!context.excluded.has(upstreamId) && this.#outliers.getStanding(upstreamId) === Standing.Admitted);
+			!context.excluded.has(upstreamId) && this.#outliers.getEjectionState(upstreamId) === EjectionState.Admitted);
 		return isAnyAdmitted ? undefined : ejected[this.#random.below(ejected.length)];
 	}
 
 	recordStart(upstreamId: string, requestClass: RequestClass): void {
-		this.#states.noteStart(upstreamId, requestClass);
+		this.#states.recordStart(upstreamId, requestClass);
 	}
 
 	recordEnd(upstreamId: string, end: RequestEnd): void {
-		const state = this.#states.noteEnd(upstreamId, end.requestClass);
+		const state = this.#states.recordEnd(upstreamId, end.requestClass);
 		if (!state) {
 			return;
 		}
@@ -130,25 +130,25 @@
 			}
 		};
 
-		if (this.#options.deliver) {
-			this.#options.deliver(record);
+		if (this.#options.deliverResult) {
+			this.#options.deliverResult(record);
 		} else {
 			record();
 		}
 	}
 
 	#group(candidates: readonly UpstreamAnnouncement[], {excluded, hasSlot}: ChoiceContext): Groups {
-		const groups: Groups = {[Standing.Admitted]: [], [Standing.Probing]: [], [Standing.Ejected]: []};
+		const groups: Groups = {[EjectionState.Admitted]: [], [EjectionState.Probing]: [], [EjectionState.Ejected]: []};
 		for (const candidate of candidates) {
 			const {upstreamId} = candidate;
-			const state = this.#states.see(candidate);
+			const state = this.#states.observe(candidate);
 			if (excluded.has(upstreamId) || !hasSlot(upstreamId)) {
 				continue;
 			}
 
-			const standing = this.#outliers.getStanding(upstreamId);
-			const isBusyProbing = standing === Standing.Probing && getTotalInFlight(state) > 0;
-			groups[isBusyProbing ? Standing.Ejected : standing].push(candidate);
+			const ejectionState = this.#outliers.getEjectionState(upstreamId);
+			const hasProbeInFlight = ejectionState === EjectionState.Probing && getTotalInFlight(state) > 0;
+			groups[hasProbeInFlight ? EjectionState.Ejected : ejectionState].push(candidate);
 		}
 
 		return groups;
@@ -156,10 +156,10 @@
 
 	#record(state: UpstreamState, upstreamId: string, {requestClass, latencyMs, isSuccess, isAbandoned}: RequestEnd): void {
 		const {serviceName} = state;
-		// A deadline that came while the request was young says nothing of the upstream: counted as failures, the short
-		// rests that queueing leaves under overload would eject one healthy upstream after the other.
+		// A request that was abandoned early is no evidence against the upstream: under overload, queueing leaves little time
+		// to run, and counting these timeouts as failures would eject healthy upstreams one after another.
 		if (isAbandoned) {
-			this.#latencies.recordAtLeast(serviceName, upstreamId, requestClass, latencyMs);
+			this.#latencies.recordLowerBound(serviceName, upstreamId, requestClass, latencyMs);
 			return;
 		}
 
@@ -169,23 +169,23 @@
 			this.#latencies.recordFailure(serviceName, upstreamId, requestClass, latencyMs);
 		}
 
-		const wasProbing = this.#outliers.getStanding(upstreamId) === Standing.Probing;
+		const wasProbing = this.#outliers.getEjectionState(upstreamId) === EjectionState.Probing;
 		this.#outliers.record(serviceName, upstreamId, isSuccess, this.#upstreamCounts.get(serviceName) ?? 0);
-		if (wasProbing && this.#outliers.getStanding(upstreamId) === Standing.Admitted) {
+		if (wasProbing && this.#outliers.getEjectionState(upstreamId) === EjectionState.Admitted) {
 			state.startedMs = this.#clock.monotonicMs();
 		}
 	}
 
 	#chooseAdmitted(serviceName: string, admitted: UpstreamAnnouncement[], context: ChoiceContext): UpstreamAnnouncement | undefined {
-		// Fast path: hosts to be avoided are few.
+		// Fast path: few hosts are to be avoided.
 		const best = this.#chooseAmong(serviceName, admitted, context);
 		if (!this.#isAvoided(best.upstreamId, context.requestClass)) {
 			return best;
 		}
 
-		const sound = admitted.filter(({upstreamId}) => !this.#isAvoided(upstreamId, context.requestClass));
-		if (sound.length > 0) {
-			return this.#chooseAmong(serviceName, sound, context);
+		const healthy = admitted.filter(({upstreamId}) => !this.#isAvoided(upstreamId, context.requestClass));
+		if (healthy.length > 0) {
+			return this.#chooseAmong(serviceName, healthy, context);
 		}
 
 		return this.#isWorthWaiting(serviceName, context) ? undefined : best;
@@ -214,7 +214,7 @@
 		return this.#getCost(nearest, context) > this.#tuning.spillRatio * this.#getCost(other, context) ? other : nearest;
 	}
 
-	/** Cheapest of a few upstreams drawn at random: the best of all would draw every entry to the same one. */
+	/** Returns the cheapest of a few upstreams drawn at random; if all were compared, every entry would choose the same one. */
 	#sample(group: UpstreamAnnouncement[], context: ChoiceContext): UpstreamAnnouncement {
 		const draws = Math.min(this.#tuning.choices, group.length);
 		let best: UpstreamAnnouncement | undefined;
@@ -239,29 +239,29 @@
 		return this.#latencies.getRatio(serviceName, upstreamId, requestClass) * load / (slots * factor);
 	}
 
-	/** Whether the upstream is slow or silent, or, for a long request, has just failed: a check finds out first, as it can be tried again. */
+	/** Whether the upstream is slow or unresponsive or, for a long request, failed the last one: checks test it first, because they can be retried. */
 	#isAvoided(upstreamId: string, requestClass: RequestClass): boolean {
 		const state = this.#states.get(upstreamId)!;
 		const {serviceName} = state;
 		const {slowRatio, longSlowRatio} = this.#tuning;
-		// Checks end soon, so that they show a slow host long before its first long request ends.
+		// The latency of checks is used for both classes: it shows a slow host long before its first long request ends.
 		if (this.#latencies.getRatio(serviceName, upstreamId, RequestClass.Check) >= (requestClass === RequestClass.Check ? slowRatio : longSlowRatio)) {
 			return true;
 		}
 
 		const meanMs = this.#latencies.getMeanMs(serviceName, RequestClass.Check) ?? Number.POSITIVE_INFINITY;
-		return this.#states.getSilentMs(state) > this.#tuning.silentRatio * meanMs
-			|| (requestClass === RequestClass.Long && this.#outliers.isSuspect(upstreamId));
+		return this.#states.getUnresponsiveMs(state) > this.#tuning.unresponsiveRatio * meanMs
+			|| (requestClass === RequestClass.Long && this.#outliers.isLastResultFailure(upstreamId));
 	}
 
-	// A slow host has free slots just because it is slow; a request sent there would take longer than the wait for the next
-	// slot elsewhere. Waiting is safe only while this process has requests under way elsewhere, whose slots come free, and
-	// while few hosts are avoided: when a wave slows many, the sound ones alone cannot carry the load, and all would queue.
+	// A slow host often has free slots because it is slow, and a request sent there would take longer than the wait for the
+	// next slot elsewhere. Waiting is safe only while this process has requests in flight at healthy hosts, whose slots become
+	// free, and while few hosts are avoided: when many are slow, the healthy ones cannot carry the load, and all would queue.
 	#isWorthWaiting(serviceName: string, {excluded, requestClass}: ChoiceContext): boolean {
 		let avoidedCount = 0;
 		let isBusyElsewhere = false;
 		for (const [upstreamId, state] of this.#states) {
-			if (state.serviceName !== serviceName || this.#outliers.getStanding(upstreamId) !== Standing.Admitted) {
+			if (state.serviceName !== serviceName || this.#outliers.getEjectionState(upstreamId) !== EjectionState.Admitted) {
 				continue;
 			}
 
--- a/src/workflows/owner.ts
+++ b/src/workflows/owner.ts
@@ -233,7 +233,7 @@
 
 	#noteHealth({host, health}: FleetWorker, {ref}: LiveTask, isSuccess: boolean): void {
 		const {clock, note} = this.#options;
-		const isChanged = this.#health.note({
+		const isChanged = this.#health.recordEnd({
 			jobId: ref.workflowId, worker: health, isSuccess, nowMs: clock.monotonicMs(), fleetSize: this.links.workers.size,
 		});
 		if (isChanged) {
@@ -300,7 +300,7 @@
 		this.#relocations.tryRun(() => {
 			this.#relocate();
 		});
-		this.#health.release(clock.monotonicMs());
+		this.#health.releaseHeld(clock.monotonicMs());
 		this.#cycles.requestCycle();
 	}
 
--- a/test/jobs-harness.ts
+++ b/test/jobs-harness.ts
@@ -1,5 +1,5 @@
 /**
-Entries, workers and a log in one process on manual time, each of which can be paused, cut off, lost and restarted.
+Simulated cluster: entries, workers and a log in one process on manual time, with faults that tests inject.
 */
 import {createSettings} from '../src/core/settings.ts';
 import {createError, ErrorCode} from '../src/core/errors.ts';
@@ -36,12 +36,12 @@
 	...changes,
 });
 
-/** Stands between a process and all it speaks to: while paused nothing goes in or out, once dead nothing ever does. */
-class Gate {
+/** Passes all calls and timers of one simulated process: while it is paused they wait, and once it is dead they never return. */
+class ProcessGate {
 	isDead = false;
 	isLogCut = false;
 	readonly cutWorkers = new Set<string>();
-	mostCalls = 0;
+	maxConcurrentCalls = 0;
 	#calls = 0;
 	#waiting: Array<() => void> | undefined;
 
@@ -69,9 +69,9 @@
 		}
 	}
 
-	/** Counts how many calls to workers are made at a time. */
+	/** Counts concurrent calls to workers. */
 	async count<Result>(act: () => Promise<Result>): Promise<Result> {
-		this.mostCalls = Math.max(this.mostCalls, ++this.#calls);
+		this.maxConcurrentCalls = Math.max(this.maxConcurrentCalls, ++this.#calls);
 		try {
 			return await act();
 		} finally {
@@ -96,7 +96,7 @@
 	}
 }
 
-const gateClock = (clock: ManualClock, gate: Gate): Clock => ({
+const gateClock = (clock: ManualClock, gate: ProcessGate): Clock => ({
 	monotonicMs: () => clock.monotonicMs(),
 	now: () => clock.now(),
 	setTimer: (callback, delayMs) => clock.setTimer(() => {
@@ -108,12 +108,12 @@
 	},
 });
 
-const gateLog = (log: PlatformLog, gate: Gate): PlatformLog => ({
+const gateLog = (log: PlatformLog, gate: ProcessGate): PlatformLog => ({
 	append: async (stream, value) => gate.call(() => gate.isLogCut, async () => log.append(stream, value)),
 	read: async (stream, fromOffset, options) => gate.call(() => gate.isLogCut, async () => log.read(stream, fromOffset, options)),
 });
 
-const gateWorker = (worker: MemoryWorker, workerId: string, gate: Gate): WorkerClient => {
+const gateWorker = (worker: MemoryWorker, workerId: string, gate: ProcessGate): WorkerClient => {
 	const isCut = () => gate.cutWorkers.has(workerId);
 	const through = async <Result>(act: () => Promise<Result>) => gate.count(async () => gate.call(isCut, act));
 	return {
@@ -144,7 +144,7 @@
 	};
 };
 
-/** An engine that also decides what a test tells it to. */
+/** An engine that also returns decisions queued by a test. */
 export type ScriptedEngine = PlacementEngine & {script: Decision[]};
 
 const createScriptedEngine = (engine: PlacementEngine): ScriptedEngine => {
@@ -158,17 +158,17 @@
 
 export type TestEntry = {
 	id: string;
-	gate: Gate;
+	gate: ProcessGate;
 	scheduler: JobScheduler;
 	metrics: Metrics;
 	engine: ScriptedEngine;
-	/** Ends the process with no word to anybody. */
+	/** Ends the process without releasing its shards. */
 	crash(): void;
-	/** Gives its shards back and ends. */
+	/** Releases its shards and ends the process. */
 	leave(): Promise<void>;
 };
 
-export type WorldOptions = {
+export type SimulatedClusterOptions = {
 	seed?: number;
 	workers?: number;
 	entries?: number;
@@ -180,8 +180,8 @@
 	createEngine?(): PlacementEngine;
 };
 
-/** A world of entries, workers and a log. It notes at once when a task runs in two places or a worker is overcommitted. */
-export class World {
+/** A cluster of entries, workers and a log. Records a violation when a task runs in two places or a worker is overcommitted. */
+export class SimulatedCluster {
 	readonly clock = new ManualClock();
 	readonly log: MemoryLog;
 	readonly workers = new Map<string, MemoryWorker>();
@@ -190,14 +190,14 @@
 	/** Starts of each task, in order: `worker#attempt`. */
 	readonly starts = new Map<string, string[]>();
 	readonly orders = new Map<string, StartOrder[]>();
-	/** Workers that announce themselves to all entries. */
+	/** Announcements of workers, as all entries see them. */
 	readonly announced = new Map<string, WorkerAnnouncement>();
 	mostRunning = 0;
 	readonly #running = new Map<string, Set<string>>();
-	readonly #options: WorldOptions;
+	readonly #options: SimulatedClusterOptions;
 	#incarnation = 0;
 
-	constructor(options: WorldOptions = {}) {
+	constructor(options: SimulatedClusterOptions = {}) {
 		this.#options = options;
 		const {seed = 1, retentionMs} = options;
 		this.log = new MemoryLog(this.clock, createRandom(seed), retentionMs);
@@ -218,11 +218,11 @@
 			clock: this.clock,
 			random: createRandom((this.#options.seed ?? 1) + this.workers.size + 100),
 			getBehaviour: order => {
-				this.#noteOrder(order);
+				this.#recordOrder(order);
 				return this.#options.getBehaviour?.(order) ?? {runTimeMs: 5000, result: order.taskId};
 			},
 			onRunning: (taskId, attempt, isRunning) => {
-				this.#noteRunning(workerId, taskId, attempt, isRunning);
+				this.#recordRunning(workerId, taskId, attempt, isRunning);
 			},
 		});
 		this.workers.set(workerId, worker);
@@ -247,7 +247,7 @@
 	}
 
 	startEntry(id: string): TestEntry {
-		const gate = new Gate();
+		const gate = new ProcessGate();
 		const clock = gateClock(this.clock, gate);
 		const aborter = new AbortController();
 		const metrics = createCounts();
@@ -299,13 +299,13 @@
 		return [...this.entries.values()][index]!;
 	}
 
-	/** Entry that owns the job's shard by its own account. */
+	/** First entry that considers itself the owner of the job's shard. */
 	getOwner(jobId: string): TestEntry | undefined {
 		return [...this.entries.values()].find(({scheduler}) => scheduler.isOwnerOf(jobId));
 	}
 
-	/** Runs the world until the condition holds; gives whether it came to hold in time. */
-	async until(isDone: () => boolean, limitMs = 120_000, stepMs = 100): Promise<boolean> {
+	/** Advances the clock until the condition holds; returns whether it held within the limit. */
+	async runUntil(isDone: () => boolean, limitMs = 120_000, stepMs = 100): Promise<boolean> {
 		const endMs = this.clock.monotonicMs() + limitMs;
 		while (!isDone() && this.clock.monotonicMs() < endMs) {
 			await this.clock.advance(stepMs);
@@ -324,7 +324,7 @@
 				outcome = error;
 			}
 		})();
-		await this.until(() => outcome !== undefined);
+		await this.runUntil(() => outcome !== undefined);
 		await submitting;
 		if (outcome !== true) {
 			throw outcome as Error;
@@ -335,25 +335,25 @@
 		return this.getEntry().scheduler.getStatus(jobId)?.state;
 	}
 
-	/** Tasks that run now, by the workers' account. */
+	/** Tasks that the workers run now. */
 	getRunning(): string[] {
 		return [...this.#running].filter(([, workerIds]) => workerIds.size > 0).map(([taskId]) => taskId);
 	}
 
 	/** Workers that run the task now. */
-	getPlaces(taskId: string): string[] {
+	getRunningWorkers(taskId: string): string[] {
 		return [...this.#running.get(taskId) ?? []];
 	}
 
-	/** Has the owner of the job decide to evict a task. */
+	/** Queues a decision to evict a task at the owner of its job. */
 	evict(taskId: string): void {
 		const owner = this.getOwner(taskId.split('/')[0]!)!;
 		owner.engine.script.push({
-			type: DecisionType.Evict, taskId, workerId: this.getPlaces(taskId)[0]!, reason: EvictionReason.Harm,
+			type: DecisionType.Evict, taskId, workerId: this.getRunningWorkers(taskId)[0]!, reason: EvictionReason.Harm,
 		});
 	}
 
-	/** Sums a counter over all entries that live. */
+	/** Sums a counter over all entries that have not crashed. */
 	count(key: string): number {
 		return [...this.entries.values()].reduce((sum, {metrics}) => sum + (metrics.getCounts()[key] ?? 0), 0);
 	}
@@ -364,11 +364,11 @@
 		}
 	}
 
-	#noteOrder(order: StartOrder): void {
+	#recordOrder(order: StartOrder): void {
 		this.orders.set(order.taskId, [...this.orders.get(order.taskId) ?? [], order]);
 	}
 
-	#noteRunning(workerId: string, taskId: string, attempt: number, isRunning: boolean): void {
+	#recordRunning(workerId: string, taskId: string, attempt: number, isRunning: boolean): void {
 		const places = this.#running.get(taskId) ?? new Set();
 		this.#running.set(taskId, places);
 		if (!isRunning) {
@@ -385,7 +385,7 @@
 		const {used} = this.workers.get(workerId)!;
 		const {capacity} = this.announced.get(workerId)!;
 		if (used.processors > capacity.processors || used.memoryMb > capacity.memoryMb || used.accelerators > capacity.accelerators) {
-			this.violations.push(`${workerId} has more than it can hold`);
+			this.violations.push(`${workerId} is overcommitted`);
 		}
 	}
 }
--- a/test/simulated-site.ts
+++ b/test/simulated-site.ts
@@ -25,7 +25,7 @@
 import {RelayingApi} from '../src/workflows/relaying-api.ts';
 import {ProcessClock} from './simulated-membership.ts';
 import {createAgentClient, createEntryClient} from './site-calls.ts';
-import {gate} from './process-gate.ts';
+import {createPausableClient} from './pausable-client.ts';
 
 export const service = 'desk';
 const partitions = 8;
@@ -151,8 +151,8 @@
 				host: name, address: name, service, failureDomain: 'hall',
 			},
 			partition,
-			store: gate(host.clock, this.store.createClient(name)),
-			client: gate(host.clock, host.worker.createClient()),
+			store: createPausableClient(host.clock, this.store.createClient(name)),
+			client: createPausableClient(host.clock, host.worker.createClient()),
 			clock: host.clock,
 			life,
 			leaseDurationMs,
@@ -173,7 +173,7 @@
 	startEntry(name: string, processors = 1): EntryProcess {
 		const clock = new ProcessClock(this.clock);
 		const aborter = new AbortController();
-		const store = gate(clock, this.store.createClient(name));
+		const store = createPausableClient(clock, this.store.createClient(name));
 		const life = `${name}-${++this.#incarnations}`;
 		const note = this.#createNote(name);
 		const follower = new WorkflowFollower({
@@ -202,7 +202,7 @@
 			getCaughtUpAtMs: () => follower.caughtUpAtMs,
 			hasService: used => used === partition,
 			createOwner: (owned, epoch, {onSuperseded, getHeartbeatAtMs}) => new Owner({
-				store, clock, client: gate(clock, createAgentClient(this, name)), partition: owned, epoch, adviceClient: this.adviceClient, maxCallBytes: 2_000_000, retentionMs: 60_000, leaseDurationMs, cancelMs, getEvacuations: () => this.getEvacuations(name), getHeartbeatAtMs, note, onSuperseded, host: name, follower, isOwned: () => true, policy: createPolicy(),
+				store, clock, client: createPausableClient(clock, createAgentClient(this, name)), partition: owned, epoch, adviceClient: this.adviceClient, maxCallBytes: 2_000_000, retentionMs: 60_000, leaseDurationMs, cancelMs, getEvacuations: () => this.getEvacuations(name), getHeartbeatAtMs, note, onSuperseded, host: name, follower, isOwned: () => true, policy: createPolicy(),
 			}),
 		});
 		void follower.run(aborter.signal);
@@ -300,7 +300,7 @@
 	}
 
 	#announce(host: AgentHost): void {
-		if (!host.worker.isAway) {
+		if (!host.worker.isDown) {
 			host.agent?.handleAnnouncement(host.worker.announce());
 		}
 
--- a/test/site-acceptance.test.ts
+++ b/test/site-acceptance.test.ts
@@ -102,7 +102,7 @@
 	it('finds out whether a record is stored whose answer was lost', async () => {
 		await startSite();
 		let lost = 0;
-		site.store.fault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' && lost++ < 1 ? StoreFault.LoseAnswer : StoreFault.None;
+		site.store.getFault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' && lost++ < 1 ? StoreFault.LoseAnswer : StoreFault.None;
 		expect((await site.submit(jobId, createSpec([createStep()]))).outcome).toBe(SubmitOutcome.Accepted);
 		await site.clock.advance(3000);
 		expect(site.getStarts(`${jobId}.0.0.0`)).toBe(1);
@@ -110,11 +110,11 @@
 
 	it('reports a job as not accepted at once while the store refuses, and never runs it', async () => {
 		await startSite();
-		site.store.fault = ({kind}) => kind === 'append' ? StoreFault.Refuse : StoreFault.None;
+		site.store.getFault = ({kind}) => kind === 'append' ? StoreFault.Refuse : StoreFault.None;
 		const startMs = site.clock.monotonicMs();
 		expect((await site.submit(jobId, createSpec([createStep()]))).outcome).toBe(SubmitOutcome.NotAccepted);
 		expect(site.clock.monotonicMs() - startMs).toBeLessThan(800);
-		site.store.fault = () => StoreFault.None;
+		site.store.getFault = () => StoreFault.None;
 		await site.clock.advance(5000);
 		expect(site.events).toEqual([]);
 	});
@@ -132,7 +132,7 @@
 
 	it('reports the outcome as unknown if the store carries an append out late', async () => {
 		await startSite();
-		site.store.fault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' ? StoreFault.DoLate : StoreFault.None;
+		site.store.getFault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' ? StoreFault.ExecuteLate : StoreFault.None;
 		expect((await site.submit(jobId, createSpec([createStep()]))).outcome).toBe(SubmitOutcome.Unknown);
 	});
 
@@ -142,13 +142,13 @@
 	*/
 	it('does not report a job as not accepted while an earlier record of it is pending', async () => {
 		await startSite();
-		site.store.fault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' ? StoreFault.Silence : StoreFault.None;
+		site.store.getFault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' ? StoreFault.LoseRequest : StoreFault.None;
 		const spec = createSpec([createStep()]);
 		expect((await site.submit(jobId, spec, 'entry-1')).outcome).toBe(SubmitOutcome.Unknown);
 		site.storeLost.add('entry-1');
 		expect((await site.submit(jobId, spec, 'entry-1')).outcome).toBe(SubmitOutcome.Unknown);
 		site.storeLost.clear();
-		site.store.fault = () => StoreFault.None;
+		site.store.getFault = () => StoreFault.None;
 		await site.clock.advance(4000);
 		expect(site.getStarts(`${jobId}.0.0.0`)).toBe(1);
 	});
@@ -156,7 +156,7 @@
 	/** Records wait behind one without an answer. Those that were never sent are refused soon, not at the caller's deadline. */
 	it('refuses a job soon that waits behind a record without an answer', async () => {
 		await startSite();
-		site.store.fault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' ? StoreFault.Silence : StoreFault.None;
+		site.store.getFault = ({kind, ref}) => kind === 'append' && ref?.topic === 'workflows' ? StoreFault.LoseRequest : StoreFault.None;
 		const {jobs} = site.entries.get('entry-1')!;
 		const first = jobs.submit(queue, jobId, createSpec([createStep()]), 2500);
 		await site.clock.advance(50);
@@ -169,7 +169,7 @@
 	it('reports a job as absent only after it has read the stream to its end', async () => {
 		await startSite();
 		expect(await site.getState(otherId)).toBe(LookupOutcome.Absent);
-		site.store.fault = ({kind}) => kind === 'read' ? StoreFault.Silence : StoreFault.None;
+		site.store.getFault = ({kind}) => kind === 'read' ? StoreFault.LoseRequest : StoreFault.None;
 		expect(await site.getState(otherId)).toBe(LookupOutcome.Unknown);
 	});
 });
--- a/test/site-behind.test.ts
+++ b/test/site-behind.test.ts
@@ -20,7 +20,7 @@
 
 /** Makes the store leave the entry's reads of the jobs stream unanswered, but not its other calls. */
 const stopReads = (entryName: string): void => {
-	site.store.fault = ({client, kind, ref}) => client === entryName && kind === 'read' && ref?.topic === workflowsTopic ? StoreFault.Silence : StoreFault.None;
+	site.store.getFault = ({client, kind, ref}) => client === entryName && kind === 'read' && ref?.topic === workflowsTopic ? StoreFault.LoseRequest : StoreFault.None;
 };
 
 /** Cancels the job at an entry that does not own it; returns when the cancellation was acknowledged. */
@@ -73,7 +73,7 @@
 		site.plan = () => ({workMs: 500});
 		await site.submit(jobId, chain);
 		await site.clock.advance(2000);
-		site.store.fault = () => StoreFault.Refuse;
+		site.store.getFault = () => StoreFault.Refuse;
 		const awayAtMs = site.clock.monotonicMs();
 		await site.clock.advance(4500);
 		expect(getLastStartMs()).toBeGreaterThan(awayAtMs + 3500);
--- a/test/site-crashes.test.ts
+++ b/test/site-crashes.test.ts
@@ -107,11 +107,11 @@
 		planCrashes([jobId]);
 		await submitTasks(jobId, {});
 		const owner = site.getOwnerName()!;
-		site.store.fault = ({kind, client}) => kind === 'append' && client === owner ? StoreFault.Refuse : StoreFault.None;
+		site.store.getFault = ({kind, client}) => kind === 'append' && client === owner ? StoreFault.Refuse : StoreFault.None;
 		await site.waitFor(() => site.getStarts(`${jobId}.0.0.0`) === 2, 20_000);
 		await site.clock.advance(4000);
 		site.killEntry(owner);
-		site.store.fault = () => StoreFault.None;
+		site.store.getFault = () => StoreFault.None;
 		await waitUntilFinished([jobId], 40_000);
 		expect(await site.getState(jobId)).toBe(WorkflowState.Failed);
 		expect(site.getStarts(`${jobId}.0.0.0`)).toBeLessThanOrEqual(maxCrashes);
@@ -154,7 +154,7 @@
 		planCrashes(ids);
 		let mostAway = 0;
 		const look = () => {
-			mostAway = Math.max(mostAway, hosts.filter(({worker}) => worker.isAway).length);
+			mostAway = Math.max(mostAway, hosts.filter(({worker}) => worker.isDown).length);
 			site.clock.setTimer(look, 50);
 		};
 
@@ -221,7 +221,7 @@
 		await submitTasks(otherId, {count: 4, isLasting: true, maxPerWorker: 1});
 		await site.clock.advance(500);
 		const {worker} = site.hosts.get('host-1')!;
-		worker.isBroken = true;
+		worker.isCrashLooping = true;
 		worker.crash(500);
 		for (const id of ids) {
 			await submitTasks(id, {milliCpu: 500});
@@ -235,7 +235,7 @@
 
 		await site.clock.advance(20_000);
 		expect(await site.getState(otherId)).toBe(WorkflowState.Running);
-		worker.isBroken = false;
+		worker.isCrashLooping = false;
 		expect(await site.waitFor(() => [0, 1, 2, 3].every(index => site.isRunning(`${otherId}.0.0.${index}`)), 20_000)).toBeDefined();
 	});
 
--- a/test/site-faults.ts
+++ b/test/site-faults.ts
@@ -94,18 +94,18 @@
 		}
 
 		case Fault.SilenceWorker: {
-			host.worker.isSilent = true;
+			host.worker.isUnresponsive = true;
 			later(() => {
-				host.worker.isSilent = false;
+				host.worker.isUnresponsive = false;
 			});
 			break;
 		}
 
 		case Fault.LateOrders:
 		case Fault.LostAnswers: {
-			host.worker.fault = () => faultType === Fault.LateOrders ? OrderFault.DoLate : OrderFault.LoseAnswer;
+			host.worker.getFault = () => faultType === Fault.LateOrders ? OrderFault.ExecuteLate : OrderFault.LoseAnswer;
 			later(() => {
-				host.worker.fault = () => OrderFault.None;
+				host.worker.getFault = () => OrderFault.None;
 			});
 			break;
 		}
@@ -127,10 +127,10 @@
 		case Fault.CutStore:
 		case Fault.StoreAway:
 		case Fault.StoreLoses: {
-			const {fault, until} = createOutage(faultType === Fault.StoreLoses ? StoreFault.LoseAnswer : StoreFault.Silence, site.clock.monotonicMs() + forMs);
+			const {fault, until} = createOutage(faultType === Fault.StoreLoses ? StoreFault.LoseAnswer : StoreFault.LoseRequest, site.clock.monotonicMs() + forMs);
 			const victim = target % 2 === 0 ? host.name : entryName;
-			const before = site.store.fault;
-			site.store.fault = call => {
+			const before = site.store.getFault;
+			site.store.getFault = call => {
 				const isHit = site.clock.monotonicMs() < until
 					&& (faultType !== Fault.CutStore || call.client === victim) && (faultType !== Fault.StoreLoses || call.kind === 'append');
 				return isHit ? fault : before(call);
--- a/test/site-relay.test.ts
+++ b/test/site-relay.test.ts
@@ -36,8 +36,8 @@
 };
 
 const cut = (site: SimulatedSite, entry: string, fault: StoreFault, isKnown = true): void => {
-	const before = site.store.fault;
-	site.store.fault = call => call.client === entry ? fault : before(call);
+	const before = site.store.getFault;
+	site.store.getFault = call => call.client === entry ? fault : before(call);
 	if (isKnown) {
 		site.storeLost.add(entry);
 	}
@@ -53,7 +53,7 @@
 });
 
 it('have them accepted before the store is known to be lost', async () => {
-	currentSite = await createCut(StoreFault.Silence, false);
+	currentSite = await createCut(StoreFault.LoseRequest, false);
 	const startMs = currentSite.clock.monotonicMs();
 	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.Accepted});
 	expect(currentSite.clock.monotonicMs() - startMs).toBeLessThan(1000);
@@ -62,7 +62,7 @@
 it('get the final state of a job that the entry has not read', async () => {
 	currentSite = await createCut(StoreFault.None);
 	await currentSite.submit(jobId, spec, 'entry-0');
-	cut(currentSite, 'entry-0', StoreFault.Silence);
+	cut(currentSite, 'entry-0', StoreFault.LoseRequest);
 	await currentSite.clock.advance(4000);
 	expect(await currentSite.getState(jobId, 'entry-0')).toBe(WorkflowState.Completed);
 });
@@ -77,7 +77,7 @@
 	await currentSite.submit(jobId, spec, 'entry-0');
 	await currentSite.clock.advance(4000);
 	for (const entry of currentSite.entries.keys()) {
-		cut(currentSite, entry, StoreFault.Silence);
+		cut(currentSite, entry, StoreFault.LoseRequest);
 	}
 
 	expect(await currentSite.cancel(jobId, 'entry-0')).toBe(LookupOutcome.Found);
@@ -87,7 +87,7 @@
 	currentSite = await createCut(StoreFault.None);
 	currentSite.plan = () => ({workMs: 20_000});
 	await currentSite.submit(jobId, spec, 'entry-1');
-	cut(currentSite, 'entry-0', StoreFault.Silence);
+	cut(currentSite, 'entry-0', StoreFault.LoseRequest);
 	expect(await currentSite.cancel(jobId, 'entry-0')).toBe(LookupOutcome.Found);
 	await currentSite.clock.advance(3000);
 	expect(await currentSite.getState(jobId, 'entry-1')).toBe(WorkflowState.Cancelled);
@@ -118,7 +118,7 @@
 
 it('are refused soon when the store refuses all entries and is not known to be lost', async () => {
 	currentSite = await createRelaying();
-	currentSite.store.fault = () => StoreFault.Refuse;
+	currentSite.store.getFault = () => StoreFault.Refuse;
 	const startMs = currentSite.clock.monotonicMs();
 	expect(await currentSite.submit(jobId, spec, 'entry-0')).toMatchObject({outcome: SubmitOutcome.NotAccepted});
 	expect(currentSite.clock.monotonicMs() - startMs).toBeLessThan(800);
@@ -127,7 +127,7 @@
 it('are refused, not left with an unknown outcome, when the other entries have just lost the store', async () => {
 	currentSite = await createCut(StoreFault.Refuse);
 	for (const entry of ['entry-1', 'entry-2']) {
-		cut(currentSite, entry, StoreFault.Silence, false);
+		cut(currentSite, entry, StoreFault.LoseRequest, false);
 		currentSite.storeFailing.add(entry);
 	}
 
@@ -150,7 +150,7 @@
 	currentSite = await createRelaying();
 	const owner = currentSite.getOwnerName();
 	const other = [...currentSite.entries.keys()].find(name => name !== owner)!;
-	cut(currentSite, other, StoreFault.DoLate, false);
+	cut(currentSite, other, StoreFault.ExecuteLate, false);
 	await currentSite.submit(jobId, spec, other);
 	await currentSite.clock.advance(8000);
 	expect(currentSite.getStarts(`${jobId}.0.0.0`)).toBe(1);
--- a/test/site-takeover.test.ts
+++ b/test/site-takeover.test.ts
@@ -50,15 +50,15 @@
 		site.plan = ({run}) => ({workMs: run === 3 ? 4000 : 100, isFailing: true});
 		await site.submit(jobId, createSpec([createStep()]));
 		const owner = site.getOwnerName()!;
-		site.store.fault = ({kind, client}) => kind === 'append' && client === owner ? StoreFault.Refuse : StoreFault.None;
+		site.store.getFault = ({kind, client}) => kind === 'append' && client === owner ? StoreFault.Refuse : StoreFault.None;
 		await site.waitFor(() => site.getStarts(`${jobId}.0.0.0`) === 3, 3000);
 		site.killEntry(owner);
 		await site.clock.advance(2500);
 		expect(site.getOwnerName()).not.toBe(owner);
-		site.store.fault = ({kind}) => kind === 'append' ? StoreFault.Refuse : StoreFault.None;
+		site.store.getFault = ({kind}) => kind === 'append' ? StoreFault.Refuse : StoreFault.None;
 		await site.clock.advance(3000);
 		expect(site.getStarts(`${jobId}.0.0.0`)).toBe(3);
-		site.store.fault = () => StoreFault.None;
+		site.store.getFault = () => StoreFault.None;
 		await site.clock.advance(1000);
 		expect(await site.getState(jobId)).toBe(WorkflowState.Failed);
 	});
@@ -136,7 +136,7 @@
 		site.cuts.add(`${survivor}>host-0`);
 		site.addHost('host-2');
 		// Cuts the agent off from the store as well, so that its leases expire.
-		site.store.fault = ({client}) => client === 'host-0' ? StoreFault.Silence : StoreFault.None;
+		site.store.getFault = ({client}) => client === 'host-0' ? StoreFault.LoseRequest : StoreFault.None;
 		const tookMs = await site.waitFor(() => site.getStarts(`${jobId}.0.0.0`) + site.getStarts(`${jobId}.0.0.1`) > 2, 20_000);
 		expect(tookMs).toBeGreaterThan(5000);
 		expect(tookMs).toBeLessThan(14_000);
@@ -253,9 +253,9 @@
 		site.plan = () => ({workMs: 9000});
 		await site.submit(jobId, createSpec([createStep({count: 4})]));
 		await site.clock.advance(500);
-		site.store.fault = () => StoreFault.Silence;
+		site.store.getFault = () => StoreFault.LoseRequest;
 		await site.clock.advance(5000);
-		site.store.fault = () => StoreFault.None;
+		site.store.getFault = () => StoreFault.None;
 		await site.clock.advance(6000);
 		expect(site.events.filter(event => event.type === 'ended').map(event => event.end)).toEqual(Array.from({length: 4}, () => RunEnd.Done));
 		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
@@ -267,11 +267,11 @@
 	*/
 	it('refuses starts that are carried out late', async () => {
 		await startSite();
-		site.hosts.get('host-0')!.worker.fault = order => order === 'start' ? OrderFault.DoLate : OrderFault.None;
+		site.hosts.get('host-0')!.worker.getFault = order => order === 'start' ? OrderFault.ExecuteLate : OrderFault.None;
 		site.plan = () => ({workMs: 9000});
 		await site.submit(jobId, createSpec([createStep({count: 4})]));
 		await site.clock.advance(1000);
-		site.hosts.get('host-0')!.worker.fault = () => OrderFault.None;
+		site.hosts.get('host-0')!.worker.getFault = () => OrderFault.None;
 		await site.clock.advance(12_000);
 		expect(await site.getState(jobId)).toBe(WorkflowState.Completed);
 	});
@@ -279,7 +279,7 @@
 	it('finds the run of a start whose answer was lost, and does not start it again', async () => {
 		await startSite();
 		for (const {worker} of site.hosts.values()) {
-			worker.fault = order => order === 'start' ? OrderFault.LoseAnswer : OrderFault.None;
+			worker.getFault = order => order === 'start' ? OrderFault.LoseAnswer : OrderFault.None;
 		}
 
 		await site.submit(jobId, createSpec([createStep({count: 4})]));
@@ -304,7 +304,7 @@
 		site.plan = () => ({workMs: 60_000});
 		await site.submit(jobId, createSpec([createStep({milliCpu: 3000, count: 2})]));
 		await site.clock.advance(500);
-		site.hosts.get('host-0')!.worker.isSilent = true;
+		site.hosts.get('host-0')!.worker.isUnresponsive = true;
 		site.addHost('host-2');
 		const tookMs = await site.waitFor(() => site.events.filter(event => event.type === 'started').length > 2, 30_000);
 		expect(tookMs).toBeGreaterThan(4000);
--- a/test/slots.test.ts
+++ b/test/slots.test.ts
@@ -1,6 +1,6 @@
 import {afterEach, expect, test} from 'vitest';
 import fc from 'fast-check';
-import {defaultSlotsCondition, measureSlots, SlotDivision} from '../src/measure/slots-measure.ts';
+import {defaultSlotsCondition, measureSlots, SlotDivision} from '../src/measure/slots-measurement.ts';
 import {divideByDemand, getWaitingPart} from '../src/requests/slot-policy.ts';
 import {ServiceName} from '../src/types/services.ts';
 import {upstreamSlots, SimulatedMembership, type SimulatedEntry} from './simulated-membership.ts';
