--- a/src/workflows/agent-loss-monitor.ts
+++ b/src/workflows/agent-loss-monitor.ts
@@ -34,7 +34,7 @@
 const storeTimeoutMs = 1000;
 
 /** Longest time that leases last after a claim or a declaration was stored. */
-export const getLeaseExpiryMs = (leaseHorizonMs: number): number => (leaseHorizonMs / (1 - maxClockSlowShare)) + lostSlackMs;
+export const getLeaseExpiryMs = (leaseDurationMs: number): number => (leaseDurationMs / (1 - maxClockSlowShare)) + lostSlackMs;
 
 /** Detects the lost agents of one owner. */
 export class AgentLossMonitor {
--- a/src/workflows/crash-attribution.ts
+++ b/src/workflows/crash-attribution.ts
@@ -56,7 +56,7 @@
 const isInQuarantine = ({ageMs, isNewest}: TaskCrash, earlier: TaskCrash[]): boolean =>
 	isNewest && isSuspect(earlier) && ageMs <= getQuarantineMs(earlier);
 
-/** Whether the task fails because of its crashes. They are judged by run number, so the order in which they are reported does not matter. */
+/** Whether the task fails because of its crashes. They are evaluated in order of run number, so the order in which they are reported does not matter. */
 export const isCrashLimitReached = (crashes: TaskCrash[]): boolean => {
 	const hosts = new Set<string>();
 	const earlier: TaskCrash[] = [];
--- a/src/workflows/fold.ts
+++ b/src/workflows/fold.ts
@@ -131,8 +131,8 @@
 			}
 
 			case RecordType.Checkpoints: {
-				for (const saved of record.runs) {
-					this.#applyCheckpoint(saved);
+				for (const run of record.runs) {
+					this.#applyCheckpoint(run);
 				}
 
 				break;
--- a/src/workflows/live-model.ts
+++ b/src/workflows/live-model.ts
@@ -193,17 +193,17 @@
 
 	/** Returns checkpoints of active runs that the stream does not hold, and marks them as stored. */
 	takeUnstoredCheckpoints(): RunCheckpoint[] {
-		const saved: RunCheckpoint[] = [];
+		const checkpoints: RunCheckpoint[] = [];
 		for (const workflow of this.workflows.values()) {
 			for (const {task, run} of workflow.isFinished ? [] : getActiveRuns(workflow)) {
 				if (task.checkpoint !== task.storedCheckpoint && !task.isDone) {
 					task.storedCheckpoint = task.checkpoint;
-					saved.push({taskId: task.taskId, run, checkpoint: task.checkpoint});
+					checkpoints.push({taskId: task.taskId, run, checkpoint: task.checkpoint});
 				}
 			}
 		}
 
-		return saved;
+		return checkpoints;
 	}
 
 	/** Incomplete occurrences of unfinished jobs without long-running steps. */
@@ -254,7 +254,7 @@
 	}
 }
 
-/** Tasks that start, succeed and fail together: the fullPercent gang, or the task alone. */
+/** Tasks that start, succeed and fail together: the whole gang, or the task alone. */
 export const getUnit = (task: LiveTask): LiveTask[] => task.step.spec.isGang ? task.step.tasks : [task];
 
 /** When an occurrence is due, in ms since 1970; 0 for a job that does not repeat. */
--- a/src/workflows/owner-log.ts
+++ b/src/workflows/owner-log.ts
@@ -129,14 +129,14 @@
 	}
 
 	/** Stores checkpoints of active runs once per interval, in case all hosts that know them lose power together. */
-	storeCheckpoints(getSaved: () => RunCheckpoint[]): void {
+	storeCheckpoints(getCheckpoints: () => RunCheckpoint[]): void {
 		const nowMs = this.#options.clock.monotonicMs();
 		if (nowMs - this.#checkpointsSentAtMs < checkpointIntervalMs) {
 			return;
 		}
 
 		this.#checkpointsSentAtMs = nowMs;
-		const runs = getSaved();
+		const runs = getCheckpoints();
 		if (runs.length > 0) {
 			void this.#write({type: RecordType.Checkpoints, runs});
 		}
--- a/src/workflows/owner.ts
+++ b/src/workflows/owner.ts
@@ -138,7 +138,7 @@
 			isAllowed: this.#isAllowed,
 			quarantine: this.#quarantine,
 			getWaiting: nowMs => this.#getStartableTasks(nowMs),
-			getWorkers: nowMs => this.#getOpenWorkers(nowMs),
+			getWorkers: nowMs => this.#getSchedulableWorkers(nowMs),
 			getRuns: () => [...this.links.workers.values()].flatMap(worker => [...worker.runs]),
 			getStartDelayMs: () => this.#sender.startDelayMs,
 			onStarts: starts => {
@@ -317,7 +317,7 @@
 		}
 	}
 
-	#getOpenWorkers(nowMs: number): FleetWorker[] {
+	#getSchedulableWorkers(nowMs: number): FleetWorker[] {
 		const {policy, getEvacuations} = this.#options;
 		return getSchedulableWorkers(this.links.workers.values(), {nowMs, policy, evacuated: getEvacuations().failureDomains});
 	}
@@ -327,7 +327,7 @@
 		const {clock, policy} = this.#options;
 		const nowMs = clock.monotonicMs();
 		const moves = chooseMoves({
-			workers: this.links.workers.values(), nowMs, policy, canPlace: createPlacementCheck(this.#getOpenWorkers(nowMs).filter(worker => !this.#quarantine.isClosed(worker)), {interference: this.#interference, isAllowed: this.#isAllowed, policy}),
+			workers: this.links.workers.values(), nowMs, policy, canPlace: createPlacementCheck(this.#getSchedulableWorkers(nowMs).filter(worker => !this.#quarantine.isClosed(worker)), {interference: this.#interference, isAllowed: this.#isAllowed, policy}),
 		});
 		for (const {worker, run} of moves) {
 			this.#options.note('run moved', {
--- a/src/workflows/ownership.ts
+++ b/src/workflows/ownership.ts
@@ -159,14 +159,14 @@
 		const {clock, store, group, member, topic} = this.#options;
 		const sentAtMs = clock.monotonicMs();
 		this.#isMember = true;
-		const share = await store.join({
+		const assignment = await store.join({
 			group, member, topics: [topic], ttlMs: this.#getTtlMs(), generation: this.#generation,
 		});
 		this.#lastHeartbeatAtMs = sentAtMs;
 		this.#noteReached(true, '');
 		this.#noteGap(sentAtMs);
 		if (!signal.aborted && !this.#isLeaving) {
-			this.#applyAssignment(share.generation, new Set(share.partitions.map(({partition}) => partition)));
+			this.#applyAssignment(assignment.generation, new Set(assignment.partitions.map(({partition}) => partition)));
 		}
 	}
 
--- a/src/workflows/placement-candidates.ts
+++ b/src/workflows/placement-candidates.ts
@@ -22,7 +22,7 @@
 	demands: BestEffortDemand[];
 	/** One entry for each latency-critical job on the worker: its tasks have the same load. */
 	latencyCriticalLoads: LatencyCriticalLoad[];
-	/** Cached share of the CPU at work for best-effort tasks, and gain from one more task by image and size. Cleared by an assignment. */
+	/** Cached share of the CPU that the best-effort tasks on the worker can use, and gain from one more task by image and size. Cleared by an assignment. */
 	bestEffortShare: number | undefined;
 	bestEffortGains: Map<string, number>;
 };
--- a/src/workflows/relaying-api.ts
+++ b/src/workflows/relaying-api.ts
@@ -135,7 +135,7 @@
 		}
 
 		if (isOpen || isUnanswered) {
-			this.#noteOpen(id);
+			this.#addOpen(id);
 		}
 
 		return this.#open.has(id)
@@ -143,7 +143,7 @@
 			: {outcome: SubmitOutcome.NotAccepted, reason: 'no other entry reaches the store'};
 	}
 
-	#noteOpen(id: string): void {
+	#addOpen(id: string): void {
 		this.#open.add(id);
 		if (this.#open.size > maxOpen) {
 			this.#open.delete(this.#open.values().next().value!);
--- a/src/workflows/run-tracker.ts
+++ b/src/workflows/run-tracker.ts
@@ -159,7 +159,7 @@
 			}
 		}
 
-		this.#loseUnlisted(worker, reply, listed, nowMs);
+		this.#markUnlistedLost(worker, reply, listed, nowMs);
 	}
 
 	/** Marks all runs on the worker as lost. */
@@ -330,7 +330,7 @@
 	}
 
 	/** Handles runs that the agent does not list as running, starting or ended: they have ended or never began. */
-	#loseUnlisted(worker: FleetWorker, reply: WatchReply, listed: Set<LiveRun>, nowMs: number): void {
+	#markUnlistedLost(worker: FleetWorker, reply: WatchReply, listed: Set<LiveRun>, nowMs: number): void {
 		for (const run of worker.runs) {
 			if (listed.has(run) || run.isOrderPending) {
 				continue;
--- a/src/workflows/scheduling-cycles.ts
+++ b/src/workflows/scheduling-cycles.ts
@@ -125,13 +125,13 @@
 	#logWaits(waits: Map<WaitReason, number>, spareMilliCpu: number): void {
 		const {model, getRuns, note} = this.#options;
 		const runs = getRuns();
-		const filling = runs.filter(run => run.task.step.spec.isFilling);
+		const bestEffortRuns = runs.filter(run => run.task.step.spec.isFilling);
 		note('tasks wait', {
 			waits: Object.fromEntries(waits),
 			jobs: model.workflows.size,
 			running: runs.length,
-			filling: filling.length,
-			fillingMilliCpu: Math.round(sum(filling.map(({recent}) => recent))),
+			filling: bestEffortRuns.length,
+			fillingMilliCpu: Math.round(sum(bestEffortRuns.map(({recent}) => recent))),
 			spareMilliCpu: Math.round(spareMilliCpu),
 			backlogCoreMs: Math.round(sum([...this.#remainingWork.values()].map(({remainingCoreMs}) => remainingCoreMs))),
 		});
--- a/src/workflows/snapshot-writer.ts
+++ b/src/workflows/snapshot-writer.ts
@@ -11,7 +11,7 @@
 const maxSnapshots = 20;
 
 /** Creates the due snapshots. A finished job gets one last snapshot. */
-export const getDueSnapshots = (fold: WorkflowFold, clock: Clock, keptMs: number): WorkflowRecord[] => {
+export const getDueSnapshots = (fold: WorkflowFold, clock: Clock, retentionMs: number): WorkflowRecord[] => {
 	const wallMs = clock.now().getTime();
 	const records: WorkflowRecord[] = [];
 	for (const folded of fold.workflows.values()) {
@@ -19,7 +19,7 @@
 			break;
 		}
 
-		if (!folded.hasFinalSnapshot && wallMs - folded.writtenAtMs > keptMs * snapshotShare) {
+		if (!folded.hasFinalSnapshot && wallMs - folded.writtenAtMs > retentionMs * snapshotShare) {
 			records.push({type: RecordType.Snapshot, job: createSnapshot(folded, wallMs)});
 			// Not due again until this record is read back; if it is lost, it is due again after another `snapshotShare`.
 			folded.writtenAtMs = wallMs;
@@ -34,10 +34,10 @@
 });
 
 /** Drops finished jobs from the fold whose last snapshot is older than the retention. */
-export const dropExpired = (fold: WorkflowFold, clock: Clock, keptMs: number): void => {
+export const dropExpired = (fold: WorkflowFold, clock: Clock, retentionMs: number): void => {
 	const wallMs = clock.now().getTime();
 	for (const [id, {state, hasFinalSnapshot, writtenAtMs}] of fold.workflows) {
-		if (isFinal(state) && hasFinalSnapshot && wallMs - writtenAtMs > keptMs) {
+		if (isFinal(state) && hasFinalSnapshot && wallMs - writtenAtMs > retentionMs) {
 			fold.workflows.delete(id);
 		}
 	}
--- a/src/workflows/workflow-api.ts
+++ b/src/workflows/workflow-api.ts
@@ -35,7 +35,7 @@
 /** Records are batched for this long: at the peak some ten a second come to an entry. */
 const gatherMs = 2;
 /** A record that the store has refused for this long is not accepted, so that the caller tries another entry. */
-const giveUpAfterMs = 400;
+const recordExpiryMs = 400;
 /** Retry interval proposed to callers: a few retries this far apart outlast an outage of the store. */
 const retryAfterMs = 2000;
 /** Time-out of reading to the end of the stream; after it the state of a job that was not found is unknown. */
@@ -148,7 +148,7 @@
 		if (!writer) {
 			const {store, clock, producer, maxCallBytes, onWriterNote} = this.#options;
 			writer = new ProducerWriter({
-				store, clock, ref: {topic: workflowsTopic, partition}, producer, epoch: 1, lingerMs: gatherMs, expireAfterMs: giveUpAfterMs, maxBatchBytes: maxCallBytes / 2, onEvent: onWriterNote,
+				store, clock, ref: {topic: workflowsTopic, partition}, producer, epoch: 1, lingerMs: gatherMs, expireAfterMs: recordExpiryMs, maxBatchBytes: maxCallBytes / 2, onEvent: onWriterNote,
 			});
 			this.#writers.set(partition, writer);
 		}
--- a/test/pair-effects.test.ts
+++ b/test/pair-effects.test.ts
@@ -67,17 +67,17 @@
 });
 
 it('lets a job with many tasks of an unknown image proceed after the first reports of its effect', () => {
-	const harm = new BestEffortInterference();
+	const interference = new BestEffortInterference();
 	const task: LatencyCriticalTask = {image: 'server', job: 'job.0', latencyRatio: 0.3};
 	for (let nowMs = 0; nowMs <= 3000; nowMs += 400) {
-		harm.observe([task], [], nowMs);
+		interference.observe([task], [], nowMs);
 	}
 
 	const group: BestEffortGroup = {
 		image: 'filler', share, usedShare: share, peakShare: share, throttlePercent: 100, sinceChangeMs: 1000,
 	};
 	const ratio = (1 / 6) / (1 - (getLoadAt(0.3) + (0.5 * share)));
-	harm.observe([{...task, latencyRatio: ratio}], [group], 3400);
-	harm.observe([{...task, latencyRatio: ratio}], [group], 3800);
-	expect(harm.isKnown('server', 'filler')).toBe(true);
+	interference.observe([{...task, latencyRatio: ratio}], [group], 3400);
+	interference.observe([{...task, latencyRatio: ratio}], [group], 3800);
+	expect(interference.isKnown('server', 'filler')).toBe(true);
 });
--- a/test/quarantine.test.ts
+++ b/test/quarantine.test.ts
@@ -28,34 +28,34 @@
 
 /** Places one task on each worker that may take one; all tasks or none. */
 const createPlace = (mayTake: (worker: FleetWorker) => boolean) => (tasks: LiveTask[], workers: FleetWorker[]): Start[] => {
-	const open = workers.filter(worker => mayTake(worker));
-	return open.length < tasks.length ? [] : tasks.map((task, index) => ({task, worker: open[index]!}));
+	const suitable = workers.filter(worker => mayTake(worker));
+	return suitable.length < tasks.length ? [] : tasks.map((task, index) => ({task, worker: suitable[index]!}));
 };
 
 it('finds the one worker that may take a suspect', () => {
-	const open = createFleet(12);
-	const {starts} = createQuarantine(open).arrange({
-		waiting: createSuspects(1), schedulable: open, nowMs: 1000, place: createPlace(({host}) => host === 'host-11'),
+	const workers = createFleet(12);
+	const {starts} = createQuarantine(workers).arrange({
+		waiting: createSuspects(1), schedulable: workers, nowMs: 1000, place: createPlace(({host}) => host === 'host-11'),
 	});
 	expect(starts.map(({worker}) => worker.host)).toEqual(['host-11']);
 });
 
 it('finds the workers for a suspected gang', () => {
-	const open = createFleet(12);
-	const {starts} = createQuarantine(open).arrange({
-		waiting: createSuspects(3, true), schedulable: open, nowMs: 1000, place: createPlace(({host}) => ['host-7', 'host-9', 'host-11'].includes(host)),
+	const workers = createFleet(12);
+	const {starts} = createQuarantine(workers).arrange({
+		waiting: createSuspects(3, true), schedulable: workers, nowMs: 1000, place: createPlace(({host}) => ['host-7', 'host-9', 'host-11'].includes(host)),
 	});
 	expect(starts).toHaveLength(3);
 });
 
 it('holds at most a tenth of the workers, each for one suspect and closed to others', () => {
-	const open = createFleet(40);
-	const quarantine = createQuarantine(open);
-	const {starts, waiting, schedulable: left} = quarantine.arrange({
-		waiting: createSuspects(20), schedulable: open, nowMs: 1000, place: createPlace(() => true),
+	const workers = createFleet(40);
+	const quarantine = createQuarantine(workers);
+	const {starts, waiting, schedulable: remaining} = quarantine.arrange({
+		waiting: createSuspects(20), schedulable: workers, nowMs: 1000, place: createPlace(() => true),
 	});
 	expect(new Set(starts.map(({worker}) => worker.host)).size).toBe(4);
 	expect(starts).toHaveLength(4);
 	expect(waiting).toEqual([]);
-	expect(left).toHaveLength(36);
+	expect(remaining).toHaveLength(36);
 });
--- a/test/site-behind.test.ts
+++ b/test/site-behind.test.ts
@@ -74,8 +74,8 @@
 		await site.submit(jobId, chain);
 		await site.clock.advance(2000);
 		site.store.getFault = () => StoreFault.Refuse;
-		const awayAtMs = site.clock.monotonicMs();
+		const unavailableAtMs = site.clock.monotonicMs();
 		await site.clock.advance(4500);
-		expect(getLastStartMs()).toBeGreaterThan(awayAtMs + 3500);
+		expect(getLastStartMs()).toBeGreaterThan(unavailableAtMs + 3500);
 	});
 });
--- a/test/site-capacity.test.ts
+++ b/test/site-capacity.test.ts
@@ -7,11 +7,11 @@
 import {createSite, jobId, otherId} from './site-setup.ts';
 import {createSpec, createStep, type SimulatedSite} from './simulated-site.ts';
 
-let world: SimulatedSite;
+let site: SimulatedSite;
 
 afterEach(() => {
-	world.stop();
-	expect(world.violations).toEqual([]);
+	site.stop();
+	expect(site.violations).toEqual([]);
 });
 
 /** Latency of a call to the worker. */
@@ -19,37 +19,37 @@
 
 /** The worker announces its new capacity, and changes it once calls sent before have arrived. */
 const setCapacity = async (host: string, milliCpu: number): Promise<void> => {
-	const {worker, agent} = world.hosts.get(host)!;
+	const {worker, agent} = site.hosts.get(host)!;
 	agent!.handleAnnouncement({...worker.announce(), milliCpu});
-	await world.clock.advance(callMs);
+	await site.clock.advance(callMs);
 	worker.setMilliCpu(milliCpu);
 };
 
 const createId = (number: number): string => number.toString(16).padStart(16, '0');
 
-const isAnyRunning = (host: string): boolean => world.hosts.get(host)!.worker.running.size > 0;
+const isAnyRunning = (host: string): boolean => site.hosts.get(host)!.worker.running.size > 0;
 
 it('are not overcommitted while their owner does not know of the reduced capacity', async () => {
-	world = await createSite(1);
-	world.plan = () => ({workMs: 300});
+	site = await createSite(1);
+	site.plan = () => ({workMs: 300});
 	for (let round = 0; round < 20; round++) {
 		const id = createId(round + 1);
 		await setCapacity('host-0', 1000);
-		await world.submit(id, createSpec([createStep({count: 4})]));
-		await world.clock.advance(400);
+		await site.submit(id, createSpec([createStep({count: 4})]));
+		await site.clock.advance(400);
 		await setCapacity('host-0', 4000);
-		await world.clock.advance(700);
+		await site.clock.advance(700);
 	}
 
-	expect(world.events.filter(event => event.type === 'ended').length).toBe(80);
+	expect(site.events.filter(event => event.type === 'ended').length).toBe(80);
 });
 
 it('refuse an order that was decided when they had more capacity', async () => {
-	world = await createSite(1);
+	site = await createSite(1);
 	await setCapacity('host-0', 1000);
-	const {agent, worker, clock} = world.hosts.get('host-0')!;
-	const {answers} = await world.settle(agent!.order({
-		epoch: world.entries.get('entry-0')!.follower.fold.epoch,
+	const {agent, worker, clock} = site.hosts.get('host-0')!;
+	const {answers} = await site.settle(agent!.order({
+		epoch: site.entries.get('entry-0')!.follower.fold.epoch,
 		workerId: worker.workerId,
 		agentLife: agent!.state.life,
 		notAfterMs: clock.monotonicMs() + 1000,
@@ -65,48 +65,48 @@
 });
 
 it('get no further task while running tasks are being stopped or use all remaining capacity', async () => {
-	world = await createSite(1);
-	world.plan = () => ({workMs: 3000});
-	await world.submit(jobId, createSpec([createStep({count: 2})]));
-	await world.waitFor(() => isAnyRunning('host-0'), 2000);
+	site = await createSite(1);
+	site.plan = () => ({workMs: 3000});
+	await site.submit(jobId, createSpec([createStep({count: 2})]));
+	await site.waitFor(() => isAnyRunning('host-0'), 2000);
 	await setCapacity('host-0', 2000);
-	await world.submit(otherId, createSpec([createStep()]));
-	await world.cancel(jobId);
-	await world.waitFor(() => world.isRunning(`${otherId}.0.0.0`), 5000);
-	expect(world.isRunning(`${jobId}.0.0.0`)).toBe(false);
+	await site.submit(otherId, createSpec([createStep()]));
+	await site.cancel(jobId);
+	await site.waitFor(() => site.isRunning(`${otherId}.0.0.0`), 5000);
+	expect(site.isRunning(`${jobId}.0.0.0`)).toBe(false);
 });
 
 it('get tasks again as soon as their capacity has grown', async () => {
-	world = await createSite(1);
+	site = await createSite(1);
 	await setCapacity('host-0', 500);
-	await world.clock.advance(1000);
-	await world.submit(jobId, createSpec([createStep()]));
-	await world.clock.advance(2000);
-	expect(world.getStarts(`${jobId}.0.0.0`)).toBe(0);
+	await site.clock.advance(1000);
+	await site.submit(jobId, createSpec([createStep()]));
+	await site.clock.advance(2000);
+	expect(site.getStarts(`${jobId}.0.0.0`)).toBe(0);
 	await setCapacity('host-0', 4000);
-	expect(await world.waitFor(() => world.isRunning(`${jobId}.0.0.0`), 5000)).toBeLessThan(100);
+	expect(await site.waitFor(() => site.isRunning(`${jobId}.0.0.0`), 5000)).toBeLessThan(100);
 });
 
 it('may have no capacity for a while, also for best-effort and latency-critical tasks', async () => {
-	world = await createSite(2);
-	world.plan = ({taskId}) => ({workMs: taskId.startsWith(otherId) ? undefined : 1000});
-	await world.submit(otherId, createSpec([createStep({
+	site = await createSite(2);
+	site.plan = ({taskId}) => ({workMs: taskId.startsWith(otherId) ? undefined : 1000});
+	await site.submit(otherId, createSpec([createStep({
 		count: 2, maxPerWorker: 1, isLasting: true, image: 'serve', targetMs: 100,
 	})]));
-	await world.clock.advance(500);
+	await site.clock.advance(500);
 	const steps = [createStep({count: 6, isFilling: true, image: 'fill'}), createStep({count: 4})];
-	await world.submit(createId(1), createSpec(steps));
-	await world.clock.advance(100);
+	await site.submit(createId(1), createSpec(steps));
+	await site.clock.advance(100);
 	await setCapacity('host-0', 0);
-	await world.clock.advance(1500);
-	await world.submit(createId(2), createSpec(steps));
-	await world.clock.advance(800);
-	expect([...world.hosts.get('host-0')!.worker.running.keys()]).not.toContainEqual(expect.stringContaining(createId(2)));
-	await world.clock.advance(9000);
-	expect(await world.getState(createId(1))).toBe(WorkflowState.Completed);
-	expect(await world.getState(createId(2))).toBe(WorkflowState.Completed);
+	await site.clock.advance(1500);
+	await site.submit(createId(2), createSpec(steps));
+	await site.clock.advance(800);
+	expect([...site.hosts.get('host-0')!.worker.running.keys()]).not.toContainEqual(expect.stringContaining(createId(2)));
+	await site.clock.advance(9000);
+	expect(await site.getState(createId(1))).toBe(WorkflowState.Completed);
+	expect(await site.getState(createId(2))).toBe(WorkflowState.Completed);
 	await setCapacity('host-0', 4000);
-	await world.submit(createId(3), createSpec([createStep({count: 8, isFilling: true, image: 'fill'})]));
-	await world.clock.advance(500);
-	expect([...world.hosts.get('host-0')!.worker.running.keys()]).toContainEqual(expect.stringContaining(createId(3)));
+	await site.submit(createId(3), createSpec([createStep({count: 8, isFilling: true, image: 'fill'})]));
+	await site.clock.advance(500);
+	expect([...site.hosts.get('host-0')!.worker.running.keys()]).toContainEqual(expect.stringContaining(createId(3)));
 });
--- a/test/site-decisions.test.ts
+++ b/test/site-decisions.test.ts
@@ -224,9 +224,9 @@
 
 	/**
 	Guards against a cancelled job that runs on. An entry reads from the oldest record that the store still has: the job's first
-	record is gone, and its cancellation comes before the record that the owner rewrote from earlier knowledge.
+	record is gone, and its cancellation comes before the snapshot that the owner wrote without having read the cancellation.
 	*/
-	it('restores a rewritten job, and applies the records before it', () => {
+	it('restores a job from its snapshot, and applies the records before it', () => {
 		const fold = new WorkflowFold();
 		const workflow = createWorkflow('a', createSpec([createStep({count: 2})]));
 		fold.apply({type: RecordType.Cancel, id: 'a'}, 7);
@@ -239,7 +239,7 @@
 		expect(fold.offset).toBe(9);
 	});
 
-	it('counts jobs that have not begun', () => {
+	it('counts jobs that have not started', () => {
 		const fold = new WorkflowFold();
 		submit(fold, createWorkflow('a', createSpec([createStep()])));
 		submit(fold, createWorkflow('b', createSpec([createStep()])));
--- a/test/site-evacuation.test.ts
+++ b/test/site-evacuation.test.ts
@@ -15,27 +15,27 @@
 import {jobId, otherId} from './site-setup.ts';
 import {createSpec, createStep, SimulatedSite} from './simulated-site.ts';
 
-let world: SimulatedSite;
+let site: SimulatedSite;
 
 const createSite = async (domains: string[]): Promise<void> => {
-	world = new SimulatedSite();
+	site = new SimulatedSite();
 	for (const [index, domain] of domains.entries()) {
-		world.addHost(`host-${index}`, 4000, ['a', 'r1-1'], domain);
+		site.addHost(`host-${index}`, 4000, ['a', 'r1-1'], domain);
 	}
 
-	world.startEntry('entry-0');
-	world.startEntry('entry-1');
-	await world.clock.advance(2000);
+	site.startEntry('entry-0');
+	site.startEntry('entry-1');
+	await site.clock.advance(2000);
 };
 
 const setEvacuations = (asOf: number, ...failureDomains: string[]): void => {
 	const evacuations: Evacuations = {asOf, failureDomains};
-	world.getEvacuations = () => evacuations;
+	site.getEvacuations = () => evacuations;
 };
 
 const getStartsOn = (host: string, sinceIndex = 0): number => {
-	const {workerId} = world.hosts.get(host)!.worker;
-	return world.events.slice(sinceIndex).filter(event => event.type === 'started' && event.workerId === workerId).length;
+	const {workerId} = site.hosts.get(host)!.worker;
+	return site.events.slice(sinceIndex).filter(event => event.type === 'started' && event.workerId === workerId).length;
 };
 
 const createId = (number: number): string => number.toString(16).padStart(16, '0');
@@ -43,7 +43,7 @@
 const submitMany = async (count: number, from = 1): Promise<string[]> => {
 	const ids = Array.from({length: count}, (_, index) => createId(from + index));
 	for (const id of ids) {
-		await world.submit(id, createSpec([createStep({count: 2})]));
+		await site.submit(id, createSpec([createStep({count: 2})]));
 	}
 
 	return ids;
@@ -55,9 +55,9 @@
 
 /** Sends an order to start a task with the latest epoch, as an owner without access to the store would. */
 const orderStart = async (host: string) => {
-	const {agent, worker, clock} = world.hosts.get(host)!;
-	return world.settle(agent!.order({
-		epoch: world.entries.get('entry-0')!.follower.fold.epoch,
+	const {agent, worker, clock} = site.hosts.get(host)!;
+	return site.settle(agent!.order({
+		epoch: site.entries.get('entry-0')!.follower.fold.epoch,
 		workerId: worker.workerId,
 		agentLife: agent!.state.life,
 		notAfterMs: clock.monotonicMs() + 1000,
@@ -90,84 +90,84 @@
 
 describe('hosts of an evacuated failure domain', () => {
 	afterEach(() => {
-		world.stop();
-		expect(world.violations).toEqual([]);
+		site.stop();
+		expect(site.violations).toEqual([]);
 	});
 
 	it('get no start, and their running tasks run to their end', async () => {
 		await createSite(['hall-a', 'hall-b']);
-		world.plan = () => ({workMs: 3000});
-		await world.submit(jobId, createSpec([createStep({count: 8})]));
-		await world.waitFor(() => getStartsOn('host-0') === 4 && getStartsOn('host-1') === 4, 2000);
+		site.plan = () => ({workMs: 3000});
+		await site.submit(jobId, createSpec([createStep({count: 8})]));
+		await site.waitFor(() => getStartsOn('host-0') === 4 && getStartsOn('host-1') === 4, 2000);
 		setEvacuations(5, 'hall-a');
-		const since = world.events.length;
+		const since = site.events.length;
 		const ids = await submitMany(4);
-		await world.clock.advance(12_000);
+		await site.clock.advance(12_000);
 		expect(getStartsOn('host-0', since)).toBe(0);
-		expect(world.events.filter(event => event.type === 'ended' && event.end !== RunEnd.Done)).toEqual([]);
+		expect(site.events.filter(event => event.type === 'ended' && event.end !== RunEnd.Done)).toEqual([]);
 		for (const id of [jobId, ...ids]) {
-			expect(await world.getState(id)).toBe(WorkflowState.Completed);
+			expect(await site.getState(id)).toBe(WorkflowState.Completed);
 		}
 	});
 
 	it('get starts again once the request is withdrawn', async () => {
 		await createSite(['hall-a']);
 		setEvacuations(5, 'hall-a');
-		await world.clock.advance(1000);
+		await site.clock.advance(1000);
 		await submitMany(2);
-		await world.clock.advance(3000);
-		expect(world.events).toEqual([]);
+		await site.clock.advance(3000);
+		expect(site.events).toEqual([]);
 		setEvacuations(6);
-		expect(await world.waitFor(() => getStartsOn('host-0') === 4, 1500)).toBeDefined();
+		expect(await site.waitFor(() => getStartsOn('host-0') === 4, 1500)).toBeDefined();
 	});
 
 	it('get starts again when the request is withdrawn while their owner crashes', async () => {
 		await createSite(['hall-a']);
 		setEvacuations(5, 'hall-a');
-		await world.clock.advance(1000);
+		await site.clock.advance(1000);
 		await submitMany(1);
-		world.killEntry(world.getOwnerName()!);
+		site.killEntry(site.getOwnerName()!);
 		setEvacuations(6);
-		expect(await world.waitFor(() => getStartsOn('host-0') === 2, 8000)).toBeDefined();
+		expect(await site.waitFor(() => getStartsOn('host-0') === 2, 8000)).toBeDefined();
 	});
 
 	it('refuse the start of an owner that does not know of the request', async () => {
 		await createSite(['hall-a', 'hall-b']);
 		setEvacuations(5, 'hall-a');
-		await world.clock.advance(1000);
+		await site.clock.advance(1000);
 		expect(await orderStart('host-0')).toMatchObject({answers: [{isDone: false, refusal: OrderRefusal.Evacuated}]});
 	});
 
 	it('stay evacuated for an agent that starts after the store has dropped the record of the request', async () => {
 		await createSite(['hall-a', 'hall-b']);
 		setEvacuations(5, 'hall-a');
-		await world.clock.advance(45_000);
-		world.store.trim({topic: 'control', partition: world.controlPartition}, 3);
-		world.killAgent('host-0');
-		world.startAgent('host-0');
-		await world.clock.advance(8000);
+		await site.clock.advance(45_000);
+		site.store.trim({topic: 'control', partition: site.controlPartition}, 3);
+		site.killAgent('host-0');
+		site.startAgent('host-0');
+		await site.clock.advance(8000);
 		expect(await orderStart('host-0')).toMatchObject({answers: [{isDone: false, refusal: OrderRefusal.Evacuated}]});
 	});
 
 	it('do not count as evacuated when an older request arrives after its removal', async () => {
 		await createSite(['hall-a']);
 		setEvacuations(7);
-		await world.clock.advance(500);
+		await site.clock.advance(500);
 		setEvacuations(5, 'hall-a');
-		await world.clock.advance(500);
+		await site.clock.advance(500);
 		setEvacuations(7);
-		await world.submit(otherId, createSpec([createStep()]));
-		expect(await world.waitFor(() => getStartsOn('host-0') === 1, 1500)).toBeDefined();
+		await site.submit(otherId, createSpec([createStep()]));
+		expect(await site.waitFor(() => getStartsOn('host-0') === 1, 1500)).toBeDefined();
 	});
 
 	it('may be all hosts at once: waiting tasks start when one request is withdrawn', async () => {
 		await createSite(['hall-a', 'hall-b']);
 		setEvacuations(5, 'hall-a', 'hall-b');
 		await submitMany(2);
-		await world.clock.advance(2000);
-		expect(world.events).toEqual([]);
+		await site.clock.advance(2000);
+		expect(site.events).toEqual([]);
 		setEvacuations(6, 'hall-a');
-		expect(await world.waitFor(() => getStartsOn('host-1') === 4, 1500)).toBeDefined();
+		expect(await site.waitFor(() => getStartsOn('host-1') === 4, 1500)).toBeDefined();
 		expect(getStartsOn('host-0')).toBe(0);
 	});
 });
--- a/test/site-faults.ts
+++ b/test/site-faults.ts
@@ -17,13 +17,13 @@
 	KillAgent = 'kill-agent',
 	FreezeAgent = 'freeze-agent',
 	CrashWorker = 'crash-worker',
-	SilenceWorker = 'silence-worker',
+	UnresponsiveWorker = 'unresponsive-worker',
 	LateOrders = 'late-orders',
 	LostAnswers = 'lost-answers',
 	CutAgent = 'cut-agent',
 	CutStore = 'cut-store',
-	StoreAway = 'store-away',
-	StoreLoses = 'store-loses',
+	StoreUnavailable = 'store-unavailable',
+	LostStoreAnswers = 'lost-store-answers',
 	Rebalance = 'rebalance',
 	Submit = 'submit',
 }
@@ -93,7 +93,7 @@
 			break;
 		}
 
-		case Fault.SilenceWorker: {
+		case Fault.UnresponsiveWorker: {
 			host.worker.isUnresponsive = true;
 			later(() => {
 				host.worker.isUnresponsive = false;
@@ -125,14 +125,14 @@
 		}
 
 		case Fault.CutStore:
-		case Fault.StoreAway:
-		case Fault.StoreLoses: {
-			const {fault, until} = createOutage(faultType === Fault.StoreLoses ? StoreFault.LoseAnswer : StoreFault.LoseRequest, site.clock.monotonicMs() + forMs);
+		case Fault.StoreUnavailable:
+		case Fault.LostStoreAnswers: {
+			const {fault, until} = createOutage(faultType === Fault.LostStoreAnswers ? StoreFault.LoseAnswer : StoreFault.LoseRequest, site.clock.monotonicMs() + forMs);
 			const victim = target % 2 === 0 ? host.name : entryName;
 			const before = site.store.getFault;
 			site.store.getFault = call => {
 				const isHit = site.clock.monotonicMs() < until
-					&& (faultType !== Fault.CutStore || call.client === victim) && (faultType !== Fault.StoreLoses || call.kind === 'append');
+					&& (faultType !== Fault.CutStore || call.client === victim) && (faultType !== Fault.LostStoreAnswers || call.kind === 'append');
 				return isHit ? fault : before(call);
 			};
 
--- a/test/site-inputs.test.ts
+++ b/test/site-inputs.test.ts
@@ -105,17 +105,17 @@
 describe('readers of the store', () => {
 	/** Undecodable records between those of jobs are reported and skipped; every job is read. */
 	it('skip records that they cannot decode', async () => {
-		const world = new SimulatedSite();
-		const store = world.store.createClient('x');
+		const site = new SimulatedSite();
+		const store = site.store.createClient('x');
 		const invalid: number[] = [];
 		const junk = fc.sample(fc.oneof(fc.uint8Array({minLength: 1, maxLength: 80}).map(array => Buffer.from(array)), fc.json().map(text => Buffer.from(text))), {seed: 11, numRuns: 60});
 		const values = junk.flatMap((bytes, index) => [bytes, encodeRecord({type: RecordType.Submit, workflow: {...workflow, id: `job-${index}`}})]);
-		const {outcome} = await world.settle(store.append({topic: workflowsTopic, partition}, values, {timeoutMs: 1000}));
+		const {outcome} = await site.settle(store.append({topic: workflowsTopic, partition}, values, {timeoutMs: 1000}));
 		expect(outcome).toBe(AppendOutcome.Appended);
 		const follower = new WorkflowFollower({
-			store, clock: world.clock, ref: {topic: workflowsTopic, partition}, onStoreState: () => undefined, onInvalid: offset => invalid.push(offset),
+			store, clock: site.clock, ref: {topic: workflowsTopic, partition}, onStoreState: () => undefined, onInvalid: offset => invalid.push(offset),
 		});
-		expect(await world.settle(follower.catchUp(1000))).toBe(true);
+		expect(await site.settle(follower.catchUp(1000))).toBe(true);
 		expect(follower.fold.workflows.size).toBe(junk.length);
 		expect(invalid).toHaveLength(junk.length);
 	});
@@ -125,19 +125,19 @@
 	complete its reconciliation.
 	*/
 	it('find the other agents despite registrations that cannot be decoded', async () => {
-		const world = new SimulatedSite();
-		const store = world.store.createClient('x');
-		await world.settle(store.appendKeyed({topic: agentsTopic, partition: 0}, [
+		const site = new SimulatedSite();
+		const store = site.store.createClient('x');
+		await site.settle(store.appendKeyed({topic: agentsTopic, partition: 0}, [
 			{key: 'stray', value: Buffer.from('{"host":7}')}, {key: 'bytes', value: Buffer.from([0xFF, 0])},
 		], {timeoutMs: 1000}));
-		world.addHost('x');
-		world.startEntry('a');
-		await world.clock.advance(4000);
-		await world.submit('0123456789abcdef', createSpec([createStep()]));
-		expect(await world.waitFor(() => world.getStarts('0123456789abcdef.0.0.0') > 0, 3000)).toBeDefined();
-		expect(world.notes.filter(({event}) => event === 'registration not valid')).toHaveLength(2);
-		expect(world.notes.some(({event}) => event === 'registrations not read')).toBe(false);
-		world.stop();
+		site.addHost('x');
+		site.startEntry('a');
+		await site.clock.advance(4000);
+		await site.submit('0123456789abcdef', createSpec([createStep()]));
+		expect(await site.waitFor(() => site.getStarts('0123456789abcdef.0.0.0') > 0, 3000)).toBeDefined();
+		expect(site.notes.filter(({event}) => event === 'registration not valid')).toHaveLength(2);
+		expect(site.notes.some(({event}) => event === 'registrations not read')).toBe(false);
+		site.stop();
 	});
 });
 
--- a/test/site-interference.test.ts
+++ b/test/site-interference.test.ts
@@ -26,15 +26,15 @@
 
 /** Two workers report a job for ten seconds: one with non-interfering neighbours only, the other with an interfering one at times. */
 const learnEffects = (heavyEffect: number): BestEffortInterference => {
-	const harm = new BestEffortInterference();
+	const interference = new BestEffortInterference();
 	for (let nowMs = 0; nowMs < 10_000; nowMs += 500) {
 		const own = 0.45 + (0.2 * Math.sin(nowMs / 1600));
 		const heavyShare = nowMs % 2000 < 1000 ? 0.2 : 0;
-		harm.observe(createLatencyCriticalTasks(getRatioAt(own)), [createGroup('light')], nowMs);
-		harm.observe(createLatencyCriticalTasks(getRatioAt(own + (heavyEffect * heavyShare))), [createGroup('light'), createGroup('heavy', {usedShare: heavyShare})], nowMs);
+		interference.observe(createLatencyCriticalTasks(getRatioAt(own)), [createGroup('light')], nowMs);
+		interference.observe(createLatencyCriticalTasks(getRatioAt(own + (heavyEffect * heavyShare))), [createGroup('light'), createGroup('heavy', {usedShare: heavyShare})], nowMs);
 	}
 
-	return harm;
+	return interference;
 };
 
 const createScenario = (recentMs = 40) => {
@@ -57,20 +57,20 @@
 	own load.
 	*/
 	it('distinguishes the load waves of a job from the effects of its neighbours', () => {
-		const harm = learnEffects(1.5);
-		expect(harm.getEffect('serve', 'heavy')).toBeGreaterThan(1);
-		expect(harm.getEffect('serve', 'light')).toBeLessThan(0.3);
+		const interference = learnEffects(1.5);
+		expect(interference.getEffect('serve', 'heavy')).toBeGreaterThan(1);
+		expect(interference.getEffect('serve', 'light')).toBeLessThan(0.3);
 	});
 
 	/** A tail takes more than a second to fall after its cause has stopped: what runs beside it by then is not the cause. */
 	it('blames no image for a tail that is still falling', () => {
-		const harm = learnEffects(1.5);
-		const before = harm.getEffect('serve', 'light');
+		const interference = learnEffects(1.5);
+		const before = interference.getEffect('serve', 'light');
 		for (let nowMs = 10_000; nowMs < 11_000; nowMs += 500) {
-			harm.observe(createLatencyCriticalTasks(4), [createGroup('light'), createGroup('heavy', {usedShare: 0, peakShare: 0.4})], nowMs);
+			interference.observe(createLatencyCriticalTasks(4), [createGroup('light'), createGroup('heavy', {usedShare: 0, peakShare: 0.4})], nowMs);
 		}
 
-		expect(harm.getEffect('serve', 'light')).toBeLessThanOrEqual(before);
+		expect(interference.getEffect('serve', 'light')).toBeLessThanOrEqual(before);
 	});
 });
 
@@ -89,10 +89,10 @@
 describe('images without tasks', () => {
 	/** Guards against a record for the next owner that grows over months with every image ever seen, and slows each takeover. */
 	it('are not handed over', () => {
-		const harm = learnEffects(1.5);
-		expect(harm.getPairs()).toHaveLength(2);
-		harm.observe([], [], 1_000_000);
-		expect(harm.getPairs()).toEqual([]);
+		const interference = learnEffects(1.5);
+		expect(interference.getPairs()).toHaveLength(2);
+		interference.observe([], [], 1_000_000);
+		expect(interference.getPairs()).toEqual([]);
 	});
 });
 
@@ -121,9 +121,9 @@
 
 describe('throttles', () => {
 	it('slow an image known to interfere with a tail far above its target, and leave the others', () => {
-		const paces = decideThrottles(createLatencyCriticalTasks(5), [createGroup('heavy'), createGroup('light')], learnEffects(4));
-		expect(paces.get('heavy')).toBeLessThan(50);
-		expect(paces.has('light')).toBe(false);
+		const throttles = decideThrottles(createLatencyCriticalTasks(5), [createGroup('heavy'), createGroup('light')], learnEffects(4));
+		expect(throttles.get('heavy')).toBeLessThan(50);
+		expect(throttles.has('light')).toBe(false);
 	});
 
 	it('are not lowered again while the tail falls after the last change', () => {
@@ -142,8 +142,8 @@
 	After a time all best-effort tasks there stop, and none are placed there, until the tail has recovered.
 	*/
 	it('stop all best-effort tasks beside a tail that exceeds its target too long, and placement there', async () => {
-		const harm = new BestEffortInterference();
-		harm.restore([{
+		const interference = new BestEffortInterference();
+		interference.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
 		}], 0);
 		const {model, worker} = createScenario(30);
@@ -152,18 +152,18 @@
 		const [task] = [...model.getWaitingTasks(0, () => false)];
 		run(task!, worker, {recent: 500});
 		const clock = new ManualClock();
-		const keeper = new ThrottleController({
-			interference: harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
+		const controller = new ThrottleController({
+			interference, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
 		});
 		latencyCriticalTask!.recent = 110;
-		keeper.handleState(worker);
+		controller.handleState(worker);
 		expect(worker.isBestEffortStopped).toBe(false);
 		await clock.advance(1600);
-		keeper.handleState(worker);
+		controller.handleState(worker);
 		expect(worker.throttles.get('heavy')?.percent).toBe(0);
-		expect(placeAll(model, [worker], {harm, nowMs: 10_000})).toHaveLength(0);
+		expect(placeAll(model, [worker], {harm: interference, nowMs: 10_000})).toHaveLength(0);
 		latencyCriticalTask!.recent = 20;
-		keeper.handleState(worker);
+		controller.handleState(worker);
 		expect(worker.isBestEffortStopped).toBe(false);
 	});
 
@@ -172,8 +172,8 @@
 	reading just below it restarted the count of 1.5 s, and best-effort tasks went on. A tail that has recovered stays below.
 	*/
 	it('stop all best-effort tasks beside a tail that exceeds its target too long but for single readings', async () => {
-		const harm = new BestEffortInterference();
-		harm.restore([{
+		const interference = new BestEffortInterference();
+		interference.restore([{
 			server: 'serve', filler: 'heavy', mean: 0, deviation: 0.001,
 		}], 0);
 		const {model, worker} = createScenario(30);
@@ -181,14 +181,14 @@
 		const [task] = [...model.getWaitingTasks(0, () => false)];
 		run(task!, worker, {recent: 500});
 		const clock = new ManualClock();
-		const keeper = new ThrottleController({
-			interference: harm, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
+		const controller = new ThrottleController({
+			interference, clock, links: {order: async () => undefined} as unknown as AgentLinks, note: () => undefined,
 		});
 		// Users tolerate 4 s; a stop takes effect after 0.1 s, and the tail falls for 1.3 s more.
 		const boundMs = 4000 - 100 - 1300;
 		for (let nowMs = 0; nowMs < boundMs; nowMs += 100) {
 			latencyCriticalTask!.recent = nowMs % 1500 >= 1400 ? 98 : 104;
-			keeper.handleState(worker);
+			controller.handleState(worker);
 			await clock.advance(100);
 		}
 
@@ -196,9 +196,9 @@
 	});
 
 	it('are raised no further than latency-critical tasks tolerate', () => {
-		const harm = learnEffects(4);
-		expect(decideThrottles(createLatencyCriticalTasks(0.3), [createGroup('heavy', {throttlePercent: 0, usedShare: 0})], harm).get('heavy') ?? 0).toBeLessThan(50);
-		expect(decideThrottles(createLatencyCriticalTasks(0.3), [createGroup('light', {throttlePercent: 0, usedShare: 0})], harm)).toEqual(new Map([['light', 100]]));
+		const interference = learnEffects(4);
+		expect(decideThrottles(createLatencyCriticalTasks(0.3), [createGroup('heavy', {throttlePercent: 0, usedShare: 0})], interference).get('heavy') ?? 0).toBeLessThan(50);
+		expect(decideThrottles(createLatencyCriticalTasks(0.3), [createGroup('light', {throttlePercent: 0, usedShare: 0})], interference)).toEqual(new Map([['light', 100]]));
 	});
 
 	it('are raised only after the last change has taken effect', () => {
@@ -214,11 +214,11 @@
 	/** Guards against placing tasks beside latency-critical tasks where they are then stopped, so that jobs miss their objectives. */
 	it('places no task beside a latency-critical task that its image is known to interfere with', () => {
 		const {model, worker} = createScenario();
-		const harm = learnEffects(4);
-		expect(placeAll(model, [worker], {harm})).toHaveLength(0);
+		const interference = learnEffects(4);
+		expect(placeAll(model, [worker], {harm: interference})).toHaveLength(0);
 		// A job without an active run does not wait forever, as most CPU is free: one task starts, and is throttled.
-		expect(placeAll(model, [worker], {harm, nowMs: 2000})).toHaveLength(1);
-		expect(placeAll(model, [worker, createWorker('y')], {harm}).map(start => start.worker.host)).toEqual(['y', 'y']);
+		expect(placeAll(model, [worker], {harm: interference, nowMs: 2000})).toHaveLength(1);
+		expect(placeAll(model, [worker, createWorker('y')], {harm: interference}).map(start => start.worker.host)).toEqual(['y', 'y']);
 	});
 
 	/** Guards against a job without an active run whose first task was stopped a moment ago: its other tasks waited for that one. */
@@ -236,9 +236,9 @@
 		run(model.getTask({
 			workflowId: 'f', occurrence: 0, step: 0, index: 0,
 		})!, worker, {percent: 75, workedMs: 1500, progressAtMs: 2000});
-		const harm = learnEffects(4);
-		expect(placeAll(model, [worker], {harm, nowMs: 2100, nextStartDelayMs: 300})).toHaveLength(0);
-		expect(placeAll(model, [worker], {harm, nowMs: 2300, nextStartDelayMs: 300})).toHaveLength(1);
+		const interference = learnEffects(4);
+		expect(placeAll(model, [worker], {harm: interference, nowMs: 2100, nextStartDelayMs: 300})).toHaveLength(0);
+		expect(placeAll(model, [worker], {harm: interference, nowMs: 2300, nextStartDelayMs: 300})).toHaveLength(1);
 	});
 
 	/** Guards against a remaining time that counts progress made before the run was resumed from a checkpoint or adopted. */
@@ -261,13 +261,13 @@
 	it('resets the throttle of an image without tasks on the worker', () => {
 		const {model, worker} = createScenario(20);
 		worker.throttles.set('heavy', {percent: 0, changedAtMs: 0});
-		const harm = learnEffects(0);
-		expect(placeAll(model, [worker], {harm})).toHaveLength(0);
-		const keeper = new ThrottleController({
-			interference: harm, clock: new ManualClock(), links: undefined as unknown as AgentLinks, note: () => undefined,
+		const interference = learnEffects(0);
+		expect(placeAll(model, [worker], {harm: interference})).toHaveLength(0);
+		const controller = new ThrottleController({
+			interference, clock: new ManualClock(), links: undefined as unknown as AgentLinks, note: () => undefined,
 		});
-		keeper.handleState(worker);
-		expect(placeAll(model, [worker], {harm})).toHaveLength(2);
+		controller.handleState(worker);
+		expect(placeAll(model, [worker], {harm: interference})).toHaveLength(2);
 	});
 });
 
--- a/test/site-order.test.ts
+++ b/test/site-order.test.ts
@@ -151,10 +151,10 @@
 		const [latencyCriticalTask] = getTasks(model);
 		const workers = [createWorker('quiet', 400), createWorker('served')];
 		run(latencyCriticalTask!, workers[1]!, {percent: 100, recent: 5});
-		const harm = new BestEffortInterference();
-		harm.restore([{
+		const interference = new BestEffortInterference();
+		interference.restore([{
 			server: 'one', filler: 'light', mean: 0, deviation: 0.001,
 		}], 0);
-		expect(placeAll(model, workers, {harm}).map(({worker}) => worker.host)).toEqual(['served']);
+		expect(placeAll(model, workers, {harm: interference}).map(({worker}) => worker.host)).toEqual(['served']);
 	});
 });
--- a/test/site-placement.test.ts
+++ b/test/site-placement.test.ts
@@ -18,10 +18,10 @@
 const images = ['a', 'b', 'c'];
 
 /** Creates workers with latency-critical and best-effort tasks; the last job waits. */
-const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Scenario): {workers: FleetWorker[]; tasks: LiveTask[]; harm: BestEffortInterference} => {
+const createFleet = ({sizes, running, waiting, isFilling, maxPerWorker, effects}: Scenario): {workers: FleetWorker[]; tasks: LiveTask[]; interference: BestEffortInterference} => {
 	const {model} = load([
-		...running.map(({isServing, image}, index) => createWorkflow(`r${index}`, createSpec([createStep({
-			milliCpu: 1500, image: images[image], ...(isServing ? {isLasting: true, targetMs: 24} : {isFilling: true}),
+		...running.map(({isLatencyCritical, image}, index) => createWorkflow(`r${index}`, createSpec([createStep({
+			milliCpu: 1500, image: images[image], ...(isLatencyCritical ? {isLasting: true, targetMs: 24} : {isFilling: true}),
 		})]))),
 		createWorkflow('w', createSpec([createStep({
 			count: waiting, milliCpu: 1800, isFilling, maxPerWorker, image: 'a',
@@ -34,16 +34,16 @@
 		})!, workers[worker % workers.length]!, {recent: 12, percent: 100});
 	}
 
-	const harm = new BestEffortInterference();
-	harm.restore(effects.map((mean, index) => ({
+	const interference = new BestEffortInterference();
+	interference.restore(effects.map((mean, index) => ({
 		server: images[index % 3]!, filler: images[Math.floor(index / 3)]!, mean, deviation: 0.02,
 	})), 0);
-	return {workers, harm, tasks: model.workflows.get('w')!.occurrences.get(0)![0]!.tasks};
+	return {workers, interference, tasks: model.workflows.get('w')!.occurrences.get(0)![0]!.tasks};
 };
 
 type Scenario = {
 	sizes: number[];
-	running: Array<{worker: number; isServing: boolean; image: number}>;
+	running: Array<{worker: number; isLatencyCritical: boolean; image: number}>;
 	waiting: number;
 	isFilling: boolean;
 	maxPerWorker: number;
@@ -52,7 +52,7 @@
 
 const scenarios: fc.Arbitrary<Scenario> = fc.record({
 	sizes: fc.array(fc.constantFrom(4000, 16_000), {minLength: 1, maxLength: 6}),
-	running: fc.array(fc.record({worker: fc.nat(5), isServing: fc.boolean(), image: fc.nat(2)}), {maxLength: 12}),
+	running: fc.array(fc.record({worker: fc.nat(5), isLatencyCritical: fc.boolean(), image: fc.nat(2)}), {maxLength: 12}),
 	waiting: fc.integer({min: 1, max: 30}),
 	isFilling: fc.boolean(),
 	maxPerWorker: fc.nat(2),
@@ -66,18 +66,18 @@
 	*/
 	it('are the same whether costs are kept or computed anew for each task', () => {
 		fc.assert(fc.property(scenarios, draw => {
-			const {workers, tasks, harm} = createFleet(draw);
+			const {workers, tasks, interference} = createFleet(draw);
 			const createTerms = (candidates: Candidate[]) => ({
-				interference: harm, policy: createPolicy(), trials: new InterferenceTrials(harm, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: true,
+				interference, policy: createPolicy(), trials: new InterferenceTrials(interference, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: true,
 			});
-			const candidates = workers.map(worker => createCandidate(worker, harm));
+			const candidates = workers.map(worker => createCandidate(worker, interference));
 			const keptPlacement = new StepPlacement(tasks[0]!.step, candidates, createTerms(candidates));
-			const freshCandidates = workers.map(worker => createCandidate(worker, harm));
+			const freshCandidates = workers.map(worker => createCandidate(worker, interference));
 			const terms = createTerms(freshCandidates);
 			for (const task of tasks) {
-				const places = new StepPlacement(task.step, freshCandidates, terms);
-				expect(keptPlacement.assign(task)?.worker.host).toBe(places.assign(task)?.worker.host);
-				expect(keptPlacement.getWaitReason()).toBe(places.getWaitReason());
+				const freshPlacement = new StepPlacement(task.step, freshCandidates, terms);
+				expect(keptPlacement.assign(task)?.worker.host).toBe(freshPlacement.assign(task)?.worker.host);
+				expect(keptPlacement.getWaitReason()).toBe(freshPlacement.getWaitReason());
 			}
 		}), {numRuns: 300, seed: 11});
 	});
@@ -95,11 +95,11 @@
 		const worker = createWorker('host-0');
 		const task = [...model.getWaitingTasks(0, () => false)][0]!;
 		run(task, worker);
-		const harm = new BestEffortInterference();
-		const candidates = [createCandidate(worker, harm)];
-		const places = new StepPlacement(task.step, candidates, {
-			interference: harm, policy: createPolicy(), trials: new InterferenceTrials(harm, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
+		const interference = new BestEffortInterference();
+		const candidates = [createCandidate(worker, interference)];
+		const placement = new StepPlacement(task.step, candidates, {
+			interference, policy: createPolicy(), trials: new InterferenceTrials(interference, candidates), isAllowed: () => true, isInterferenceAllowed: false, isInterferenceFreeCpuShort: false,
 		});
-		expect(places.assign(task)).toBeUndefined();
+		expect(placement.assign(task)).toBeUndefined();
 	});
 });
--- a/test/site-slow-thread.test.ts
+++ b/test/site-slow-thread.test.ts
@@ -20,7 +20,7 @@
 	expect(site.violations).toEqual([]);
 });
 
-const play = async (messageMs: number, forMs: number): Promise<{starts: number; late: number; begun: number}> => {
+const play = async (messageMs: number, forMs: number): Promise<{starts: number; late: number; started: number}> => {
 	site = await createSite(hosts);
 	site.plan = () => ({workMs});
 	let freeAtMs = 0;
@@ -41,15 +41,15 @@
 	return {
 		starts: site.notes.filter(({event}) => event === 'start').length,
 		late: site.notes.filter(({event, fields}) => event === 'start refused' && fields.refusal === 'expired').length,
-		begun: site.events.filter(({type}) => type === 'started').length,
+		started: site.events.filter(({type}) => type === 'started').length,
 	};
 };
 
 /** Guards against starts that expire before they arrive and are repeated, which loads the slow thread further. */
 describe('an owner on a slow thread', () => {
 	it.each([2, 20, 40, 60, 80])('has less than a hundredth of its starts refused as expired, at %i ms a message', async messageMs => {
-		const {starts, late, begun} = await play(messageMs, 20_000);
-		expect(begun).toBeGreaterThan(100);
+		const {starts, late, started} = await play(messageMs, 20_000);
+		expect(started).toBeGreaterThan(100);
 		expect(late / starts).toBeLessThan(maxLateShare);
 	});
 });
--- a/test/site-trials.test.ts
+++ b/test/site-trials.test.ts
@@ -58,32 +58,32 @@
 
 	it('starts everywhere once the image is known not to interfere', () => {
 		const {model, workers} = createFleet(size);
-		const harm = new BestEffortInterference();
-		harm.restore(['even', 'odd'].map(server => ({
+		const interference = new BestEffortInterference();
+		interference.restore(['even', 'odd'].map(server => ({
 			server, filler: 'new', mean: 0, deviation: 0.02,
 		})), 0);
-		expect(getTasks(placeAll(model, workers, {harm}))).toHaveLength(size);
+		expect(getTasks(placeAll(model, workers, {harm: interference}))).toHaveLength(size);
 	});
 
 	it('starts where the image is known while trials run elsewhere', () => {
 		const {model, workers} = createFleet(size);
-		const harm = new BestEffortInterference();
-		harm.restore([{
+		const interference = new BestEffortInterference();
+		interference.restore([{
 			server: 'even', filler: 'new', mean: 0, deviation: 0.02,
 		}], 0);
-		const starts = getTasks(placeAll(model, workers, {harm}));
+		const starts = getTasks(placeAll(model, workers, {harm: interference}));
 		expect(starts.filter(({worker}) => workers.indexOf(worker) % 2 === 1).length).toBeLessThanOrEqual(2);
 		expect(starts).toHaveLength(size);
 	});
 
 	it('starts one task beside latency-critical tasks in any case when it has waited too long', () => {
 		const {model, workers} = createFleet(1);
-		const harm = new BestEffortInterference();
-		harm.restore(['even', 'odd'].map(server => ({
+		const interference = new BestEffortInterference();
+		interference.restore(['even', 'odd'].map(server => ({
 			server, filler: 'new', mean: 0.5, deviation: 0.02,
 		})), 0);
-		expect(getTasks(placeAll(model, workers, {harm}))).toHaveLength(0);
-		expect(getTasks(placeAll(model, workers, {harm, nowMs: 2000}))).toHaveLength(1);
+		expect(getTasks(placeAll(model, workers, {harm: interference}))).toHaveLength(0);
+		expect(getTasks(placeAll(model, workers, {harm: interference, nowMs: 2000}))).toHaveLength(1);
 	});
 
 	it('starts wherever it fits when a build leaves out the limit', () => {
