--- a/src/workflows/records.ts
+++ b/src/workflows/records.ts
@@ -122,11 +122,11 @@
 		}
 
 		case RecordType.Snapshot: {
-			return {type, job: decodeWhole(fields.fields('job'))};
+			return {type, job: decodeSnapshot(fields.fields('job'))};
 		}
 
 		case RecordType.Checkpoints: {
-			return {type, runs: fields.array('runs', decodeSaved)};
+			return {type, runs: fields.array('runs', decodeCheckpoint)};
 		}
 
 		case RecordType.Interference: {
@@ -189,12 +189,12 @@
 	};
 };
 
-const decodeSaved = (value: unknown): RunCheckpoint => {
+const decodeCheckpoint = (value: unknown): RunCheckpoint => {
 	const fields = new Fields(value, step);
 	return {taskId: fields.string('taskId'), run: fields.nonNegativeInteger('run'), checkpoint: fields.string('checkpoint')};
 };
 
-const decodeWhole = (fields: Fields): WorkflowSnapshot => ({
+const decodeSnapshot = (fields: Fields): WorkflowSnapshot => ({
 	workflow: decodeWorkflow(fields.fields('workflow')),
 	state: fields.oneOf('state', Object.values(WorkflowState)),
 	hasBegun: fields.boolean('hasBegun'),
--- a/test/site-order.test.ts
+++ b/test/site-order.test.ts
@@ -124,7 +124,7 @@
 });
 
 describe('colocation', () => {
-	const serve = (id: string, image: string) => createWorkflow(id, createSpec([createStep({
+	const createLatencyCriticalJob = (id: string, image: string) => createWorkflow(id, createSpec([createStep({
 		isLasting: true, targetMs: 20, image, milliCpu: 1000,
 	})]));
 
@@ -135,19 +135,19 @@
 	*/
 	it('places latency-critical tasks of one image together, even if another worker is free', () => {
 		const workers = [createWorker('x'), createWorker('y'), createWorker('z', 1000)];
-		const {model} = load(['one', 'two'].flatMap(image => [0, 1, 2].map(index => serve(`${image}-${index}`, image))));
+		const {model} = load(['one', 'two'].flatMap(image => [0, 1, 2].map(index => createLatencyCriticalJob(`${image}-${index}`, image))));
 		for (const [index, task] of getTasks(model).entries()) {
 			run(task, workers[Math.floor(index / 3)]!, {percent: 100, recent: 5});
 		}
 
-		const place = (image: string) => placeAll(load([serve('next', image)]).model, workers).map(({worker}) => worker.host);
+		const place = (image: string) => placeAll(load([createLatencyCriticalJob('next', image)]).model, workers).map(({worker}) => worker.host);
 		expect(place('one')).toEqual(['x']);
 		expect(place('two')).toEqual(['y']);
 		expect(place('three')).toEqual(['z']);
 	});
 
 	it('reserves workers without latency-critical tasks for images that would interfere elsewhere, while they are short', () => {
-		const {model} = load([serve('a', 'one'), createWorkflow('f', createSpec([createStep({isFilling: true, image: 'light', milliCpu: 500})]))]);
+		const {model} = load([createLatencyCriticalJob('a', 'one'), createWorkflow('f', createSpec([createStep({isFilling: true, image: 'light', milliCpu: 500})]))]);
 		const [latencyCriticalTask] = getTasks(model);
 		const workers = [createWorker('quiet', 400), createWorker('served')];
 		run(latencyCriticalTask!, workers[1]!, {percent: 100, recent: 5});
