--- a/src/core/errors.ts
+++ b/src/core/errors.ts
@@ -59,8 +59,8 @@
 };
 
 /** Creates an error whose message names its step and peer. */
-export const createError = (code: ErrorCode, place: ErrorContext): VError => {
-	const {step, peer, detail, cause} = place;
+export const createError = (code: ErrorCode, context: ErrorContext): VError => {
+	const {step, peer, detail, cause} = context;
 	const location = peer === undefined ? step : `${step} (${peer})`;
 	// VError appends the cause's message; a detail that repeats it is left out.
 	const isRepeated = cause instanceof Error && detail === cause.message;
--- a/src/platform/caller-server.ts
+++ b/src/platform/caller-server.ts
@@ -25,7 +25,7 @@
 type Answer = {status: number; body?: unknown; retryAfterMs?: number};
 
 /** Called after each answer, for logging and metrics. */
-export type AnswerHandler = (note: {method: string; queue?: string; id?: string; status: number; reason?: string; tookMs: number}) => void;
+export type AnswerHandler = (answer: {method: string; queue?: string; id?: string; status: number; reason?: string; tookMs: number}) => void;
 
 /** Options of the server. */
 export type CallerServerOptions = {
--- a/src/platform/store-calls.ts
+++ b/src/platform/store-calls.ts
@@ -57,7 +57,11 @@
 
 	const read = async (ref: PartitionRef, fromOffset: number, {waitMs, maxBytes = defaultReadBytes, signal}: ReadOptions): Promise<StorePage> => {
 		const query = new URLSearchParams({
-			topic: ref.topic, part: String(ref.partition), from: String(fromOffset), maxKb: String(Math.max(1, Math.floor(maxBytes / bytesPerKb))), ...(waitMs > 0 && {waitMs: String(Math.round(waitMs))}),
+			topic: ref.topic,
+			part: String(ref.partition),
+			from: String(fromOffset),
+			maxKb: String(Math.max(1, Math.floor(maxBytes / bytesPerKb))),
+			...(waitMs > 0 && {waitMs: String(Math.round(waitMs))}),
 		});
 		const answer = await sendExpectingOk({
 			method: 'GET', path: `/log-read?${query.toString()}`, timeoutMs: waitMs + readSlackMs, step: `read ${ref.topic}`, signal,
@@ -128,7 +132,7 @@
 
 /** Decodes a row of topic, partition and committed offset. */
 const decodePartition = (value: unknown): PartitionRef => {
-	const row = new Fields(value, 'read group share');
+	const row = new Fields(value, 'read group assignment');
 	return {topic: row.string(0), partition: row.nonNegativeInteger(1)};
 };
 
--- a/src/plugins/callers-lanes.ts
+++ b/src/plugins/callers-lanes.ts
@@ -61,7 +61,7 @@
 		getFailureDomainWeights: createWeightsLookup(serviceName => config.getSection(getServiceSection(serviceName))?.values?.failureDomainWeights),
 	});
 	const pools = new UpstreamPools(retries.connectTimeoutMs, upstreamId => upstreams.get(upstreamId) !== undefined);
-	const dueAttempts = new DeadlineHeap<Attempt>({
+	const attemptDeadlines = new DeadlineHeap<Attempt>({
 		clock,
 		isWaiting: attempt => !attempt.isEnded,
 		onDue(attempt) {
@@ -72,7 +72,7 @@
 		metrics.count(Metric.Refusals, RefusalReason.SlowCaller);
 		resetResponse(response);
 	});
-	const dueRuns = new DeadlineHeap<ClaimedRun>({
+	const claimedRunDeadlines = new DeadlineHeap<ClaimedRun>({
 		clock,
 		isWaiting: ({call, attempt}) => !call.isClosed && !attempt.isEnded,
 		onDue({call, attempt}) {
@@ -113,8 +113,8 @@
 			chooser,
 			slots,
 			pools,
-			attemptDeadlines: dueAttempts,
-			claimedRunDeadlines: dueRuns,
+			attemptDeadlines,
+			claimedRunDeadlines,
 			getCandidates: () => getCandidates(serviceName),
 		});
 		laneEntries.set(serviceName, {lane, candidates: [], candidatesAtMs: Number.NEGATIVE_INFINITY});
@@ -145,8 +145,8 @@
 			}
 		},
 		async destroy() {
-			dueAttempts.stop();
-			dueRuns.stop();
+			attemptDeadlines.stop();
+			claimedRunDeadlines.stop();
 			stalls.stop();
 			await pools.close();
 		},
--- a/src/plugins/callers-service.ts
+++ b/src/plugins/callers-service.ts
@@ -196,16 +196,16 @@
 			return;
 		}
 
-		const passed: Record<string, string | string[]> = {...getForwardedResponseHeaders(headers), ...getConnectionHeaders()};
+		const responseHeaders: Record<string, string | string[]> = {...getForwardedResponseHeaders(headers), ...getConnectionHeaders()};
 		if (isReplayed) {
-			passed[Header.Replayed] = 'true';
+			responseHeaders[Header.Replayed] = 'true';
 		}
 
 		if (call.facts.method !== 'HEAD' && status !== 204 && status !== 304) {
-			passed['content-length'] = String(body.length);
+			responseHeaders['content-length'] = String(body.length);
 		}
 
-		response.writeHead(status, passed);
+		response.writeHead(status, responseHeaders);
 		response.end(body);
 		lanes.stalls.add(response);
 	};
--- a/src/plugins/claims-service.ts
+++ b/src/plugins/claims-service.ts
@@ -111,7 +111,7 @@
 		},
 		async stop() {
 			writing.abort();
-			// Waits for the append in flight, because the registry appends again below what that one may have lost.
+			// The append in flight must end first, because `registry.stop` appends the records again that it may have lost.
 			await running;
 			try {
 				await registry.stop();
--- a/src/plugins/guard.ts
+++ b/src/plugins/guard.ts
@@ -91,7 +91,7 @@
 
 	const forward = async (request: IncomingMessage, response: ServerResponse) => {
 		const upstreamRequest = sendRequest({
-			...upstream, agent, method: request.method, path: request.url, headers: getHeaders(request.rawHeaders),
+			...upstream, agent, method: request.method, path: request.url, headers: getForwardedHeaders(request.rawHeaders),
 		});
 		// The code below handles errors during the exchange; without these listeners, a later error would end the process.
 		upstreamRequest.on('error', ignore);
@@ -199,7 +199,7 @@
 	};
 };
 
-const getHeaders = (rawHeaders: string[]): string[] => {
+const getForwardedHeaders = (rawHeaders: string[]): string[] => {
 	const headers: string[] = [];
 	for (let index = 0; index < rawHeaders.length; index += 2) {
 		if (!hopByHop.has(rawHeaders[index]!.toLowerCase())) {
@@ -234,7 +234,7 @@
 	const ended = new Promise<void>(resolve => {
 		answer.once('close', resolve);
 	});
-	response.writeHead(answer.statusCode!, answer.statusMessage, getHeaders(answer.rawHeaders));
+	response.writeHead(answer.statusCode!, answer.statusMessage, getForwardedHeaders(answer.rawHeaders));
 	for await (const chunk of answer) {
 		if (response.destroyed) {
 			// The upstream is still working on the request, and its slot becomes free only when the answer is complete.
--- a/src/plugins/membership-service.ts
+++ b/src/plugins/membership-service.ts
@@ -147,9 +147,9 @@
 
 			// The lease must not expire because the host was asked to announce itself less often.
 			const leaseMs = Math.max(settings.leaseMs, nextAfterMs * leaseFactor);
-			const taken = state.receiveAnnouncement(getHostKey(kind, id), announcement, leaseMs, isMonitoredHere);
-			metrics.count(Metric.Announcements, taken);
-			return taken === AnnouncementOutcome.Stale
+			const outcome = state.receiveAnnouncement(getHostKey(kind, id), announcement, leaseMs, isMonitoredHere);
+			metrics.count(Metric.Announcements, outcome);
+			return outcome === AnnouncementOutcome.Stale
 				? {isAccepted: false, reason: 'a newer announcement is known', nextAfterMs}
 				: {isAccepted: true, nextAfterMs};
 		},
--- a/src/plugins/peers-directory.ts
+++ b/src/plugins/peers-directory.ts
@@ -39,7 +39,7 @@
 type PeerState = {
 	presence: Presence;
 	aliveUntilMs: number;
-	/** Last time at which the log, a peer or the entry itself mentioned it. */
+	/** Last time at which the log, a peer or the entry itself named it. */
 	lastNamedAtMs: number;
 	/** This incarnation announced that it is leaving. */
 	hasLeft: boolean;
@@ -110,12 +110,12 @@
 		return [...this.#peers.values()].map(({presence}) => presence);
 	}
 
-	/** Removes entries that neither answered nor were mentioned for `ageMs`, so that replaced hosts do not accumulate. */
+	/** Removes entries that neither answered nor were named for `ageMs`, so that replaced hosts do not accumulate. */
 	forgetOlderThan(ageMs: number): string[] {
 		const oldestMs = this.#clock.monotonicMs() - ageMs;
 		const forgotten: string[] = [];
-		for (const [processId, {lastNamedAtMs: namedAtMs, aliveUntilMs}] of this.#peers) {
-			if (namedAtMs < oldestMs && aliveUntilMs < oldestMs) {
+		for (const [processId, {lastNamedAtMs, aliveUntilMs}] of this.#peers) {
+			if (lastNamedAtMs < oldestMs && aliveUntilMs < oldestMs) {
 				this.#peers.delete(processId);
 				forgotten.push(processId);
 			}
--- a/src/plugins/peers-memory-transport.ts
+++ b/src/plugins/peers-memory-transport.ts
@@ -24,7 +24,7 @@
 	faults: NetworkFaults = {...noFaults};
 	calls = 0;
 	readonly #servers = new Map<string, PeerRequestHandler>();
-	readonly #downLinks = new Set<string>();
+	readonly #brokenLinks = new Set<string>();
 	readonly #clock: Clock;
 	readonly #random: Random;
 	#lastPort = 0;
@@ -35,18 +35,18 @@
 	}
 
 	/** Breaks both directions between two addresses, or restores them. */
-	setLinkBroken(a: string, b: string, isCut: boolean): void {
+	setLinkBroken(a: string, b: string, isBroken: boolean): void {
 		for (const link of [`${a}>${b}`, `${b}>${a}`]) {
-			if (isCut) {
-				this.#downLinks.add(link);
+			if (isBroken) {
+				this.#brokenLinks.add(link);
 			} else {
-				this.#downLinks.delete(link);
+				this.#brokenLinks.delete(link);
 			}
 		}
 	}
 
 	restoreAllLinks(): void {
-		this.#downLinks.clear();
+		this.#brokenLinks.clear();
 	}
 
 	/** Creates a transport for one entry. */
@@ -92,13 +92,13 @@
 
 	async #deliver(from: string, to: string, request: PeerRequest, answer: (value: {isOk: true; body: unknown} | {isOk: false; detail: string}) => void): Promise<void> {
 		const serve = this.#servers.get(to);
-		if (!serve || this.#downLinks.has(`${from}>${to}`)) {
+		if (!serve || this.#brokenLinks.has(`${from}>${to}`)) {
 			return;
 		}
 
 		try {
 			const body = structuredClone(await serve(structuredClone(request)));
-			if (this.#downLinks.has(`${to}>${from}`) || this.#random.next() < this.faults.loseAnswerChance) {
+			if (this.#brokenLinks.has(`${to}>${from}`) || this.#random.next() < this.faults.loseAnswerChance) {
 				return;
 			}
 
--- a/src/plugins/peers-service.ts
+++ b/src/plugins/peers-service.ts
@@ -32,7 +32,7 @@
 	const identity = kernel.get(ServiceName.Identity);
 	const directory = new PeersDirectory(clock, identity.processId);
 	const handlers = new Map<PeerMethod, PeerHandler>();
-	const tasks = new Set<string>();
+	const peersWithTask = new Set<string>();
 	const running: Array<Promise<void>> = [];
 	const aborter = new AbortController();
 	const {signal} = aborter;
@@ -52,8 +52,8 @@
 
 	const addPeer = (presence: Presence) => {
 		directory.add(presence);
-		if (presence.processId !== identity.processId && !tasks.has(presence.processId) && !signal.aborted) {
-			tasks.add(presence.processId);
+		if (presence.processId !== identity.processId && !peersWithTask.has(presence.processId) && !signal.aborted) {
+			peersWithTask.add(presence.processId);
 			running.push(heartbeatPeer(presence.processId));
 		}
 	};
@@ -100,7 +100,7 @@
 			await clock.sleep(jitter(pauseMs), signal);
 		}
 
-		tasks.delete(processId);
+		peersWithTask.delete(processId);
 	};
 
 	const contactSeed = async (address: string) => {
--- a/src/plugins/site-agent.ts
+++ b/src/plugins/site-agent.ts
@@ -38,7 +38,7 @@
 }) => {
 	const {announceAddress, workerAddress, workerService} = site;
 	if (announceAddress === undefined || workerAddress === undefined || workerService === undefined) {
-		throw createError(ErrorCode.BadSettings, {step: 'start agent', detail: 'the site settings lack listenAddrs.control, app or service'});
+		throw createError(ErrorCode.BadSettings, {step: 'start agent', detail: 'the site settings lack the address for announcements, the address of the worker or the service of the worker'});
 	}
 
 	const agent = new Agent({
--- a/src/plugins/site-entry.ts
+++ b/src/plugins/site-entry.ts
@@ -49,7 +49,7 @@
 	const {clock, note, signal, metrics, load, internalAddress} = parts;
 	const {callersAddress, readinessAddress} = site;
 	if (callersAddress === undefined || readinessAddress === undefined) {
-		throw createError(ErrorCode.BadSettings, {step: 'start entry', detail: 'the site settings lack listenAddrs.frontendAddr or listenAddrs.ready'});
+		throw createError(ErrorCode.BadSettings, {step: 'start entry', detail: 'the site settings lack the address for callers or the address for readiness checks'});
 	}
 
 	const {config, jobs, ownership, directory, isStoreLost, isStoreFailing, isCaughtUp} = createComponents(parts);
--- a/src/plugins/site-process.ts
+++ b/src/plugins/site-process.ts
@@ -75,15 +75,15 @@
 	const [internalPort, metricsPort] = site.internalPorts;
 	const metricsAddress = `${site.ip}:${metricsPort}`;
 	await listen(metrics.server, metricsAddress);
-	const turns = new TurnScheduler();
-	const http = createHttpClient(maxConnections, turns);
+	const turnScheduler = new TurnScheduler();
+	const http = createHttpClient(maxConnections, turnScheduler);
 	note('started', {
 		life: incarnation, ip: site.ip, failureDomain: site.failureDomain, startupMs: Math.round(process.uptime() * 1000),
 	});
 	const load = new ProcessLoad(clock, note);
 	void load.watch(aborter.signal);
 	const shutDown = await start({
-		site, clock, http, streams: createStreamClient(http, turns), metrics, note, load, incarnation, metricsAddress, internalAddress: `${site.ip}:${internalPort}`, signal: aborter.signal,
+		site, clock, http, streams: createStreamClient(http, turnScheduler), metrics, note, load, incarnation, metricsAddress, internalAddress: `${site.ip}:${internalPort}`, signal: aborter.signal,
 	});
 	await stopped;
 	note('stopping');
--- a/src/plugins/slots-service.ts
+++ b/src/plugins/slots-service.ts
@@ -139,11 +139,11 @@
 	};
 
 	const getRequestedShares = (sponsorId: string): RequestedShare[] => {
-		const asked: RequestedShare[] = [];
+		const requested: RequestedShare[] = [];
 		for (const [upstreamId, share] of shares) {
 			if (share.mode === SlotMode.Sponsored && share.sponsorId === sponsorId) {
 				const isFormer = upstreams.get(upstreamId)?.formerSponsorId === ownId;
-				asked.push({
+				requested.push({
 					upstreamId,
 					share,
 					wanted: wanted.get(upstreamId) ?? 0,
@@ -152,24 +152,24 @@
 			}
 		}
 
-		return asked;
+		return requested;
 	};
 
 	/** Sends one request; true if a share shrank and the released slots must be reported at once, since others wait for them. */
-	const requestShares = async (peerId: string, sponsorId: string, asker: SlotClient): Promise<boolean> => {
-		const asked = asker.compose(getRequestedShares(sponsorId), clock.monotonicMs(), isLeaving);
-		if (!asked) {
+	const requestShares = async (peerId: string, sponsorId: string, client: SlotClient): Promise<boolean> => {
+		const composed = client.compose(getRequestedShares(sponsorId), clock.monotonicMs(), isLeaving);
+		if (!composed) {
 			return false;
 		}
 
-		const answer = parseSlotAnswer(await peers.call(peerId, PeerMethod.Slots, asked.message));
-		for (const {upstreamId, incarnation, grants} of answer.isResync ? [] : asked.message.items) {
+		const answer = parseSlotAnswer(await peers.call(peerId, PeerMethod.Slots, composed.message));
+		for (const {upstreamId, incarnation, grants} of answer.isResync ? [] : composed.message.items) {
 			if (grants && !answer.lapsed.includes(upstreamId)) {
 				handedOver.add(getHandoverKey(upstreamId, incarnation));
 			}
 		}
 
-		const {hasGrown, hasShrunk} = asker.apply(asked, answer, leaseMs);
+		const {hasGrown, hasShrunk} = client.apply(composed, answer, leaseMs);
 		if (hasGrown) {
 			notifyFree();
 		}
@@ -178,8 +178,8 @@
 	};
 
 	const requestFromPeer = async (peerId: string) => {
-		let asker: SlotClient | undefined;
-		let askerSponsorId = '';
+		let client: SlotClient | undefined;
+		let clientSponsorId = '';
 		while (!signal.aborted) {
 			const peer = peers.list().find(({processId}) => processId === peerId);
 			if (!peer) {
@@ -187,14 +187,14 @@
 			}
 
 			const sponsorId = getSponsorId(peerId, peer.incarnation);
-			if (!asker || askerSponsorId !== sponsorId) {
-				asker = new SlotClient(ownId, sponsorId);
-				askerSponsorId = sponsorId;
+			if (!client || clientSponsorId !== sponsorId) {
+				client = new SlotClient(ownId, sponsorId);
+				clientSponsorId = sponsorId;
 			}
 
 			try {
-				if (peer.isAlive && await requestShares(peerId, sponsorId, asker)) {
-					await requestShares(peerId, sponsorId, asker);
+				if (peer.isAlive && await requestShares(peerId, sponsorId, client)) {
+					await requestShares(peerId, sponsorId, client);
 				}
 			} catch (error) {
 				log('Slot request to %s failed: %s', peerId, getMessage(error));
--- a/src/plugins/upstreams-service.ts
+++ b/src/plugins/upstreams-service.ts
@@ -27,7 +27,7 @@
 	const aborter = new AbortController();
 	let cleaning: Promise<void> | undefined;
 	let isLeaving = false;
-	let grouped: {of: UpstreamAnnouncement[]; byService: Map<string, UpstreamAnnouncement[]>} = {of: [], byService: new Map()};
+	let grouped: {upstreams: UpstreamAnnouncement[]; byService: Map<string, UpstreamAnnouncement[]>} = {upstreams: [], byService: new Map()};
 
 	const acceptHere = (announcement: UpstreamAnnouncement, isMonitoredHere: boolean): AnnouncementReply => {
 		const reply = membership.receiveAnnouncement(HostKind.Upstream, announcement.upstreamId, announcement, isMonitoredHere);
@@ -79,8 +79,8 @@
 
 	const getByService = (serviceName: string): UpstreamAnnouncement[] => {
 		const alive = membership.getAlive(HostKind.Upstream) as UpstreamAnnouncement[];
-		if (alive !== grouped.of) {
-			grouped = {of: alive, byService: groupByService(alive)};
+		if (alive !== grouped.upstreams) {
+			grouped = {upstreams: alive, byService: groupByService(alive)};
 		}
 
 		return grouped.byService.get(serviceName) ?? [];
--- a/src/types/fleet.ts
+++ b/src/types/fleet.ts
@@ -62,9 +62,9 @@
 	ageMs: number;
 };
 
-/** Whether each amount asked for is available. */
-export const isWithin = (asked: Capacity, available: Capacity): boolean =>
-	asked.milliCpu <= available.milliCpu && asked.memoryMb <= available.memoryMb && asked.accelerators <= available.accelerators;
+/** Whether each requested amount is available. */
+export const isWithin = (requested: Capacity, available: Capacity): boolean =>
+	requested.milliCpu <= available.milliCpu && requested.memoryMb <= available.memoryMb && requested.accelerators <= available.accelerators;
 
 /** Why an order was refused; a refused order changed nothing, except where noted. */
 export enum OrderRefusal {
--- a/src/types/platform.ts
+++ b/src/types/platform.ts
@@ -52,7 +52,7 @@
 	Running = 'running',
 	Succeeded = 'succeeded',
 	Failed = 'failed',
-	/** Stopped on request, with a checkpoint when one was asked for. */
+	/** Stopped on request, with a checkpoint if one was requested. */
 	Stopped = 'stopped',
 	/** Stopped by the worker because its lease was not renewed in time. */
 	LeaseExpired = 'lapsed',
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -38,15 +38,15 @@
 
 /** Methods of calls between entries. */
 export enum PeerMethod {
-	/** Presence, and digests of what each side knows. */
+	/** Heartbeat: the presence of the sender and of some other entries. */
 	Hello = 'hello',
-	/** Announcements that the other side does not know yet. */
+	/** Pulls changes of the hosts that the peer monitors, and forwards announcements to the sponsor. */
 	Announcements = 'announcements',
 	/** Requests, grants and returns of slot shares. */
 	Slots = 'slots',
 	/** Configuration from a peer that has read more of it. */
 	Config = 'config',
-	/** Jobs forwarded to the owner of their shard. */
+	/** Status of a job, from the owner of its shard. */
 	Jobs = 'jobs',
 	/** Reports of a guard. */
 	Guard = 'guard',
--- a/src/utils/call-stream.ts
+++ b/src/utils/call-stream.ts
@@ -22,15 +22,15 @@
 };
 
 /** Formats a call or a response as a line. */
-export const formatLine = (number: number, word: string | number, json: unknown): string => `${number} ${word} ${JSON.stringify(json ?? {})}\n`;
+export const formatLine = (number: number, pathOrStatus: string | number, json: unknown): string => `${number} ${pathOrStatus} ${JSON.stringify(json ?? {})}\n`;
 
 /** Parses a line; undefined if it is malformed. */
 export const parseLine = (line: string): CallLine | undefined => {
-	const wordStart = line.indexOf(' ') + 1;
-	const jsonStart = line.indexOf(' ', wordStart) + 1;
-	const number = Number(line.slice(0, wordStart));
-	return wordStart > 1 && jsonStart > wordStart + 1 && Number.isSafeInteger(number)
-		? {number, pathOrStatus: line.slice(wordStart, jsonStart - 1), json: line.slice(jsonStart)}
+	const pathOrStatusStart = line.indexOf(' ') + 1;
+	const jsonStart = line.indexOf(' ', pathOrStatusStart) + 1;
+	const number = Number(line.slice(0, pathOrStatusStart));
+	return pathOrStatusStart > 1 && jsonStart > pathOrStatusStart + 1 && Number.isSafeInteger(number)
+		? {number, pathOrStatus: line.slice(pathOrStatusStart, jsonStart - 1), json: line.slice(jsonStart)}
 		: undefined;
 };
 
--- a/src/utils/event-log.ts
+++ b/src/utils/event-log.ts
@@ -19,7 +19,7 @@
 /** Limit on lines written a second. */
 const maxLinesPerS = 600;
 /** Lines a second of each event that are written regardless of the limit, because rare events such as the end of a job are logged only once. */
-const minLinesPerSOfEvent = 40;
+const minLinesPerEventPerS = 40;
 /** Lines are dropped while this much is buffered, as when nobody reads the output. */
 const maxBufferedBytes = 1_048_576;
 const minWriteBytes = 8192;
@@ -36,7 +36,7 @@
 	/** Returns whether a line of the event may be written; counts it as written or dropped. */
 	tryTake(event: string): boolean {
 		const eventLines = this.#linesByEvent.get(event) ?? 0;
-		if (eventLines >= minLinesPerSOfEvent && this.#lines >= maxLinesPerS) {
+		if (eventLines >= minLinesPerEventPerS && this.#lines >= maxLinesPerS) {
 			this.#droppedByEvent.set(event, (this.#droppedByEvent.get(event) ?? 0) + 1);
 			return false;
 		}
@@ -67,7 +67,7 @@
 		fd: 1, sync: false, minLength: minWriteBytes, maxLength: maxBufferedBytes,
 	});
 	const logger = pino({base, timestamp: () => `,"time":${clock.now().getTime()}`}, destination);
-	const budget = new LineRateLimiter();
+	const limiter = new LineRateLimiter();
 	const flush = () => {
 		destination.flush();
 	};
@@ -75,12 +75,12 @@
 	setInterval(flush, flushEveryMs).unref();
 	return {
 		note(event, fields = {}) {
-			const dropped = budget.startWindow(clock.monotonicMs());
+			const dropped = limiter.startWindow(clock.monotonicMs());
 			if (dropped) {
 				logger.info({dropped}, 'lines dropped');
 			}
 
-			if (budget.tryTake(event)) {
+			if (limiter.tryTake(event)) {
 				logger.info(fields, event);
 			}
 		},
--- a/src/utils/logger.ts
+++ b/src/utils/logger.ts
@@ -30,7 +30,7 @@
 const prefix = 'chervilworks';
 
 /** Creates the logger of a namespace; `DEBUG=chervilworks:*` enables all of them. */
-export const createLogger = (part: LogNamespace): Logger => createDebug(`${prefix}:${part}`);
+export const createLogger = (namespace: LogNamespace): Logger => createDebug(`${prefix}:${namespace}`);
 
 /** Enables the logs of all namespaces unless the environment variable `DEBUG` selects some. */
 export const enableLogs = (): void => {
--- a/src/utils/turn-scheduler.ts
+++ b/src/utils/turn-scheduler.ts
@@ -1,7 +1,7 @@
 /**
 Turn scheduler: spreads work over turns of the event loop. If thirty responses arrive at once, the loop runs all work that
-follows from them before it polls for other input. On a slow host this takes a third of a second, and platforms accept one new
-connection in each turn: callers would wait for seconds for a connection to a process that answers within milliseconds.
+follows from them before it polls for other input. On a slow host this takes a third of a second, and the loop accepts only one
+new connection in each turn: callers would wait for seconds for a connection to a process that answers within milliseconds.
 */
 import process from 'node:process';
 
--- a/test/call-stream.test.ts
+++ b/test/call-stream.test.ts
@@ -90,15 +90,15 @@
 		const {address, stop} = await serveEcho();
 		cleanUp.push(stop);
 		const [host, port] = address.split(':');
-		let isSilent = false;
+		let isUnresponsive = false;
 		const sockets = new Set<Socket>();
 		const proxy = createTcpServer(socket => {
 			sockets.add(socket);
-			const wasOpenedBefore = !isSilent;
+			const wasOpenedBefore = !isUnresponsive;
 			const target = connect(Number(port), host);
 			sockets.add(target);
 			socket.on('data', chunk => {
-				if (wasOpenedBefore && isSilent) {
+				if (wasOpenedBefore && isUnresponsive) {
 					return;
 				}
 
@@ -123,7 +123,7 @@
 		});
 		const proxyAddress = `127.0.0.1:${(proxy.address() as {port: number}).port}`;
 		await call(proxyAddress, {});
-		isSilent = true;
+		isUnresponsive = true;
 		expect(await getCallErrorCode(call(proxyAddress, {}, 100))).toBe(ErrorCode.PeerUnavailable);
 		expect(await call(proxyAddress, {n: 2})).toEqual({status: 200, json: {n: 2}});
 	});
--- a/test/event-log.test.ts
+++ b/test/event-log.test.ts
@@ -10,23 +10,23 @@
 	second. If the lines on the acceptance and end of jobs are dropped with the rest, the wait of a caller cannot be explained.
 	*/
 	it('writes rare events beside frequent ones', () => {
-		const budget = new LineRateLimiter();
-		budget.startWindow(0);
+		const limiter = new LineRateLimiter();
+		limiter.startWindow(0);
 		for (let index = 0; index < 2000; index++) {
-			budget.tryTake('pace');
+			limiter.tryTake('pace');
 		}
 
-		const kept = Array.from({length: 30}, () => budget.tryTake('job over'));
+		const kept = Array.from({length: 30}, () => limiter.tryTake('job over'));
 		expect(kept.every(Boolean)).toBe(true);
 	});
 
 	it('is limited, and reports the number of dropped lines', () => {
-		const budget = new LineRateLimiter();
-		budget.startWindow(0);
-		const written = Array.from({length: 2000}, () => budget.tryTake('pace')).filter(Boolean).length;
+		const limiter = new LineRateLimiter();
+		limiter.startWindow(0);
+		const written = Array.from({length: 2000}, () => limiter.tryTake('pace')).filter(Boolean).length;
 		expect(written).toBe(600);
-		expect(budget.startWindow(500)).toBeUndefined();
-		expect(budget.startWindow(1000)).toEqual({pace: 1400});
-		expect(budget.tryTake('pace')).toBe(true);
+		expect(limiter.startWindow(500)).toBeUndefined();
+		expect(limiter.startWindow(1000)).toEqual({pace: 1400});
+		expect(limiter.tryTake('pace')).toBe(true);
 	});
 });
--- a/test/guard.test.ts
+++ b/test/guard.test.ts
@@ -248,11 +248,11 @@
 	const {address: upstream, held} = await startUpstream();
 	const {address} = await startGuard(upstream, {slots: 1});
 	const warnings: string[] = [];
-	const note = ({name}: Error) => {
+	const recordWarning = ({name}: Error) => {
 		warnings.push(name);
 	};
 
-	process.on('warning', note);
+	process.on('warning', recordWarning);
 	const agent = new Agent({keepAlive: true});
 	for (let index = 0; index < 40; index++) {
 		const answer = sendRequestTo(address, '/again', {agent});
@@ -263,6 +263,6 @@
 
 	await clock.sleep(20);
 	agent.destroy();
-	process.off('warning', note);
+	process.off('warning', recordWarning);
 	expect(warnings).toEqual([]);
 });
--- a/test/keep-alive-client.test.ts
+++ b/test/keep-alive-client.test.ts
@@ -56,7 +56,7 @@
 });
 
 /** Server that listens but accepts nothing: once its backlog is full, connection requests are not answered. */
-const silentServerCode = `
+const unresponsiveServerCode = `
 	const {createServer} = require('node:net');
 	const {parentPort} = require('node:worker_threads');
 	const server = createServer();
@@ -69,7 +69,7 @@
 it('times out early on a host that does not answer connection requests', async () => {
 	server = createServer();
 	http = createHttpClient(1);
-	const worker = new Worker(silentServerCode, {eval: true});
+	const worker = new Worker(unresponsiveServerCode, {eval: true});
 	const port = await new Promise<number>(resolve => {
 		worker.once('message', resolve);
 	});
--- a/test/simulated-requests.ts
+++ b/test/simulated-requests.ts
@@ -189,11 +189,11 @@
 
 			const body = Buffer.concat(chunks);
 			const {method = '', url = '', headers} = request;
-			const one = {
+			const seenRequest = {
 				method, url, headers, body: body.toString(),
 			};
-			requests.push(one);
-			seen.push(one);
+			requests.push(seenRequest);
+			seen.push(seenRequest);
 			behaviour(request, response, body);
 		});
 		const upstream = announce(await listen(server), isGuarded);
