--- a/src/jobs/interference-model.ts
+++ b/src/jobs/interference-model.ts
@@ -101,7 +101,7 @@
 		return this.#batchInterference;
 	}
 
-	/** Updates `batchInterference` by a report of a latency-critical task. */
+	/** Updates `batchInterference` from a report of a latency-critical task. */
 	observeBatchInterference(slowdown: number, batchProcessors: number): void {
 		if (batchProcessors >= 1) {
 			const interference = Math.max(0, Math.min(slowdown, maxSlowdown) - 1) / batchProcessors;
@@ -126,7 +126,7 @@
 		this.#noise[kindId] = noiseStart;
 	}
 
-	/** Updates the effects by one report. */
+	/** Updates the effects from one report. */
 	observe({victimKindId, taskClass, neighbours, load, slowdown}: InterferenceReport): void {
 		const full = clampLoad(load);
 		const idle = 1 - full;
--- a/src/jobs/interference-response.ts
+++ b/src/jobs/interference-response.ts
@@ -58,14 +58,14 @@
 	}
 
 	if (neighbour.throttleShare > minThrottleShare) {
-		return isThrottlePaying(cycle, neighbour, maxContribution) && setThrottleShare(cycle, neighbour, neighbour.throttleShare / 2);
+		return isThrottleWorthwhile(cycle, neighbour, maxContribution) && setThrottleShare(cycle, neighbour, neighbour.throttleShare / 2);
 	}
 
-	return isMovePaying(cycle, neighbour, maxContribution) && move(cycle, neighbour);
+	return isEvictionWorthwhile(cycle, neighbour, maxContribution) && tryEvict(cycle, neighbour);
 };
 
 /** Halving the neighbour's share costs half of its throughput and removes half of its interference. */
-const isThrottlePaying = ({context: {settings}}: PlacementCycle, entry: TaskEntry, contribution: number): boolean =>
+const isThrottleWorthwhile = ({context: {settings}}: PlacementCycle, entry: TaskEntry, contribution: number): boolean =>
 	contribution > settings.throughputWeight * entry.throttleShare * minGainFactor;
 
 /** Throttles new tasks whose kind is known to interfere, as reports would arrive too late to prevent it. */
@@ -73,7 +73,7 @@
 	const {startedBatchTasks, interferenceCost, queue} = cycle.context;
 	for (const entry of startedBatchTasks) {
 		const {worker, phase, job} = entry;
-		if (worker && phase === TaskPhase.Placed && !queue.isUrgent(job) && isThrottlePaying(cycle, entry, interferenceCost.getContribution(worker, entry, -1))) {
+		if (worker && phase === TaskPhase.Placed && !queue.isUrgent(job) && isThrottleWorthwhile(cycle, entry, interferenceCost.getContribution(worker, entry, -1))) {
 			setThrottleShare(cycle, entry, 1 / 2);
 		}
 	}
@@ -81,7 +81,7 @@
 	startedBatchTasks.length = 0;
 };
 
-const isMovePaying = (cycle: PlacementCycle, entry: TaskEntry, contribution: number): boolean => {
+const isEvictionWorthwhile = (cycle: PlacementCycle, entry: TaskEntry, contribution: number): boolean => {
 	const {context, nowMs} = cycle;
 	const {settings, queue, evictionHistory, sizes} = context;
 	const {spec, kindId} = entry.job;
@@ -110,7 +110,7 @@
 	return least;
 };
 
-const move = (cycle: PlacementCycle, entry: TaskEntry): boolean => {
+const tryEvict = (cycle: PlacementCycle, entry: TaskEntry): boolean => {
 	if (!cycle.context.regularEvictionBudget.tryTake(1, cycle.nowMs)) {
 		return false;
 	}
@@ -141,7 +141,7 @@
 /** Restores throttled tasks to full speed when the latency-critical tasks beside them run well and are expected to stay so. */
 const restoreThrottled = (cycle: PlacementCycle): void => {
 	const {throttledTasks, interferenceCost, settings} = cycle.context;
-	const clearSlowdown = 1 + ((settings.harmThreshold - 1) / 2);
+	const maxRestoreSlowdown = 1 + ((settings.harmThreshold - 1) / 2);
 	for (const entry of throttledTasks) {
 		const {worker} = entry;
 		if (!worker || entry.phase !== TaskPhase.Placed) {
@@ -153,7 +153,7 @@
 			continue;
 		}
 
-		const areOthersWell = [...worker.tasks].every(other => other.job.spec.taskClass === TaskClass.Batch || other.slowdown < clearSlowdown);
+		const areOthersWell = [...worker.tasks].every(other => other.job.spec.taskClass === TaskClass.Batch || other.slowdown < maxRestoreSlowdown);
 		const expected = interferenceCost.getContribution(worker, entry, 0) / entry.throttleShare;
 		if (areOthersWell && expected < settings.throughputWeight) {
 			setThrottleShare(cycle, entry, 1);
--- a/src/jobs/lease-manager.ts
+++ b/src/jobs/lease-manager.ts
@@ -58,7 +58,7 @@
 	readonly tasks = new Set<LiveTask>();
 	/** By shard: send time of the newest call that the worker answered without reporting a newer token. */
 	readonly acceptedAtMs = new Map<number, number>();
-	/** When the worker's current incarnation was first received. */
+	/** When the worker's current incarnation was first reported. */
 	knownSinceMs = Number.POSITIVE_INFINITY;
 	readonly #options: LeaseManagerOptions;
 	#refsToForget: AttemptRef[] = [];
--- a/src/jobs/ownership-manager.ts
+++ b/src/jobs/ownership-manager.ts
@@ -175,7 +175,10 @@
 		}
 	}
 
-	/** Other entries are judged only after the stream was followed for a whole lease: every live entry has renewed by then. */
+	/**
+	Whether other entries are alive is decided only after the stream was followed for a whole lease: every live entry has renewed by
+	then. A renewal interval suffices while at most one entry is known to be alive.
+	*/
 	#isLivenessKnown(): boolean {
 		const nowMs = this.#options.clock.monotonicMs();
 		const {caughtUpAtMs} = this.fold;
--- a/src/jobs/placement-fleet.ts
+++ b/src/jobs/placement-fleet.ts
@@ -227,12 +227,12 @@
 	}
 
 	/** Capacity used by others varies; it does not change the fleet's total, hence not its version. */
-	#setUsedByOthers(worker: WorkerEntry, foreign: Resources = noResources): void {
-		if (isSameAmount(worker.spec.usedByOthers ?? noResources, foreign)) {
+	#setUsedByOthers(worker: WorkerEntry, usedByOthers: Resources = noResources): void {
+		if (isSameAmount(worker.spec.usedByOthers ?? noResources, usedByOthers)) {
 			return;
 		}
 
-		worker.spec = {...worker.spec, usedByOthers: foreign};
+		worker.spec = {...worker.spec, usedByOthers};
 		this.freedVersion++;
 		this.refresh(worker);
 	}
--- a/src/jobs/recovery.ts
+++ b/src/jobs/recovery.ts
@@ -69,8 +69,8 @@
 
 		const isAllReached = reached === leaseManagers.length;
 		// Counted from the majority: from then on an earlier owner without the log can obtain no proof from a majority, and renews no leases.
-		const isWaitedOut = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;
-		if (!isReleased && ((isAllReached && options.isFleetKnown()) || isWaitedOut)) {
+		const hasWaitElapsed = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;
+		if (!isReleased && ((isAllReached && options.isFleetKnown()) || hasWaitElapsed)) {
 			isReleased = true;
 			releaseHeld(owner);
 			metrics.timing(Metric.RecoveryMs, clock.monotonicMs() - startedAtMs);
--- a/src/jobs/residency-history.ts
+++ b/src/jobs/residency-history.ts
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Updates the residency by the measured processors of a running task. */
+	/** Sets the processors of the current residency to the measured ones. */
 	updateProcessors(entry: TaskEntry): void {
 		if (entry.residency) {
 			entry.residency.processors = entry.measuredProcessors;
--- a/src/jobs/shard-runner.ts
+++ b/src/jobs/shard-runner.ts
@@ -126,8 +126,8 @@
 		this.#onEnded(task, reply.state ?? TaskState.Stopped, {checkpointId: reply.checkpointId ?? report?.checkpointId, result: report?.result});
 	}
 
-	/** The task is missing from the worker's listing that was requested at `askedAtMs`. */
-	onAbsent(task: LiveTask, leaseManager: LeaseManager, askedAtMs: number): void {
+	/** The task is missing from the worker's listing that was requested at `requestedAtMs`. */
+	onAbsent(task: LiveTask, leaseManager: LeaseManager, requestedAtMs: number): void {
 		const {times: {callTimeoutMs, clockErrorMs}} = this.#context;
 		if (this.#options.isClosed() || !mayBeRunning(task)) {
 			return;
@@ -135,7 +135,7 @@
 
 		if (task.phase !== TaskPhase.Starting) {
 			// A listing requested before the start was confirmed may be older than the start.
-			if (askedAtMs >= task.confirmedAtMs) {
+			if (requestedAtMs >= task.confirmedAtMs) {
 				this.#onLost(task, AttemptEndReason.UnknownToWorker);
 			}
 
@@ -143,7 +143,7 @@
 		}
 
 		// The order may still arrive. Only after its deadline, when the worker refuses it, is it certain that it starts nothing.
-		if (leaseManager.isDeadlineEnforced && askedAtMs > task.startedAtMs + callTimeoutMs + clockErrorMs) {
+		if (leaseManager.isDeadlineEnforced && requestedAtMs > task.startedAtMs + callTimeoutMs + clockErrorMs) {
 			this.#requeue(task, AttemptEndReason.NotStarted);
 		}
 	}
--- a/src/measure/jobs-run.ts
+++ b/src/measure/jobs-run.ts
@@ -74,7 +74,7 @@
 	readonly #policy: MeasuredPolicy;
 	readonly #seed: number;
 	readonly #engine: PlacementEngine;
-	readonly #world: SimulatedWorkers;
+	readonly #workers: SimulatedWorkers;
 	// Arrivals have a random stream of their own, so that every policy gets the same ones.
 	readonly #arrivals: Random;
 	readonly #stopDelays: Random;
@@ -100,7 +100,7 @@
 		this.#seed = seed;
 		this.#arrivals = createStream(seed, 1);
 		this.#stopDelays = createStream(seed, 2);
-		this.#world = new SimulatedWorkers(user.workers, user.kinds, createStream(seed, 3));
+		this.#workers = new SimulatedWorkers(user.workers, user.kinds, createStream(seed, 3));
 		this.#engine = createPlacementEngine({
 			settings: {...user.placement, isHarmAware: policy.isInterferenceAware}, random: createStream(seed, 0), choose: policy.createChoose?.(createStream(seed, 4)),
 		});
@@ -120,7 +120,7 @@
 		for (this.#nowMs = 0; this.#nowMs < durationMs; this.#nowMs += stepMs) {
 			this.#submitArrivals();
 			this.#advance();
-			for (const {taskId, usage} of this.#world.drainReports(this.#nowMs)) {
+			for (const {taskId, usage} of this.#workers.drainReports(this.#nowMs)) {
 				this.#engine.recordUsage(taskId, usage);
 			}
 
@@ -180,8 +180,8 @@
 	}
 
 	#advance(): void {
-		this.#world.step(this.#nowMs, stepMs);
-		for (const task of this.#world.tasks.values()) {
+		this.#workers.step(this.#nowMs, stepMs);
+		for (const task of this.#workers.tasks.values()) {
 			if (task.doneMs >= task.kind.runTimeMs) {
 				this.#finish(task);
 			} else if (this.#nowMs >= task.stopAtMs) {
@@ -193,7 +193,7 @@
 	}
 
 	#finish(task: SimulatedPlacedTask): void {
-		this.#world.remove(task);
+		this.#workers.remove(task);
 		this.#engine.recordEnded(task.taskId, true, this.#nowMs);
 		this.#savedMs.delete(task.taskId);
 		this.#startedTasks.delete(task.taskId);
@@ -211,7 +211,7 @@
 			this.#lostMs += (doneMs - savedMs) * kind.processors;
 		}
 
-		this.#world.remove(task);
+		this.#workers.remove(task);
 		this.#savedMs.set(taskId, savedMs);
 		this.#engine.recordEnded(taskId, false, this.#nowMs);
 		this.#enqueue({...this.#startedTasks.get(taskId)!, attempt: task.attempt + 1, queuedAtMs: this.#nowMs});
@@ -226,7 +226,7 @@
 			}
 
 			case DecisionType.Evict: {
-				const task = this.#world.tasks.get(decision.taskId);
+				const task = this.#workers.tasks.get(decision.taskId);
 				if (task) {
 					task.stopAtMs = this.#nowMs + 200 + this.#stopDelays.below(800);
 				}
@@ -239,7 +239,7 @@
 			}
 
 			case DecisionType.Throttle: {
-				const task = this.#world.tasks.get(decision.taskId);
+				const task = this.#workers.tasks.get(decision.taskId);
 				if (task) {
 					task.share = decision.share;
 				}
@@ -262,7 +262,7 @@
 		const isUrgent = spec.priority === urgentPriority;
 		this.#waiting.delete(taskId);
 		this.#startedTasks.set(taskId, pending);
-		this.#world.start({
+		this.#workers.start({
 			taskId,
 			attempt,
 			kind: this.#user.kinds[kindIndex]!,
@@ -285,7 +285,7 @@
 	#getWorstLoss(getPlace: (worker: PlacementWorker) => string): number {
 		const counts = new Map<string, number>();
 		let worst = 0;
-		for (const {kind, workerId} of this.#world.tasks.values()) {
+		for (const {kind, workerId} of this.#workers.tasks.values()) {
 			if (kind.replicas > 0) {
 				const worker = this.#user.workers.find(other => other.workerId === workerId)!;
 				const key = `${kind.name}/${getPlace(worker)}`;
--- a/src/measure/scheduling-simulation.ts
+++ b/src/measure/scheduling-simulation.ts
@@ -67,7 +67,7 @@
 	result: SchedulingResult;
 	policy: Policy;
 	/** Load that a best-effort image with a whole worker adds to a latency-critical image. */
-	getEffect: (server: string, filler: string) => number;
+	getEffect: (latencyCriticalImage: string, bestEffortImage: string) => number;
 	/** By latency-critical job: time in the current window that its tasks met their target, and that they missed it because of interference. */
 	served: Map<string, {withinTargetMs: number; interferenceMs: number}>;
 	/** Ids of completed jobs that are already credited. */
@@ -146,15 +146,15 @@
 const createSimulation = (load: SchedulingLoad, random: Random, policy: Policy): Simulation => {
 	const clock = new ManualClock();
 	const salt = random.below(1e6);
-	const getEffect = (server: string, filler: string) =>
-		load.addedLoads[Math.floor(getChance(`${salt} ${server} ${filler}`) * load.addedLoads.length)]!;
+	const getEffect = (latencyCriticalImage: string, bestEffortImage: string) =>
+		load.addedLoads[Math.floor(getChance(`${salt} ${latencyCriticalImage} ${bestEffortImage}`) * load.addedLoads.length)]!;
 	const simulation: Simulation = {
 		clock, store: new MemoryStore(clock, 1), jobs: new Map(), workers: new Map(), agents: new Map(), policy, getEffect, served: new Map(), creditedJobIds: new Set(), result: {
 			credit: new Map(), lostCoreS: 0, interferenceS: 0, counts: new Map(), bestEffortCores: 0,
 		},
 	};
 	const getJob = (taskId: string) => simulation.jobs.get(parseTaskId(taskId)!.workflowId)!;
-	const harm = {
+	const interference = {
 		baseLatencyMs: load.baseLatencyMs,
 		getLoad(taskId: string, nowMs: number) {
 			const {loadPhase, kind: {latencyCritical}} = getJob(taskId);
@@ -166,7 +166,7 @@
 		const host = `host-${String(index).padStart(2, '0')}`;
 		simulation.workers.set(host, new InterferenceWorker(host, {
 			clock,
-			interference: harm,
+			interference,
 			checkpointIntervalMs: checkpointEveryMs,
 			restoreMs,
 			maxLeaseMs: 10_000,
@@ -305,8 +305,11 @@
 	const latencyCriticalImages = getImages(({latencyCritical}) => latencyCritical !== undefined);
 	const bestEffortImages = getImages(({isBestEffort}) => isBestEffort);
 	await write(simulation, {
-		type: RecordType.Interference, pairs: latencyCriticalImages.flatMap(server => bestEffortImages.map(filler => ({
-			server, filler, mean: simulation.getEffect(server, filler) / interferenceUnits, deviation: knownDeviation,
+		type: RecordType.Interference, pairs: latencyCriticalImages.flatMap(latencyCriticalImage => bestEffortImages.map(bestEffortImage => ({
+			server: latencyCriticalImage,
+			filler: bestEffortImage,
+			mean: simulation.getEffect(latencyCriticalImage, bestEffortImage) / interferenceUnits,
+			deviation: knownDeviation,
 		}))),
 	});
 };
@@ -328,9 +331,9 @@
 	return cores;
 };
 
-const addCredit = ({result}: Simulation, kind: string, earned: number, owed: number): void => {
+const addCredit = ({result}: Simulation, kind: string, earned: number, possible: number): void => {
 	const sum = result.credit.get(kind) ?? {earned: 0, possible: 0};
-	result.credit.set(kind, {earned: sum.earned + earned, possible: sum.possible + owed});
+	result.credit.set(kind, {earned: sum.earned + earned, possible: sum.possible + possible});
 };
 
 const getCount = ({result}: Simulation, kind: string): {inTime: number; late: number; open: number} => {
--- a/src/measure/slots-measurement.ts
+++ b/src/measure/slots-measurement.ts
@@ -67,12 +67,12 @@
 	index: number;
 	shares: SlotShare[];
 	sponsor: SlotSponsor;
-	askers: Map<number, SlotClient>;
+	clients: Map<number, SlotClient>;
 	queue: number[];
 };
 
 type ShareRequest = {
-	asker: SlotClient;
+	client: SlotClient;
 	shares: RequestedShare[];
 	/** Sent only to report slots that were returned. */
 	isReport: boolean;
@@ -153,9 +153,9 @@
 				}
 				: undefined,
 		});
-		const askers = new Map(entryShares.flatMap((_, other) => other === index ? [] : [[other, new SlotClient(String(index), String(other))] as const]));
+		const clients = new Map(entryShares.flatMap((_, other) => other === index ? [] : [[other, new SlotClient(String(index), String(other))] as const]));
 		return {
-			index, shares, sponsor, askers, queue: [],
+			index, shares, sponsor, clients, queue: [],
 		};
 	}
 
@@ -164,7 +164,7 @@
 		const {periodMs, entryShares, upstreamCount} = this.#condition;
 		const waiting = entry.queue.length;
 		const first = this.#random.below(upstreamCount);
-		const asked: RequestedShare[][] = entryShares.map(() => []);
+		const requested: RequestedShare[][] = entryShares.map(() => []);
 		for (const [upstream, share] of entry.shares.entries()) {
 			const wanted = share.measureWanted(getWaitingPart(waiting, (first + upstream) % upstreamCount, upstreamCount), waiting > 0, (upstream + 0.5) / upstreamCount);
 			const sponsorIndex = upstream % entryShares.length;
@@ -172,12 +172,12 @@
 				share.share = entry.sponsor.grantOwn(String(upstream), 1, {share: share.share, limit: share.getLimit(), wanted})!;
 				share.leaseEndMs = this.#clock.monotonicMs() + leaseMs;
 			} else {
-				asked[sponsorIndex]!.push({upstreamId: String(upstream), share, wanted});
+				requested[sponsorIndex]!.push({upstreamId: String(upstream), share, wanted});
 			}
 		}
 
-		for (const [other, asker] of entry.askers) {
-			this.#ask(entry, other, {asker, shares: asked[other]!, isReport: false});
+		for (const [other, client] of entry.clients) {
+			this.#requestShares(entry, other, {client, shares: requested[other]!, isReport: false});
 		}
 
 		this.#serve(entry);
@@ -186,21 +186,21 @@
 		}, periodMs * (0.75 + (this.#random.next() / 2)));
 	}
 
-	#ask(entry: SlotsEntry, other: number, {asker, shares, isReport}: ShareRequest): void {
+	#requestShares(entry: SlotsEntry, other: number, {client, shares, isReport}: ShareRequest): void {
 		const {delayMs} = this.#condition;
-		const asked = asker.compose(shares, this.#clock.monotonicMs());
-		if (!asked) {
+		const request = client.compose(shares, this.#clock.monotonicMs());
+		if (!request) {
 			return;
 		}
 
 		this.#messages++;
 		this.#clock.setTimer(() => {
-			const answer = this.#entries[other]!.sponsor.answer(asked.message);
+			const answer = this.#entries[other]!.sponsor.answer(request.message);
 			this.#clock.setTimer(() => {
-				const {hasShrunk} = asker.apply(asked, answer, leaseMs);
+				const {hasShrunk} = client.apply(request, answer, leaseMs);
 				this.#serve(entry);
 				if (hasShrunk && !isReport) {
-					this.#ask(entry, other, {asker, shares, isReport: true});
+					this.#requestShares(entry, other, {client, shares, isReport: true});
 				}
 			}, delayMs);
 		}, delayMs);
--- a/test/ownership.test.ts
+++ b/test/ownership.test.ts
@@ -155,8 +155,8 @@
 	expect(cluster.violations).toEqual([]);
 });
 
-// The log is down for ten minutes and recovers. If each entry judged the others by the time since their last records, all entries
-// would claim the shards of all others at once.
+// The log is down for ten minutes and recovers. If each entry decided by the time since the others' last records whether they are
+// alive, all entries would claim the shards of all others at once.
 test('owners stay the same after an outage of the log', async () => {
 	create({entries: 3, shards: 12});
 	await cluster.runUntil(() => sum(getOwned()) === 12);
--- a/test/placement-properties.test.ts
+++ b/test/placement-properties.test.ts
@@ -20,7 +20,7 @@
 	= | {type: 'submit'; team: number; size: number; count: number; isGang: boolean; priority: number; isLatencyCritical: boolean; runMs: number}
 		| {type: 'cancel'; pick: number}
 		| {type: 'refuse'; pick: number}
-		| {type: 'worker'; number: number; state: 'open' | 'closed' | 'lost'}
+		| {type: 'worker'; number: number; state: 'schedulable' | 'unschedulable' | 'lost'}
 		| {type: 'usage'; pick: number; slowdown: number; ratio: number}
 		| {type: 'pass'; steps: number};
 
@@ -33,7 +33,7 @@
 	},
 	{weight: 1, arbitrary: fc.record({type: fc.constant('cancel' as const), pick: fc.nat(50)})},
 	{weight: 1, arbitrary: fc.record({type: fc.constant('refuse' as const), pick: fc.nat(50)})},
-	{weight: 1, arbitrary: fc.record({type: fc.constant('worker' as const), number: fc.nat(4), state: fc.constantFrom('open' as const, 'closed' as const, 'lost' as const)})},
+	{weight: 1, arbitrary: fc.record({type: fc.constant('worker' as const), number: fc.nat(4), state: fc.constantFrom('schedulable' as const, 'unschedulable' as const, 'lost' as const)})},
 	{
 		weight: 2, arbitrary: fc.record({
 			type: fc.constant('usage' as const), pick: fc.nat(50), slowdown: fc.double({min: 0.5, max: 4, noNaN: true}), ratio: fc.double({min: 0.1, max: 2, noNaN: true}),
@@ -221,8 +221,8 @@
 		}
 	}
 
-	changeWorker(number: number, state: 'open' | 'closed' | 'lost'): void {
-		const worker = createWorker(number, {isSchedulable: state === 'open'});
+	changeWorker(number: number, state: 'schedulable' | 'unschedulable' | 'lost'): void {
+		const worker = createWorker(number, {isSchedulable: state === 'schedulable'});
 		if (state !== 'lost') {
 			this.setWorker(worker);
 			return;
@@ -303,7 +303,7 @@
 	submit(1, 5, 950, 200);
 	fleet.run({type: 'cancel', pick: 4});
 	fleet.run({type: 'refuse', pick: 0});
-	fleet.run({type: 'worker', number: 0, state: 'open'});
+	fleet.run({type: 'worker', number: 0, state: 'schedulable'});
 	fleet.runToEnd();
 	expect(fleet.waiting.size).toBe(0);
 });
--- a/test/slots-property.test.ts
+++ b/test/slots-property.test.ts
@@ -44,9 +44,9 @@
 	const getUpstream = () => simulation.upstreams.get(`u@${incarnation}`)!;
 	const performers: Performers = {
 		take({entry, count, runMs}) {
-			const taker = simulation.entries.get(entry);
-			for (let index = 0; taker && index < count; index++) { // eslint-disable-line no-unmodified-loop-condition
-				simulation.tryAcquireSlot(taker, 'u', runMs, maxHoldMs);
+			const simulatedEntry = simulation.entries.get(entry);
+			for (let index = 0; simulatedEntry && index < count; index++) { // eslint-disable-line no-unmodified-loop-condition
+				simulation.tryAcquireSlot(simulatedEntry, 'u', runMs, maxHoldMs);
 			}
 		},
 		cut({entry, other}) {
@@ -81,9 +81,9 @@
 		},
 		repeat({entry, back}) {
 			const old = getUpstream().sent.at(-back);
-			const taker = simulation.entries.get(entry);
-			if (taker && old) {
-				simulation.redeliver(taker, old);
+			const simulatedEntry = simulation.entries.get(entry);
+			if (simulatedEntry && old) {
+				simulation.redeliver(simulatedEntry, old);
 			}
 		},
 		log({isDown}) {
@@ -154,10 +154,10 @@
 }, 600_000);
 
 test('an upstream that echoes no sponsor is divided into equal shares, which no fault changes', async () => {
-	await fc.assert(fc.asyncProperty(fc.array(action, {minLength: 5, maxLength: 20}), faults, fc.nat(), async (steps, networkFaults, worldSeed) => {
+	await fc.assert(fc.asyncProperty(fc.array(action, {minLength: 5, maxLength: 20}), faults, fc.nat(), async (steps, networkFaults, simulationSeed) => {
 		// Restarts are left out, a known limit that the design note states: while requests of the crashed entry still run, the
 		// restarted one counts as a fourth entry.
-		await runSteps(steps.filter(({kind}) => kind !== 'restart'), networkFaults, worldSeed, false);
+		await runSteps(steps.filter(({kind}) => kind !== 'restart'), networkFaults, simulationSeed, false);
 	}), {numRuns: Math.ceil(runs / 4), seed});
 }, 600_000);
 
