--- a/test/interference.test.ts
+++ b/test/interference.test.ts
@@ -9,7 +9,7 @@
 	createEngine, createSpec, createWorker, enqueueJob, getEvictions, getStarts,
 } from './placement-tools.ts';
 
-const at = (model: InterferenceModel, neighbour: number) => ({
+const getEffects = (model: InterferenceModel, neighbour: number) => ({
 	idle: model.getIdleEffect(1, TaskClass.LatencyCritical, neighbour, 0),
 	full: model.getFullEffect(1, TaskClass.LatencyCritical, neighbour, 0),
 });
@@ -36,9 +36,9 @@
 	test('is distinguished from that of quiet neighbours, and depends on load', () => {
 		const model = new InterferenceModel(600_000);
 		learn(model, 400);
-		expect(at(model, 3).full).toBeGreaterThan(0.45);
-		expect(at(model, 3).idle).toBeLessThan(0.2);
-		expect(Math.abs(at(model, 2).full)).toBeLessThan(0.1);
+		expect(getEffects(model, 3).full).toBeGreaterThan(0.45);
+		expect(getEffects(model, 3).idle).toBeLessThan(0.2);
+		expect(Math.abs(getEffects(model, 2).full)).toBeLessThan(0.1);
 	});
 
 	test('is uncertain without reports, and the uncertainty grows back over time', () => {
@@ -56,11 +56,11 @@
 	test('an outlier changes an effect little', () => {
 		const model = new InterferenceModel(600_000);
 		learn(model, 400);
-		const before = at(model, 2).full;
+		const before = getEffects(model, 2).full;
 		model.observe({
 			victimKindId: 1, taskClass: TaskClass.LatencyCritical, neighbours: [{kindId: 2, shareSum: 1}], load: 1, slowdown: 1000,
 		});
-		expect(at(model, 2).full - before).toBeLessThan(0.1);
+		expect(getEffects(model, 2).full - before).toBeLessThan(0.1);
 	});
 
 	test('the effect of a kind not seen beside a victim is estimated from its effect on others', () => {
@@ -77,7 +77,7 @@
 			});
 		}
 
-		expect(at(model, hostKindId).full).toBeCloseTo(0.5, 1);
+		expect(getEffects(model, hostKindId).full).toBeCloseTo(0.5, 1);
 	});
 
 	test('kinds beyond the size of the table reuse the id of the oldest, whose effects are reset', () => {
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -252,11 +252,11 @@
 test('urgent work takes free capacity that is reserved for a large task', () => {
 	const engine = createEngine({reserveAfterMs: 0});
 	engine.setWorker(createWorker(0));
-	enqueueJob(engine, createSpec('filler', {taskCount: 2, resources: half}));
+	enqueueJob(engine, createSpec('running', {taskCount: 2, resources: half}));
 	engine.decide(0, 10);
 	enqueueJob(engine, createSpec('large', {resources: {...half, processors: 16}}), {queuedAtMs: 1000});
 	engine.decide(1000, 10);
-	engine.recordEnded('filler/0', true, 2000);
+	engine.recordEnded('running/0', true, 2000);
 	expect(engine.decide(2000, 10)).toEqual([]);
 	enqueueJob(engine, createSpec('urgent', {priority: 950, resources: half}), {queuedAtMs: 3000});
 	expect(getStarts(engine.decide(3000, 10)).map(({taskId}) => taskId)).toEqual(['urgent/0']);
