--- a/src/platform/worker-calls.ts
+++ b/src/platform/worker-calls.ts
@@ -15,7 +15,7 @@
 	fence: OrderRefusal.StaleFence,
 	old: OrderRefusal.OldRun,
 	late: OrderRefusal.StartTooLate,
-	room: OrderRefusal.NoRoom,
+	room: OrderRefusal.NoCapacity,
 	ticket: OrderRefusal.Ticket,
 };
 
--- a/src/plugins/callers-lanes.ts
+++ b/src/plugins/callers-lanes.ts
@@ -136,7 +136,7 @@
 
 			return upstreams.getRoutable(serviceName).length > 0 ? RefusalReason.WrongRegion : RefusalReason.NoUpstream;
 		},
-		isSettled: serviceName => moves?.isSettled(serviceName) ?? true,
+		isSettled: serviceName => moves?.isMoveSettled(serviceName) ?? true,
 		stalls,
 		getStatus: () => Object.fromEntries([...laneEntries].map(([serviceName, {lane}]) => [serviceName, lane.admission.getStatus()])),
 		close() {
--- a/src/plugins/moves-service.ts
+++ b/src/plugins/moves-service.ts
@@ -124,7 +124,7 @@
 		getRegion: service => config.getOwner(service)?.region,
 		// The old region may read of the move a little later than this one and could until then still start a non-idempotent
 		// request. Waiting for `settleMs` ensures that only one region starts them at any time.
-		isSettled(service) {
+		isMoveSettled(service) {
 			const owner = config.getOwner(service);
 			return owner?.previousRegion === undefined || clock.monotonicMs() - getOwnerSeenAtMs(owner) >= settings.settleMs;
 		},
--- a/src/plugins/site-entry.ts
+++ b/src/plugins/site-entry.ts
@@ -175,7 +175,7 @@
 		isStoreLost,
 		producer: `${site.hostName}-${incarnation}`,
 		getConfig: () => config.config,
-		onWriterNote(event, detail) {
+		onWriterEvent(event, detail) {
 			note(`store ${event}`, {detail, writer: 'jobs'});
 		},
 	});
--- a/src/types/fleet.ts
+++ b/src/types/fleet.ts
@@ -85,7 +85,7 @@
 	StaleFence = 'fence',
 	OldRun = 'old-run',
 	StartTooLate = 'late',
-	NoRoom = 'no-room',
+	NoCapacity = 'no-room',
 	/** The worker's capacity is now smaller than the owner assumed. */
 	CapacityReduced = 'shrunk',
 	Ticket = 'ticket',
--- a/src/types/services.ts
+++ b/src/types/services.ts
@@ -219,7 +219,7 @@
 	/** Gets the region whose upstreams get the service's new requests; undefined: any. */
 	getRegion(serviceName: string): string | undefined;
 	/** Whether non-idempotent requests may be dispatched now; false after a move until the previous region has had time to learn of it. */
-	isSettled(serviceName: string): boolean;
+	isMoveSettled(serviceName: string): boolean;
 };
 
 /** Type of the service under each name. */
--- a/src/workflows/fold.ts
+++ b/src/workflows/fold.ts
@@ -72,7 +72,7 @@
 	readonly workflows = new Map<string, FoldedWorkflow>();
 	listener: FoldListener | undefined;
 	/** Interference between images as the owner last stored it. */
-	harm: InterferencePair[] = [];
+	interferencePairs: InterferencePair[] = [];
 	/** Epoch of the newest claim. */
 	epoch = 0;
 	/** Offset of the next record. */
@@ -139,7 +139,7 @@
 			}
 
 			case RecordType.Interference: {
-				this.harm = record.pairs;
+				this.interferencePairs = record.pairs;
 				break;
 			}
 
--- a/src/workflows/order-sender.ts
+++ b/src/workflows/order-sender.ts
@@ -35,7 +35,7 @@
 const unknownPauseMs = 1000;
 /** Pauses of a worker after a refusal, by how soon its reason may have changed. */
 const refusalPauseMs: Partial<Record<OrderRefusal, number>> = {
-	[OrderRefusal.NoRoom]: 300,
+	[OrderRefusal.NoCapacity]: 300,
 	[OrderRefusal.Unhealthy]: 1000,
 	[OrderRefusal.NoLease]: 200,
 	[OrderRefusal.Unanswered]: 500,
--- a/src/workflows/owner.ts
+++ b/src/workflows/owner.ts
@@ -169,7 +169,7 @@
 		this.#claimOffset = claimOffset;
 		this.#reconciliation.start();
 		if (policy[Mechanism.InterferenceHandover]) {
-			this.#interference.restore(follower.fold.harm, clock.monotonicMs());
+			this.#interference.restore(follower.fold.interferencePairs, clock.monotonicMs());
 		}
 
 		this.model.load(follower.fold, clock.now().getTime(), clock.monotonicMs());
--- a/src/workflows/workflow-api.ts
+++ b/src/workflows/workflow-api.ts
@@ -29,7 +29,7 @@
 	getFollower: (partition: number) => WorkflowFollower;
 	/** Whether the store has not answered this entry for a while. */
 	isStoreLost: () => boolean;
-	onWriterNote: WriterEventHandler;
+	onWriterEvent: WriterEventHandler;
 };
 
 /** Records are batched for this long: at the peak some ten a second come to an entry. */
@@ -146,7 +146,7 @@
 	async #write(partition: number, value: Parameters<ProducerWriter['write']>[0], timeoutMs: number): Promise<WriteOutcome> {
 		let writer = this.#writers.get(partition);
 		if (!writer) {
-			const {store, clock, producer, maxCallBytes, onWriterNote} = this.#options;
+			const {store, clock, producer, maxCallBytes, onWriterEvent: onWriterNote} = this.#options;
 			writer = new ProducerWriter({
 				store, clock, ref: {topic: workflowsTopic, partition}, producer, epoch: 1, lingerMs: gatherMs, expireAfterMs: recordExpiryMs, maxBatchBytes: maxCallBytes / 2, onEvent: onWriterNote,
 			});
--- a/test/moves.test.ts
+++ b/test/moves.test.ts
@@ -109,16 +109,16 @@
 		const {clock, createEntry, publish, announce} = createEntries(2);
 		const entry = await createEntry('entry-new', 'bagmati');
 		await publish(createConfigText('scot'));
-		expect(entry.get(ServiceName.Moves).isSettled('register')).toBe(true);
+		expect(entry.get(ServiceName.Moves).isMoveSettled('register')).toBe(true);
 		announce('register', 'bagmati');
 		await publish(createConfigText('bagmati'));
 		while (getRegion(entry, 'register') !== 'bagmati') {
 			await clock.advance(100);
 		}
 
-		expect(entry.get(ServiceName.Moves).isSettled('register')).toBe(false);
+		expect(entry.get(ServiceName.Moves).isMoveSettled('register')).toBe(false);
 		await clock.advance(settings.moves.settleMs + 1000);
-		expect(entry.get(ServiceName.Moves).isSettled('register')).toBe(true);
+		expect(entry.get(ServiceName.Moves).isMoveSettled('register')).toBe(true);
 		await entry.stop();
 	});
 
--- a/test/requests.test.ts
+++ b/test/requests.test.ts
@@ -241,7 +241,7 @@
 test('only the configured region serves requests, and no request with an id runs before the move has settled', async () => {
 	const upstream = await simulation.startUpstream(answerOk);
 	const owningRegion = {region: 'elsewhere' as string | undefined, isSettled: true};
-	simulation.moves.current = {getRegion: () => owningRegion.region, isSettled: () => owningRegion.isSettled};
+	simulation.moves.current = {getRegion: () => owningRegion.region, isMoveSettled: () => owningRegion.isSettled};
 	const entry = await simulation.startEntry();
 	expect(getRefusal(await send(entry.address))).toEqual({status: 503, reason: RefusalReason.WrongRegion, outcome: Outcome.NotRun});
 	owningRegion.region = 'local';
--- a/test/simulated-site.ts
+++ b/test/simulated-site.ts
@@ -180,7 +180,7 @@
 			store, clock, ref: {topic: workflowsTopic, partition}, onStoreState: ignore, onInvalid: ignore,
 		});
 		const jobs = new WorkflowApi({
-			store, clock, partitions, producer: life, maxCallBytes: 2_000_000, getConfig: () => undefined, getFollower: () => follower, isStoreLost: () => this.storeLost.has(name), onWriterNote: ignore,
+			store, clock, partitions, producer: life, maxCallBytes: 2_000_000, getConfig: () => undefined, getFollower: () => follower, isStoreLost: () => this.storeLost.has(name), onWriterEvent: ignore,
 		});
 		const relay = new RelayingApi({
 			local: jobs, clock, note, client: createEntryClient(this, name), isStoreLost: () => this.storeLost.has(name), getOthers: () => [...this.entries.keys()].filter(other => other !== name).map(other => ({host: other, address: other})),
--- a/test/site-interference.test.ts
+++ b/test/site-interference.test.ts
@@ -80,7 +80,7 @@
 		const fold = new WorkflowFold();
 		fold.apply(decodeRecord(encodeRecord({type: RecordType.Interference, pairs: learnEffects(1.5).getPairs()})), 0);
 		const next = new BestEffortInterference();
-		next.restore(fold.harm, 0);
+		next.restore(fold.interferencePairs, 0);
 		expect(next.getEffect('serve', 'heavy')).toBeCloseTo(learnEffects(1.5).getEffect('serve', 'heavy'), 1);
 		expect(next.getPairs()).toEqual(learnEffects(1.5).getPairs());
 	});
--- a/test/worker-calls.test.ts
+++ b/test/worker-calls.test.ts
@@ -40,7 +40,7 @@
 		[409, 'fence', OrderRefusal.StaleFence],
 		[409, 'old', OrderRefusal.OldRun],
 		[409, 'late', OrderRefusal.StartTooLate],
-		[409, 'room', OrderRefusal.NoRoom],
+		[409, 'room', OrderRefusal.NoCapacity],
 		[409, 'ticket', OrderRefusal.Ticket],
 		[421, undefined, OrderRefusal.OtherWorkerIncarnation],
 		[429, undefined, OrderRefusal.Unhealthy],
