--- a/scripts/break-guards.ts
+++ b/scripts/break-guards.ts
@@ -59,7 +59,7 @@
 	{
 		guarantee: Guarantee.NoWorkWhileLeaving,
 		faultyBehaviour: 'a late announcement undoes a drain',
-		file: 'src/requests/announcement-book.ts',
+		file: 'src/requests/announcement-registry.ts',
 		find: 'return stateRank[next.state] > stateRank[known.state];',
 		replace: 'return next.sequence > known.sequence;',
 		tests: ['test/membership.test.ts', 'test/drain.test.ts'],
@@ -84,8 +84,8 @@
 		guarantee: Guarantee.NoOvercommit,
 		faultyBehaviour: 'placement ignores the free capacity of a worker',
 		file: 'src/jobs/placement-fleet.ts',
-		find: 'return isAvailable(worker) && isWithin(getSum(amount, foreign), getDifference(capacity, worker.used));',
-		replace: 'return isAvailable(worker) && isWithin(getSum(amount, foreign), capacity);',
+		find: 'return isAvailable(worker) && isWithin(getSum(amount, usedByOthers), getDifference(capacity, worker.used));',
+		replace: 'return isAvailable(worker) && isWithin(getSum(amount, usedByOthers), capacity);',
 		tests: ['test/placement.test.ts', 'test/placement-properties.test.ts'],
 	},
 	{
