--- a/scripts/measure-scheduling.ts
+++ b/scripts/measure-scheduling.ts
@@ -19,15 +19,15 @@
 		const startMs = performance.now();
 		const {credit, counts, lostCoreS, interferenceS, bestEffortCores} = await simulateScheduling(load, seed, {policy: createPolicy(values.without), isInterferenceKnown: values.known});
 		let earned = 0;
-		let owed = 0;
+		let totalPossible = 0;
 		for (const sum of credit.values()) {
 			earned += sum.earned;
-			owed += sum.possible;
+			totalPossible += sum.possible;
 		}
 
 		const kinds = Object.fromEntries([...credit].map(([name, sum]) => [name, Number((sum.earned / sum.possible).toFixed(3))]));
 		process.stdout.write(`${JSON.stringify({
-			load: load.name, seed, without: values.without, known: values.known, worth: Number((earned / owed).toFixed(4)), kinds, counts: Object.fromEntries(counts), lostCoreS: Math.round(lostCoreS), harmS: Math.round(interferenceS), fillingCores: Math.round(bestEffortCores), tookMs: Math.round(performance.now() - startMs),
+			load: load.name, seed, without: values.without, known: values.known, worth: Number((earned / totalPossible).toFixed(4)), kinds, counts: Object.fromEntries(counts), lostCoreS: Math.round(lostCoreS), harmS: Math.round(interferenceS), fillingCores: Math.round(bestEffortCores), tookMs: Math.round(performance.now() - startMs),
 		})}\n`);
 	}
 }
--- a/src/requests/membership-state.ts
+++ b/src/requests/membership-state.ts
@@ -138,12 +138,12 @@
 		}
 
 		const nowMs = this.#clock.monotonicMs();
-		const asked = new Map(known.map(item => [item.ownerId, item]));
-		const own = {ownerId: this.#ownerId, ageMs: 0, ...this.#monitored.getDelta(asked.get(this.#ownerId)?.version ?? -1)};
+		const requesterSets = new Map(known.map(item => [item.ownerId, item]));
+		const own = {ownerId: this.#ownerId, ageMs: 0, ...this.#monitored.getDelta(requesterSets.get(this.#ownerId)?.version ?? -1)};
 		const owners: PullAnswer['owners'] = [own];
 		for (const [ownerId, {set, aliveAtMs}] of this.#owners) {
 			const ageMs = nowMs - aliveAtMs;
-			const item = asked.get(ownerId);
+			const item = requesterSets.get(ownerId);
 			// Passed on only if the requester knows less: in a healthy installation an answer contains this entry's own set alone.
 			const isHelpful = ageMs < this.#policy.voucherLeaseMs && (item?.ageMs ?? Number.POSITIVE_INFINITY) > Math.max(ageMs, this.#policy.voucherLeaseMs / 2);
 			if (isHelpful) {
--- a/src/requests/slot-table.ts
+++ b/src/requests/slot-table.ts
@@ -144,8 +144,8 @@
 		const nowMs = clock.monotonicMs();
 		// Sorted by id: every report must lead to the same division, or shares would move needlessly.
 		const live = [...this.#grantees].filter(([, {leaseEndMs, isLeaving}]) => leaseEndMs > nowMs && !isLeaving).toSorted(([a], [b]) => a < b ? -1 : 1);
-		const lost = [...this.#grantees.values()].reduce((sum, {leaseEndMs, limit, isLeaving}) => leaseEndMs > nowMs && !isLeaving ? sum : sum + limit, 0);
-		const shares = divide(Math.max(0, slots - lost), live.map(([, grantee]) => grantee), offset);
+		const unavailable = [...this.#grantees.values()].reduce((sum, {leaseEndMs, limit, isLeaving}) => leaseEndMs > nowMs && !isLeaving ? sum : sum + limit, 0);
+		const shares = divide(Math.max(0, slots - unavailable), live.map(([, grantee]) => grantee), offset);
 		return shares[live.findIndex(([id]) => id === granteeId)] ?? 0;
 	}
 }
--- a/src/standin/interference-worker.ts
+++ b/src/standin/interference-worker.ts
@@ -22,8 +22,8 @@
 export type SimulatedInterference = {
 	/** Load of a latency-critical task without interference at a time, 0 to 1. */
 	getLoad: (taskId: string, nowMs: number) => number;
-	/** Load that the best-effort image adds to the latency-critical image when it uses all processors of the worker. */
-	getAddedLoad: (server: string, filler: string) => number;
+	/** Load that tasks of the best-effort image add to a task of the latency-critical image when they use all processors of the worker. */
+	getAddedLoad: (latencyCriticalImage: string, bestEffortImage: string) => number;
 	/** Tail latency without load. */
 	baseLatencyMs: number;
 };
--- a/src/standin/memory-store.ts
+++ b/src/standin/memory-store.ts
@@ -59,7 +59,7 @@
 
 /** The store, with faults and delays that tests set. */
 export class MemoryStore {
-	/** Reads with a larger response time out, as on a slow link. */
+	/** A read whose response is larger times out, as on a slow link. */
 	maxAnswerBytes = Number.POSITIVE_INFINITY;
 	/** Bandwidth of the readers' links; a response whose transfer takes longer than `readSlackMs` never arrives. */
 	bytesPerMs = Number.POSITIVE_INFINITY;
--- a/src/standin/site-worker.ts
+++ b/src/standin/site-worker.ts
@@ -102,8 +102,8 @@
 		};
 	}
 
-	/** Crashes the worker, which restarts after the given time as a new incarnation without any state. */
-	crash(forMs = 0): void {
+	/** Crashes the worker, which restarts after `downtimeMs` as a new incarnation without any state. */
+	crash(downtimeMs = 0): void {
 		for (const {start} of this.running.values()) {
 			this.#reportEnd(start, 'lost');
 		}
@@ -124,11 +124,11 @@
 			wake();
 		}
 
-		if (forMs > 0) {
+		if (downtimeMs > 0) {
 			this.isDown = true;
 			this.#options.clock.setTimer(() => {
 				this.isDown = false;
-			}, forMs);
+			}, downtimeMs);
 		}
 	}
 
--- a/test/answers.test.ts
+++ b/test/answers.test.ts
@@ -55,7 +55,7 @@
 });
 
 test('a check whose answer is truncated gets an error, never a partial answer', async () => {
-	// An upstream dies while it writes. The caller must not take a partial answer for a complete one.
+	// An upstream crashes while it writes its answer. The caller must not take a partial answer for a complete one.
 	await simulation.startRawUpstream(socket => {
 		socket.end('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf of it');
 	});
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -172,8 +172,8 @@
 	u1.state = HostState.Draining;
 	u2.isStopped = true;
 	await simulation.clock.advance(29_990);
-	const waking = simulation.entries.get('c')!;
-	waking.clock.resume();
+	const resumed = simulation.entries.get('c')!;
+	resumed.clock.resume();
 	expect(simulation.getRoutable('c')).toEqual([]);
 	await simulation.clock.advance(3000);
 	expect(getAllRoutable()).toEqual([['u3'], ['u3'], ['u3']]);
--- a/test/perf/measure-job-owner.ts
+++ b/test/perf/measure-job-owner.ts
@@ -24,55 +24,55 @@
 time until jobs run that are submitted one second after the takeover.
 */
 const measureTakeover = async (seed: number, isWorkerLost: boolean) => {
-	const world = new SimulatedCluster({
+	const cluster = new SimulatedCluster({
 		seed, entries: 3, shards: 12, workers: 12, capacity: {processors: 16, memoryMb: 61_440, accelerators: 0}, getBehaviour: () => ({runTimeMs: 600_000}),
 	});
-	await world.runUntil(() => [...world.entries.values()].reduce((sum, {scheduler}) => sum + scheduler.ownership.owned.size, 0) === 12);
-	await world.clock.advance(60_000);
+	await cluster.runUntil(() => [...cluster.entries.values()].reduce((sum, {scheduler}) => sum + scheduler.ownership.owned.size, 0) === 12);
+	await cluster.clock.advance(60_000);
 	for (let index = 0; index < 36; index++) {
-		await world.submit(createSpec(`running-${index}`, {resources: smallResources}));
+		await cluster.submit(createSpec(`running-${index}`, {resources: smallResources}));
 	}
 
-	await world.runUntil(() => world.getRunning().length === 36);
-	const crashedEntry = world.getEntry(0);
+	await cluster.runUntil(() => cluster.getRunning().length === 36);
+	const crashedEntry = cluster.getEntry(0);
 	const lostShards = [...crashedEntry.scheduler.ownership.owned.keys()];
 	crashedEntry.crash();
 	if (isWorkerLost) {
-		world.workers.get('worker-0')!.faults.isUnreachable = true;
-		world.announced.delete('worker-0');
+		cluster.workers.get('worker-0')!.faults.isUnreachable = true;
+		cluster.announced.delete('worker-0');
 	}
 
-	const startMs = world.clock.monotonicMs();
-	const getSeconds = () => (world.clock.monotonicMs() - startMs) / 1000;
+	const startMs = cluster.clock.monotonicMs();
+	const getSeconds = () => (cluster.clock.monotonicMs() - startMs) / 1000;
 	const submitAll = (prefix: string): string[] => Array.from({length: 24}, (_, index) => {
-		void world.getEntry().scheduler.submit(createSpec(`${prefix}-${index}`, {resources: smallResources}));
+		void cluster.getEntry().scheduler.submit(createSpec(`${prefix}-${index}`, {resources: smallResources}));
 		return `${prefix}-${index}`;
 	});
-	const areStarted = (ids: string[]) => ids.every(id => world.getRunningWorkers(`${id}/0`).length === 1);
+	const areStarted = (ids: string[]) => ids.every(id => cluster.getRunningWorkers(`${id}/0`).length === 1);
 	const submittedAtCrash = submitAll('at-death');
-	await world.runUntil(() => lostShards.every(shard => [...world.entries.values()].some(({scheduler}) => scheduler.ownership.owned.has(shard))));
+	await cluster.runUntil(() => lostShards.every(shard => [...cluster.entries.values()].some(({scheduler}) => scheduler.ownership.owned.has(shard))));
 	const ownedSeconds = getSeconds();
-	await world.clock.advance(1000);
+	await cluster.clock.advance(1000);
 	const submittedLater = submitAll('after');
-	await world.runUntil(() => areStarted(submittedLater), 120_000);
+	await cluster.runUntil(() => areStarted(submittedLater), 120_000);
 	const submittedLaterSeconds = getSeconds() - ownedSeconds - 1;
-	await world.runUntil(() => areStarted(submittedAtCrash), 120_000);
+	await cluster.runUntil(() => areStarted(submittedAtCrash), 120_000);
 	const result = {
-		ownedSeconds, submittedAtCrashSeconds: getSeconds(), submittedLaterSeconds, isSafe: world.violations.length === 0,
+		ownedSeconds, submittedAtCrashSeconds: getSeconds(), submittedLaterSeconds, isSafe: cluster.violations.length === 0,
 	};
-	await world.stop();
+	await cluster.stop();
 	return result;
 };
 
 const measureCosts = async (taskCount: number) => {
-	const world = new SimulatedCluster({
+	const cluster = new SimulatedCluster({
 		workers: 100, shards: 1, capacity: largeCapacity, settings: {jobs: {maxDecisions: 100_000}}, getBehaviour: () => ({runTimeMs: 20_000}),
 	});
-	await world.runUntil(() => world.getEntry().scheduler.ownership.owned.size === 1);
+	await cluster.runUntil(() => cluster.getEntry().scheduler.ownership.owned.size === 1);
 	const calls = {
 		start: 0, renew: 0, list: 0, forget: 0,
 	};
-	for (const worker of world.workers.values()) {
+	for (const worker of cluster.workers.values()) {
 		for (const name of Object.keys(calls) as Array<keyof typeof calls>) {
 			const call = worker[name].bind(worker) as (...values: unknown[]) => Promise<unknown>;
 			Object.assign(worker, {
@@ -85,13 +85,13 @@
 	}
 
 	const cpuBefore = process.cpuUsage();
-	const startMs = world.clock.monotonicMs();
-	await world.submit(createSpec('wave', {taskCount, resources: smallResources}));
-	await world.runUntil(() => world.getRunning().length === taskCount);
-	await world.runUntil(() => world.getState('wave') === JobState.Succeeded, 120_000, 1000);
+	const startMs = cluster.clock.monotonicMs();
+	await cluster.submit(createSpec('wave', {taskCount, resources: smallResources}));
+	await cluster.runUntil(() => cluster.getRunning().length === taskCount);
+	await cluster.runUntil(() => cluster.getState('wave') === JobState.Succeeded, 120_000, 1000);
 	const cpu = process.cpuUsage(cpuBefore);
-	const seconds = (world.clock.monotonicMs() - startMs) / 1000;
-	await world.stop();
+	const seconds = (cluster.clock.monotonicMs() - startMs) / 1000;
+	await cluster.stop();
 	return {
 		taskCount,
 		// Includes the stand-in log and workers and the test harness, which run in the same process.
--- a/test/perf/profile-entry.ts
+++ b/test/perf/profile-entry.ts
@@ -127,7 +127,7 @@
 				const {loadPhase, kind: {latencyCritical}} = getJob(taskId);
 				return latencyCritical!.load * (1 + (latencyCritical!.loadAmplitude * Math.sin(2 * Math.PI * ((nowMs / (latencyCritical!.periodS * secondMs)) + loadPhase))));
 			},
-			getAddedLoad: (server, filler) => load.addedLoads[Math.floor(hashToUnitInterval(`${server} ${filler}`) * load.addedLoads.length)]!,
+			getAddedLoad: (latencyCriticalImage, bestEffortImage) => load.addedLoads[Math.floor(hashToUnitInterval(`${latencyCriticalImage} ${bestEffortImage}`) * load.addedLoads.length)]!,
 		},
 		checkpointIntervalMs: 1000,
 		restoreMs: 100,
--- a/test/simulated-claims.ts
+++ b/test/simulated-claims.ts
@@ -141,7 +141,7 @@
 
 		void follow();
 		void registry.run(aborter.signal);
-		let isDead = false;
+		let isCrashed = false;
 
 		/** One attempt of a caller: claims the id, and if the claim won, dispatches the request, which runs for `runMs`. */
 		const request = async (requestId: string, {timeoutMs = 500, runMs = 50, queueMs = 0} = {}): Promise<Attempt> => {
@@ -153,7 +153,7 @@
 			}
 
 			await gate.wait();
-			if (isDead) {
+			if (isCrashed) {
 				return attempt;
 			}
 
@@ -172,7 +172,7 @@
 			attempt.isDispatched = true;
 			dispatches.set(requestId, (dispatches.get(requestId) ?? 0) + 1);
 			await gatedClock.sleep(runMs);
-			if (!isDead) {
+			if (!isCrashed) {
 				registry.finish(requestId, {state: ClaimState.Done, status: 200});
 			}
 
@@ -184,7 +184,7 @@
 			gate,
 			request,
 			crash() {
-				isDead = true;
+				isCrashed = true;
 				aborter.abort();
 				gate.resume();
 			},
--- a/test/simulated-membership.ts
+++ b/test/simulated-membership.ts
@@ -137,7 +137,7 @@
 	announce(entry: SimulatedEntry): Promise<AnnouncementReply | undefined>;
 };
 
-type WorldOptions = {
+type SimulatedMembershipOptions = {
 	seed?: number;
 	settings?: {[Section in keyof Settings]?: Partial<Settings[Section]>};
 };
@@ -150,11 +150,11 @@
 	readonly network: MemoryNetwork;
 	readonly entries = new Map<string, SimulatedEntry>();
 	readonly upstreams = new Map<string, SimulatedUpstream>();
-	readonly #options: WorldOptions;
+	readonly #options: SimulatedMembershipOptions;
 	readonly #crashed: SimulatedEntry[] = [];
 	readonly #leaving = new Map<string, SimulatedEntry>();
 
-	constructor(options: WorldOptions = {}) {
+	constructor(options: SimulatedMembershipOptions = {}) {
 		this.#options = options;
 		this.random = createRandom(options.seed ?? 1);
 		this.log = new MemoryLog(this.clock, this.random);
@@ -248,10 +248,10 @@
 		void this.#send(entry, announcement);
 	}
 
-	setLinkBroken(a: string, b: string, isCut: boolean): void {
+	setLinkBroken(a: string, b: string, isBroken: boolean): void {
 		const [first, second] = [this.entries.get(a), this.entries.get(b)];
 		if (first && second) {
-			this.network.setLinkBroken(first.address(), second.address(), isCut);
+			this.network.setLinkBroken(first.address(), second.address(), isBroken);
 		}
 	}
 
