--- a/test/simulated-membership.ts
+++ b/test/simulated-membership.ts
@@ -137,7 +137,7 @@
 	announce(entry: SimulatedEntry): Promise<AnnouncementReply | undefined>;
 };
 
-type SimulationOptions = {
+type SimulatedMembershipOptions = {
 	seed?: number;
 	settings?: {[Section in keyof Settings]?: Partial<Settings[Section]>};
 };
@@ -150,11 +150,11 @@
 	readonly network: MemoryNetwork;
 	readonly entries = new Map<string, SimulatedEntry>();
 	readonly upstreams = new Map<string, SimulatedUpstream>();
-	readonly #options: SimulationOptions;
+	readonly #options: SimulatedMembershipOptions;
 	readonly #crashed: SimulatedEntry[] = [];
 	readonly #leaving = new Map<string, SimulatedEntry>();
 
-	constructor(options: SimulationOptions = {}) {
+	constructor(options: SimulatedMembershipOptions = {}) {
 		this.#options = options;
 		this.random = createRandom(options.seed ?? 1);
 		this.log = new MemoryLog(this.clock, this.random);
