--- a/scripts/break-guards.ts
+++ b/scripts/break-guards.ts
@@ -92,8 +92,8 @@
 		guarantee: Guarantee.SingleWorker,
 		faultyBehaviour: 'a new owner starts tasks before it has received the state of all workers that may run them',
 		file: 'src/jobs/recovery.ts',
-		find: 'const isWaitedOut = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;',
-		replace: 'const isWaitedOut = waitMs >= 0;',
+		find: 'const hasWaitElapsed = quorumAtMs !== undefined && clock.monotonicMs() - quorumAtMs >= waitMs;',
+		replace: 'const hasWaitElapsed = waitMs >= 0;',
 		tests: ['test/recovery.test.ts', 'test/ownership.test.ts'],
 	},
 	{
