--- a/src/core/config-text.ts
+++ b/src/core/config-text.ts
@@ -142,7 +142,7 @@
 
 const findDependents = (deleted: string, view: SectionView): string[] => [...view.keys()]
 	.filter(section => getDependencySections(section, view).includes(deleted))
-	.map(section => `[${section}] dependsOn: the deleted section [${deleted}] is still needed`);
+	.map(section => `[${section}] dependsOn: [${deleted}] is still needed`);
 
 const getDependencySections = (section: string, view: SectionView): string[] =>
 	splitList(view.get(section)?.dependsOn).map(dependency => getServiceSection(dependency));
@@ -165,7 +165,7 @@
 const findDependencyIssues = (section: string, view: SectionView): string[] => {
 	const missing = getDependencySections(section, view).filter(dependency => !view.get(dependency));
 	if (missing.length > 0) {
-		return missing.map(dependency => `[${section}] dependsOn: there is no section [${dependency}]`);
+		return missing.map(dependency => `[${section}] dependsOn: there is no [${dependency}]`);
 	}
 
 	const seen = new Set<string>();
@@ -178,5 +178,5 @@
 		seen.add(dependency);
 		return isNew && reaches(dependency);
 	});
-	return reaches(section) ? [`[${section}] dependsOn: circular dependency between services`] : [];
+	return reaches(section) ? [`[${section}] dependsOn: services depend on each other in a circle`] : [];
 };
--- a/src/core/service-owners.ts
+++ b/src/core/service-owners.ts
@@ -69,17 +69,17 @@
 ): string | undefined => {
 	const values = sections.get(getServiceSection(move.service))?.values;
 	if (values?.region !== move.region) {
-		return 'the configuration no longer declares this region';
+		return 'the text no longer declares this region';
 	}
 
 	// An entry that was paused may append a move based on an owner that has since been replaced; it must not take effect.
 	if (owners.get(move.service)?.offset !== move.baseOffset) {
-		return 'the owner has changed since this move was decided';
+		return 'another move came first';
 	}
 
 	const missing = splitList(values.dependsOn).find(dependency => {
 		const declared = sections.get(getServiceSection(dependency))?.values?.region;
 		return declared !== undefined && owners.get(dependency)?.region !== declared;
 	});
-	return missing === undefined ? undefined : `its dependency ${missing} must move first`;
+	return missing === undefined ? undefined : `${missing} has to move first`;
 };
--- a/src/jobs/shard-runner.ts
+++ b/src/jobs/shard-runner.ts
@@ -354,7 +354,7 @@
 		if (task.isCancelled) {
 			this.ends.finish(task, {state: TaskState.Stopped});
 		} else if (isCrashLimitReached(task)) {
-			this.ends.finish(task, {state: TaskState.Failed, reason: `${task.crashedWorkers.length} times a worker restarted soon after the task was started there`});
+			this.ends.finish(task, {state: TaskState.Failed, reason: `${task.crashedWorkers.length} times a worker was restarted soon after its start`});
 		} else if (task.job.spec.isIdempotent) {
 			this.ends.forget(task);
 			this.#requeue(task, reason);
--- a/src/plugins/moves-service.ts
+++ b/src/plugins/moves-service.ts
@@ -53,11 +53,11 @@
 
 	const findObstacle = (move: ConfigMove): string | undefined => {
 		if (!config.isFresh(maxConfigAgeMs)) {
-			return 'the configuration may be stale: the end of the log was not read recently';
+			return 'the log has not been read';
 		}
 
 		const obstacle = findMoveObstacle(move, {get: service => config.getOwner(service)}, config.getSections());
-		return obstacle ?? (isWarm(move.service) ? undefined : 'too few upstreams in the new region, or not for long enough');
+		return obstacle ?? (isWarm(move.service) ? undefined : 'its upstreams here are not warm');
 	};
 
 	const moveIfReady = async ({name, values}: ConfigSection) => {
--- a/test/config-fold.test.ts
+++ b/test/config-fold.test.ts
@@ -60,7 +60,7 @@
 
 describe('invalid configuration', () => {
 	test.each([
-		['a circular dependency', {'service a': {dependsOn: 'b'}, 'service b': {dependsOn: 'a'}}, /circular dependency/],
+		['a circular dependency', {'service a': {dependsOn: 'b'}, 'service b': {dependsOn: 'a'}}, /circle/],
 		['a missing dependency', {'service a': {dependsOn: 'b'}}, /there is no/],
 		['a misspelt key', {'service a': {regoin: 'x'}}, /did you mean region/],
 		['an unknown kind of section', {nonsense: {}}, /is named/],
